--- a/ashtiller/src/workflow/advisor.rs
+++ b/ashtiller/src/workflow/advisor.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use crate::store::Called;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// Rows of a worker's life and the ticket to start the step there.
-pub type Tickets = Vec<(Life, Arc<str>)>;
+pub type Tickets = Vec<(Incarnation, Arc<str>)>;
 
 /// Questions to the advisor.
 pub trait Advisor: Send + Sync {
@@ -18,7 +18,7 @@
         job: &'a str,
         time: u32,
         step: u16,
-        workers: &'a [Life],
+        workers: &'a [Incarnation],
         limit: Duration,
     ) -> Called<'a, Tickets>;
 }
--- a/ashtiller/src/workflow/agents.rs
+++ b/ashtiller/src/workflow/agents.rs
@@ -7,32 +7,32 @@
 use serde::{Deserialize, Serialize};
 
 use crate::store::Called;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// Least time limit of an order, a hundred times the way to another zone. By then it was
 /// carried out, or its caller was told that it may not have been.
-pub const ORDER_LIMIT: Duration = Duration::from_millis(350);
+pub const ORDER_TIMEOUT_MIN: Duration = Duration::from_millis(350);
 /// Least time for a look to be answered beyond its own wait.
-pub const LOOK_LIMIT: Duration = Duration::from_millis(600);
+pub const POLL_TIMEOUT_MIN: Duration = Duration::from_millis(600);
 
 /// Which life of which worker a call is meant for.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
     /// The worker's life.
-    pub life: Life,
+    pub life: Incarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// The caller's fence: a worker ignores callers with a lower one.
     pub fence: u64,
     /// How long its answer may take, beyond what it is asked to wait.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Its availability zone.
     pub zone: Arc<str>,
 }
 
 /// A task as workers know it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Name {
+pub struct TaskName {
     /// Id of the job.
     pub job: Arc<str>,
     /// Which time of a repeated job.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Start {
     /// Task.
-    pub name: Name,
+    pub name: TaskName,
     /// Number of the run.
     pub run: u32,
     /// The job's text for its tasks.
@@ -66,9 +66,9 @@
     /// Start a run.
     Start(Start),
     /// Stop a run, and never start it from now on.
-    Stop(Name, u32),
+    Stop(TaskName, u32),
     /// Let a run work at this share, in percent.
-    Pace(Name, u32, u32),
+    Pace(TaskName, u32, u32),
 }
 
 impl Order {
@@ -104,18 +104,18 @@
 
 /// What a worker said to an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Said {
+pub enum OrderReply {
     /// Done, at this reading of its clock.
     Done(u64),
     /// Not done.
     Refused(Refusal),
     /// The life that was meant is over.
-    OtherLife,
+    OtherIncarnation,
 }
 
 /// Asks a worker what runs there, and renews its lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Look {
+pub struct Poll {
     /// End of the lease, in milliseconds of the worker's clock.
     pub until: Option<u64>,
     /// Ends up to this number are recorded and may be forgotten.
@@ -128,7 +128,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Active {
     /// Task.
-    pub name: Name,
+    pub name: TaskName,
     /// Number of the run.
     pub run: u32,
     /// Newest checkpoint; empty for none.
@@ -141,7 +141,7 @@
 
 /// How a worker says that a run ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum How {
+pub enum EndReason {
     /// Its work is done.
     Done,
     /// It failed.
@@ -162,18 +162,18 @@
     /// Number of the end in this life of the worker.
     pub number: u64,
     /// Task.
-    pub name: Name,
+    pub name: TaskName,
     /// Number of the run.
     pub run: u32,
     /// How it ended.
-    pub how: How,
+    pub how: EndReason,
     /// Newest checkpoint; empty for none.
     pub saved: Arc<str>,
 }
 
 /// What a worker said to a look.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Looked {
+pub enum PollReply {
     /// What it has, at this reading of its clock.
     Report {
         /// Its clock in milliseconds.
@@ -186,16 +186,16 @@
     /// It has heard a higher fence.
     Fenced,
     /// The life that was meant is over; which one answered, if it says so.
-    OtherLife(Option<Life>),
+    OtherIncarnation(Option<Incarnation>),
     /// It does nothing at the moment.
     Busy,
 }
 
 /// Calls to workers.
-pub trait Agents: Send + Sync {
+pub trait WorkerClient: Send + Sync {
     /// Gives an order. A failure with unknown effect may be carried out seconds later.
-    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> Called<'a, Said>;
+    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> Called<'a, OrderReply>;
 
     /// Looks at a worker.
-    fn look<'a>(&'a self, to: &'a Target, look: &'a Look) -> Called<'a, Looked>;
+    fn poll<'a>(&'a self, to: &'a Target, look: &'a Poll) -> Called<'a, PollReply>;
 }
--- a/ashtiller/src/workflow/blame.rs
+++ b/ashtiller/src/workflow/blame.rs
@@ -42,7 +42,7 @@
 
 /// One run that was lost when its worker crashed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Victim {
+pub struct LostRun {
     /// Run.
     pub run: Run,
     /// How old it was at most, in milliseconds.
@@ -70,7 +70,7 @@
 
 /// What a crash that is judged looks like.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct CrashContext {
     /// How old the run was when its worker went; nothing if it was never seen at work.
     pub age: Duration,
     /// Whether it was going on: the worker had said that it began, else the crash may have
@@ -83,7 +83,7 @@
     pub alike: bool,
 }
 
-impl Scene {
+impl CrashContext {
     /// How much the crash speaks against a task that was there.
     #[must_use]
     pub fn weight(&self) -> u32 {
@@ -98,7 +98,7 @@
 
 impl Suspect {
     /// Notes a crash under a run; a crash that was noted before changes nothing.
-    pub fn note(&mut self, victim: &Victim) {
+    pub fn note(&mut self, victim: &LostRun) {
         // What is told late may have come first.
         let Err(place) = self.crashed.binary_search(&victim.run.number) else {
             return;
@@ -125,7 +125,7 @@
 
     /// Whether no start is left, where the newest run has this number.
     #[must_use]
-    pub fn is_spent(&self, last: u32) -> bool {
+    pub fn has_no_starts_left(&self, last: u32) -> bool {
         let third = self.crashed.get(CRASHES_MAX - 1);
         third.is_some_and(|third| last >= third + STARTS_AFTER)
     }
@@ -133,7 +133,7 @@
     /// Whether a crash while it was tried alone convicts it: two are certain, and it came as the
     /// earlier ones did or there were enough of them.
     #[must_use]
-    fn is_convicted(&self, victim: &Victim) -> bool {
+    fn is_convicted(&self, victim: &LostRun) -> bool {
         let oldest = Duration::from_millis(u64::from(self.oldest));
         let age = Duration::from_millis(u64::from(victim.age));
         let alike = age.abs_diff(oldest) <= oldest / ALIKE_SHARE + ALIKE_MARGIN;
@@ -144,11 +144,11 @@
 
 /// The task that is to blame for a crash that has no cause outside of the tasks, if that is
 /// known: the only one there that was strongly suspected before.
-pub fn judge<'a>(victims: &[Victim], known: impl Fn(Task) -> Option<&'a Suspect>) -> Option<Task> {
+pub fn find_culprit<'a>(victims: &[LostRun], known: impl Fn(Task) -> Option<&'a Suspect>) -> Option<Task> {
     let strong = victims
         .iter()
         .filter_map(|victim| Some((victim, known(victim.run.task).filter(|it| it.is_strong())?)));
-    let strong: Vec<(&Victim, &Suspect)> = strong.collect();
+    let strong: Vec<(&LostRun, &Suspect)> = strong.collect();
     let [(victim, suspect)] = strong[..] else {
         return None;
     };
--- a/ashtiller/src/workflow/book.rs
+++ b/ashtiller/src/workflow/book.rs
@@ -9,12 +9,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::workflow::blame::{Suspect, Victim};
-use crate::workflow::fact::{End, Fact, Outcome, Run, Task};
-use crate::workflow::interference::Lesson;
+use crate::workflow::blame::{Suspect, LostRun};
+use crate::workflow::fact::{End, LogRecord, Outcome, Run, Task};
+use crate::workflow::interference::LearnedFactor;
 use crate::workflow::job::{Job, Policy};
-use crate::workflow::life::Life;
-use crate::workflow::state::{JobState, Live, StepState, TaskState};
+use crate::workflow::life::Incarnation;
+use crate::workflow::state::{JobState, PlacedRun, StepState, TaskState};
 
 /// What a fact changed beyond the book's own numbers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -27,13 +27,13 @@
 
 /// Every job of one log.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Book {
+pub struct LogState {
     /// Number of the next job.
     pub next: u32,
     /// Jobs by number.
     pub jobs: BTreeMap<u32, JobState>,
     /// What was learned about images that disturb each other.
-    pub lessons: Vec<Lesson>,
+    pub lessons: Vec<LearnedFactor>,
     /// Machines that have had their upkeep, by wave.
     pub upkept: BTreeSet<(u64, Arc<str>)>,
     /// Waves of upkeep that are over.
@@ -53,7 +53,7 @@
     ended: BTreeMap<u32, Duration>,
 }
 
-impl Book {
+impl LogState {
     /// Rebuilds what a snapshot leaves out.
     pub fn index(&mut self, now: Duration) {
         for (number, job) in &self.jobs {
@@ -83,11 +83,11 @@
 
     /// Opens the times of jobs that are due at `wall` milliseconds since the Unix epoch;
     /// true when there were any.
-    pub fn open_rounds(&mut self, wall: u64) -> bool {
+    pub fn open_due_occurrences(&mut self, wall: u64) -> bool {
         let mut opened = false;
         for number in &self.scheduled {
             if let Some(job) = self.jobs.get_mut(number) {
-                opened |= job.open_rounds(wall);
+                opened |= job.open_due_occurrences(wall);
             }
         }
         opened
@@ -117,7 +117,7 @@
     /// Whether the end of a run that is not going on any more changes something: a worker
     /// may tell it after the run was given up as lost.
     #[must_use]
-    pub fn counts_late(&self, run: Run, end: End) -> bool {
+    pub fn late_end_matters(&self, run: Run, end: End) -> bool {
         let Some((job, task)) = self.task(run.task) else {
             return false;
         };
@@ -132,29 +132,29 @@
     }
 
     /// Applies one fact.
-    pub fn apply(&mut self, fact: &Fact, now: Duration) -> Effect {
+    pub fn apply(&mut self, fact: &LogRecord, now: Duration) -> Effect {
         match fact {
-            Fact::Accepted(job, policy, wall) => self.accept(job, policy, *wall),
-            Fact::Cancelled(number) => return self.close(*number, Outcome::Cancelled, now),
-            Fact::Failed(number) => return self.close(*number, Outcome::Failed, now),
-            Fact::Placed(run, worker, saved) => self.place(*run, worker, saved),
-            Fact::Ended(run, end, saved) => return self.end(*run, *end, saved, now),
-            Fact::Forgotten(number) => self.forget(*number),
-            Fact::Upkept(wave, machine) => {
+            LogRecord::Accepted(job, policy, wall) => self.accept(job, policy, *wall),
+            LogRecord::Cancelled(number) => return self.close(*number, Outcome::Cancelled, now),
+            LogRecord::Failed(number) => return self.close(*number, Outcome::Failed, now),
+            LogRecord::Placed(run, worker, saved) => self.place(*run, worker, saved),
+            LogRecord::Ended(run, end, saved) => return self.end(*run, *end, saved, now),
+            LogRecord::Forgotten(number) => self.forget(*number),
+            LogRecord::Upkept(wave, machine) => {
                 self.upkept.insert((*wave, machine.clone()));
             }
-            Fact::WaveOver(wave) => {
+            LogRecord::WaveOver(wave) => {
                 self.waves_over.insert(*wave);
                 self.upkept.retain(|(other, _)| other != wave);
             }
-            Fact::Learned(lessons) => self.lessons.clone_from(lessons),
-            Fact::Cleared(epoch) => self.cleared = self.cleared.max(*epoch),
-            Fact::Crashed(_, victims) => {
+            LogRecord::Learned(lessons) => self.lessons.clone_from(lessons),
+            LogRecord::Cleared(epoch) => self.cleared = self.cleared.max(*epoch),
+            LogRecord::Crashed(_, victims) => {
                 for victim in victims {
                     self.suspect_task(victim);
                 }
             }
-            Fact::Absolved(task) => {
+            LogRecord::Absolved(task) => {
                 self.suspects.remove(task);
             }
         }
@@ -173,7 +173,7 @@
     }
 
     /// A worker crashed under a run of a task that may be started again.
-    fn suspect_task(&mut self, victim: &Victim) {
+    fn suspect_task(&mut self, victim: &LostRun) {
         let task = victim.run.task;
         let open = |(job, state): (&JobState, &TaskState)| job.outcome.is_none() && !state.done;
         if self.task(task).is_some_and(open) {
@@ -208,7 +208,7 @@
         self.jobs.insert(number, state);
     }
 
-    fn place(&mut self, run: Run, worker: &Life, saved: &Arc<str>) {
+    fn place(&mut self, run: Run, worker: &Incarnation, saved: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else {
             return;
         };
@@ -225,7 +225,7 @@
         if !saved.is_empty() {
             task.saved = saved.clone();
         }
-        task.live.push(Live {
+        task.live.push(PlacedRun {
             number: run.number,
             worker: worker.clone(),
         });
@@ -235,7 +235,7 @@
 
     fn end(&mut self, run: Run, end: End, saved: &Arc<str>, now: Duration) -> Effect {
         let number = run.task.job;
-        if !self.is_live(run) && !self.counts_late(run, end) {
+        if !self.is_live(run) && !self.late_end_matters(run, end) {
             return Effect::None;
         }
         let Some(job) = self.jobs.get_mut(&number) else {
--- a/ashtiller/src/workflow/config.rs
+++ b/ashtiller/src/workflow/config.rs
@@ -10,7 +10,7 @@
 
 use crate::resources::Resources;
 use crate::workflow::job::Policy;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 use crate::workflow::machines::Wave;
 
 /// A queue of jobs, found by the host and path of a client's call.
@@ -73,9 +73,9 @@
 
 /// A worker's life as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedWorker {
     /// This life.
-    pub life: Life,
+    pub life: Incarnation,
     /// Machine that it is a life of, if the platform says.
     pub machine: Option<Arc<str>>,
     /// Service.
@@ -96,7 +96,7 @@
 
 /// One of the operators' entries.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Operated {
+pub enum OperatorEntry {
     /// The configuration.
     Config(Config),
     /// A wave of upkeep.
@@ -106,7 +106,7 @@
 }
 
 /// Decodes what the platform keeps in the store.
-pub trait Dialect: Send + Sync {
+pub trait PlatformCodec: Send + Sync {
     /// Prefix of the workers' entries.
     fn worker_prefix(&self) -> &'static str;
 
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     /// What cannot be read in it.
-    fn worker(&self, key: &str, value: &[u8]) -> anyhow::Result<Listed>;
+    fn worker(&self, key: &str, value: &[u8]) -> anyhow::Result<ListedWorker>;
 
     /// Prefix of the operators' entries.
     fn operator_prefix(&self) -> &'static str;
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// What cannot be read in it.
-    fn operated(&self, key: &str, value: &[u8]) -> anyhow::Result<Operated>;
+    fn operated(&self, key: &str, value: &[u8]) -> anyhow::Result<OperatorEntry>;
 
     /// The availability zone that the operators' entry with this key evacuates, if any. It holds
     /// whatever its value is.
--- a/ashtiller/src/workflow/core/adopt.rs
+++ b/ashtiller/src/workflow/core/adopt.rs
@@ -6,26 +6,26 @@
 use crate::workflow::core::{Core, Now, lives, share_of};
 use crate::workflow::fact::{Run, Task};
 use crate::workflow::job::Step;
-use crate::workflow::life::Life;
-use crate::workflow::live::{LiveRun, Reason, Stage};
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{LiveRun, StopReason, Stage};
 use crate::workflow::state::JobState;
 
 /// Runs of earlier owners by the life of their worker, until that is listed.
 #[derive(Debug, Default)]
-pub(super) struct Adopted(BTreeMap<Life, Vec<Run>>);
+pub(super) struct Adopted(BTreeMap<Incarnation, Vec<Run>>);
 
 impl Adopted {
-    fn add(&mut self, life: &Life, run: Run) {
+    fn add(&mut self, life: &Incarnation, run: Run) {
         self.0.entry(life.clone()).or_default().push(run);
     }
 
     /// Lives with such runs of the worker with this id.
-    pub fn find_kin(&self, id: &str) -> Vec<Life> {
+    pub fn find_kin(&self, id: &str) -> Vec<Incarnation> {
         lives::find_kin(&self.0, id)
     }
 
     /// Takes out the runs of a life.
-    pub fn take(&mut self, life: &Life) -> Vec<Run> {
+    pub fn take(&mut self, life: &Incarnation) -> Vec<Run> {
         self.0.remove(life).unwrap_or_default()
     }
 
@@ -38,10 +38,10 @@
 /// A run in the log, with what is to become of it.
 struct Found {
     run: Run,
-    worker: Life,
+    worker: Incarnation,
     saved: Arc<str>,
     /// Why it is not to go on, if so.
-    over: Option<Reason>,
+    over: Option<StopReason>,
 }
 
 impl Core {
@@ -95,8 +95,8 @@
                 // A copy of a task that is done may never have been started, and must
                 // not be now.
                 let over = match (job.outcome, task.done) {
-                    (Some(_), _) => Some(Reason::Over),
-                    (None, true) => Some(Reason::Copied),
+                    (Some(_), _) => Some(StopReason::Over),
+                    (None, true) => Some(StopReason::Copied),
                     (None, false) => None,
                 };
                 found.extend(task.live.iter().map(|live| Found {
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -10,7 +10,7 @@
 use crate::workflow::core::{Core, Effect, Now, fleet};
 use crate::workflow::fact::Task;
 use crate::workflow::job::Advice;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// Workers named in one question. The platform allows 100 and its users count 30.
 const NAMED_MAX: usize = 30;
@@ -43,7 +43,7 @@
     /// The step that is to run.
     pub key: StepKey,
     /// Workers that are asked for.
-    pub workers: Vec<Life>,
+    pub workers: Vec<Incarnation>,
     /// When it was asked.
     pub asked_at: Duration,
     /// Time for the answer.
@@ -54,11 +54,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Advised {
     /// Workers that may run it.
-    good: BTreeMap<Life, (Arc<str>, Duration)>,
+    good: BTreeMap<Incarnation, (Arc<str>, Duration)>,
     /// Workers that may not, for good.
-    bad: BTreeSet<Life>,
+    bad: BTreeSet<Incarnation>,
     /// Workers that are asked for now.
-    asked: BTreeSet<Life>,
+    asked: BTreeSet<Incarnation>,
     retry: Duration,
     /// Whether the last question was not answered.
     late: bool,
@@ -66,7 +66,7 @@
 
 impl Core {
     /// Tickets that hold for a step.
-    pub(super) fn tickets(&self, task: Task, now: Now) -> BTreeMap<Life, Arc<str>> {
+    pub(super) fn tickets(&self, task: Task, now: Now) -> BTreeMap<Incarnation, Arc<str>> {
         let Some(advised) = self.advised.get(&(task.job, task.time, task.step)) else {
             return BTreeMap::new();
         };
@@ -80,7 +80,7 @@
     }
 
     /// Whether the advisor has said that a step may not run on a worker.
-    pub(super) fn is_forbidden(&self, step: StepKey, worker: &Life) -> bool {
+    pub(super) fn is_forbidden(&self, step: StepKey, worker: &Incarnation) -> bool {
         let advised = self.advised.get(&step);
         advised.is_some_and(|advised| advised.bad.contains(worker))
     }
@@ -105,7 +105,7 @@
             return;
         }
         let (bad, good) = (advised.bad.clone(), advised.good.clone());
-        let fresh = |id: &Life| {
+        let fresh = |id: &Incarnation| {
             good.get(id)
                 .is_some_and(|(_, until)| *until > now.at + TICKET_MARGIN)
         };
@@ -127,7 +127,7 @@
             (!known, std::cmp::Reverse(candidate.free.processors))
         });
         likely.truncate(NAMED_MAX.min(tasks * NAMED_EACH).max(1));
-        let workers: Vec<Life> = likely
+        let workers: Vec<Incarnation> = likely
             .iter()
             .map(|candidate| candidate.id.clone())
             .collect();
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::workflow::blame::{self, Scene, Suspect, Victim};
+use crate::workflow::blame::{self, CrashContext, Suspect, LostRun};
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::crash_record::{Crash, is_near};
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{Fact, Run, Task};
-use crate::workflow::life::Life;
+use crate::workflow::fact::{LogRecord, Run, Task};
+use crate::workflow::life::Incarnation;
 use crate::workflow::live::{LiveRun, Stage};
 use crate::workflow::worker::Worker;
 
@@ -57,7 +57,7 @@
 
 impl Core {
     /// Records a crash of a worker; the result is the task that is to blame, if it is known.
-    pub(super) fn note_crash(&mut self, id: &Life, now: Now) -> Option<Task> {
+    pub(super) fn note_crash(&mut self, id: &Incarnation, now: Now) -> Option<Task> {
         let worker = self.workers.get(id)?;
         let at = worker.missed.unwrap_or(now.at);
         let unseen = !worker.fenced && worker.runs.is_empty();
@@ -74,7 +74,7 @@
         let live = live.filter(|(_, live)| live.sent > 0);
         // What another life has begun was not there.
         let live = live.filter(|(_, live)| !live.astray || live.began.is_some());
-        let victims: Vec<Victim> = live
+        let victims: Vec<LostRun> = live
             .map(|(run, live)| self.charge(run, live, worker, &others, now))
             .collect();
         let begun = self.begun_steps(worker, at);
@@ -93,7 +93,7 @@
         self.counts.crashes += 1;
         let suspects = self.book.suspects();
         let known = |task| suspects.get(&task);
-        let guilty = alone.then(|| blame::judge(&victims, known)).flatten();
+        let guilty = alone.then(|| blame::find_culprit(&victims, known)).flatten();
         tracing::warn!(
             worker = %id,
             runs = victims.len(),
@@ -105,7 +105,7 @@
             "worker crashed"
         );
         if !victims.is_empty() {
-            self.record(Fact::Crashed(id.clone(), victims), now);
+            self.record(LogRecord::Crashed(id.clone(), victims), now);
         }
         guilty
     }
@@ -127,14 +127,14 @@
         worker: &Worker,
         others: &Others,
         now: Now,
-    ) -> Victim {
+    ) -> LostRun {
         let at = others.at;
         // One that was silent at first may have gone on until its connections broke.
         let latest = worker.broke.unwrap_or(now.at);
         // When an earlier owner's run began is not known.
         let known = live.placed > self.began || worker.fenced;
         let age = at.saturating_sub(live.placed);
-        let scene = Scene {
+        let scene = CrashContext {
             age: match live.began {
                 _ if !known => Duration::MAX,
                 Some(_) => age,
@@ -145,7 +145,7 @@
             many: others.many || is_dark(worker),
             alike: self.has_begun_on_others(step_of(run), worker, others),
         };
-        Victim {
+        LostRun {
             run,
             age: if known { millis(age) } else { 0 },
             weight: scene.weight(),
@@ -170,7 +170,7 @@
     }
 
     /// Workers that went together with one.
-    fn find_others(&self, id: &Life, at: Duration, now: Now) -> Others {
+    fn find_others(&self, id: &Incarnation, at: Duration, now: Now) -> Others {
         let mut together = 0;
         let mut untried = 0;
         for crash in self.crashes.near(at) {
@@ -205,7 +205,7 @@
                 .then(|| live.worker.clone())
         };
         let runs = self.runs_of_step(step);
-        let silent: BTreeSet<Life> = runs.filter_map(|(_, live)| silent(live)).collect();
+        let silent: BTreeSet<Incarnation> = runs.filter_map(|(_, live)| silent(live)).collect();
         crashed + silent.len() >= ALIKE
     }
 
@@ -224,17 +224,17 @@
 
     /// Runs were lost without word of their worker: its lease is over, or no list names it any
     /// more. It may have crashed, so that counts where starts are bounded, and little else.
-    pub(super) fn suspect_lost(&mut self, id: &Life, lost: &[Run], now: Now) {
+    pub(super) fn suspect_lost(&mut self, id: &Incarnation, lost: &[Run], now: Now) {
         let sent = |run: &&Run| self.runs.get(run).is_some_and(|live| live.sent > 0);
-        let victims = lost.iter().filter(sent).map(|run| Victim {
+        let victims = lost.iter().filter(sent).map(|run| LostRun {
             run: *run,
             age: 0,
             weight: blame::LIGHT,
             begun: false,
         });
-        let victims: Vec<Victim> = victims.collect();
+        let victims: Vec<LostRun> = victims.collect();
         if !victims.is_empty() {
-            self.record(Fact::Crashed(id.clone(), victims), now);
+            self.record(LogRecord::Crashed(id.clone(), victims), now);
         }
     }
 
@@ -251,7 +251,7 @@
             "job given up: workers crash under one of its tasks");
         self.counts.convicted += 1;
         self.crashes.forget_task(task);
-        self.record(Fact::Failed(task.job), now);
+        self.record(LogRecord::Failed(task.job), now);
     }
 
     /// Gives up a job if one of its tasks has used up its starts.
@@ -265,7 +265,7 @@
     pub(super) fn is_spent(&self, task: Task) -> bool {
         let suspect = self.book.suspects().get(&task);
         let last = self.book.task(task).map_or(0, |(_, state)| state.last);
-        suspect.is_some_and(|suspect| suspect.is_spent(last))
+        suspect.is_some_and(|suspect| suspect.has_no_starts_left(last))
     }
 
     /// Clears tasks whose runs have lived for longer than at any crash before.
@@ -276,7 +276,7 @@
         for task in living {
             tracing::info!(%task, "task is not suspected any more: its run lives on");
             self.counts.absolved += 1;
-            self.record(Fact::Absolved(task), now);
+            self.record(LogRecord::Absolved(task), now);
             self.dirty = true;
         }
     }
--- a/ashtiller/src/workflow/core/entries.rs
+++ b/ashtiller/src/workflow/core/entries.rs
@@ -4,8 +4,8 @@
 
 use crate::workflow::book;
 use crate::workflow::core::{Core, Effect, Now, Then};
-use crate::workflow::fact::Fact;
-use crate::workflow::life::Life;
+use crate::workflow::fact::LogRecord;
+use crate::workflow::life::Incarnation;
 
 /// Time after which what waits is looked at again although nothing happened.
 const REPLAN: Duration = Duration::from_millis(200);
@@ -62,7 +62,7 @@
     }
 
     /// Ends of a worker up to this number are in the log.
-    fn acknowledge(&mut self, id: &Life, number: u64, now: Now) {
+    fn acknowledge(&mut self, id: &Incarnation, number: u64, now: Now) {
         let pause = self.terms.pause;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -113,7 +113,7 @@
         };
         for number in self.book.ended_before(limit) {
             if self.book.jobs.get(&number).is_some_and(|job| job.live == 0) {
-                self.record(Fact::Forgotten(number), now);
+                self.record(LogRecord::Forgotten(number), now);
             }
         }
     }
@@ -126,12 +126,12 @@
         self.taught = now.at;
         let lessons = self.interference.export();
         if !lessons.is_empty() {
-            self.record(Fact::Learned(lessons), now);
+            self.record(LogRecord::Learned(lessons), now);
         }
     }
 
     /// Applies a fact and puts it into the next entry.
-    pub(super) fn record(&mut self, fact: Fact, now: Now) {
+    pub(super) fn record(&mut self, fact: LogRecord, now: Now) {
         let effect = self.book.apply(&fact, now.at);
         self.pending.push(fact);
         if let book::Effect::Ended(number, outcome) = effect {
--- a/ashtiller/src/workflow/core/evacuation.rs
+++ b/ashtiller/src/workflow/core/evacuation.rs
@@ -9,7 +9,7 @@
 use crate::workflow::core::{Core, Now};
 use crate::workflow::evacuations::Zones;
 use crate::workflow::fact::Run;
-use crate::workflow::live::{Reason, Stage, Stop};
+use crate::workflow::live::{StopReason, Stage, Stop};
 use crate::workflow::relay;
 use crate::workflow::worker::Worker;
 
@@ -101,7 +101,7 @@
             tracing::info!(task = %run.task, run = run.number,
                 age_ms = self.evacuation_age(now).unwrap_or_default().as_millis(),
                 "start is withdrawn: the availability zone is evacuated");
-            self.want_stop(run, Reason::Evacuated);
+            self.want_stop(run, StopReason::Evacuated);
         }
     }
 }
--- a/ashtiller/src/workflow/core/fences.rs
+++ b/ashtiller/src/workflow/core/fences.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::workflow::core::{Core, Now};
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// Time after a fence rose for which answers to calls of before come.
 const SETTLES: Duration = Duration::from_secs(3);
@@ -46,12 +46,12 @@
     }
 
     /// The fence of calls to a worker.
-    pub fn of(&self, life: &Life) -> u64 {
+    pub fn of(&self, life: &Incarnation) -> u64 {
         let raised = self.raised.get(life.id());
         raised.map_or(self.least, |it| it.fence.max(self.least))
     }
 
-    fn raise(&mut self, life: &Life, now: Duration) {
+    fn raise(&mut self, life: &Incarnation, now: Duration) {
         if self.newest <= self.of(life) {
             return;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Whether calls to a worker may be under way that its risen fence keeps out.
-    fn is_settling(&self, life: &Life, now: Duration) -> bool {
+    fn is_settling(&self, life: &Incarnation, now: Duration) -> bool {
         let raised = self.raised.get(life.id());
         raised.is_some_and(|it| now < it.at + SETTLES)
     }
@@ -81,13 +81,13 @@
     }
 
     /// A call to a worker failed, or was answered by another life than the one that was meant.
-    pub(super) fn raise_fence(&mut self, life: &Life, now: Now) {
+    pub(super) fn raise_fence(&mut self, life: &Incarnation, now: Now) {
         self.fences.raise(life, now.at);
     }
 
     /// A worker knows a higher fence than that of a call: a later owner's, or one of this owner
     /// that passed the call on its way.
-    pub(super) fn take_fenced(&mut self, life: &Life, now: Now) {
+    pub(super) fn take_fenced(&mut self, life: &Incarnation, now: Now) {
         self.superseded |= !self.fences.is_settling(life, now.at);
     }
 }
--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -9,10 +9,10 @@
 use crate::workflow::core::gate::Gate;
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::{Run, Task};
-use crate::workflow::interference::{Beside, Image, Interference};
+use crate::workflow::interference::{NeighborFill, Image, Interference};
 use crate::workflow::job::Step;
-use crate::workflow::life::Life;
-use crate::workflow::live::Share;
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::RunSharing;
 use crate::workflow::switches::Switches;
 use crate::workflow::worker::Worker;
 
@@ -55,15 +55,15 @@
 
 /// Workers summed up earlier, until something changes there: in one round of placing
 /// a tenth of a large fleet has changed.
-pub(super) type Summaries = HashMap<Life, Candidate>;
+pub(super) type Summaries = HashMap<Incarnation, Candidate>;
 
 /// Runs of one step on each worker.
-pub(super) type Spread = BTreeMap<Life, u32>;
+pub(super) type Spread = BTreeMap<Incarnation, u32>;
 
 /// A worker that may get something now.
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
-    pub id: Life,
+    pub id: Incarnation,
     pub service: Arc<str>,
     pub free: Resources,
     whole: Resources,
@@ -125,16 +125,16 @@
 pub(super) struct Wish<'a> {
     pub service: &'a Arc<str>,
     pub step: &'a Step,
-    pub share: Share,
+    pub share: RunSharing,
     pub room: Resources,
     /// Workers on which it failed before.
-    pub failed_on: BTreeSet<Life>,
+    pub failed_on: BTreeSet<Incarnation>,
     /// Runs of the same step on each worker.
     pub spread: Spread,
     /// Workers that the advisor lets run it, where one is asked.
-    pub advised: Option<&'a BTreeMap<Life, Arc<str>>>,
+    pub advised: Option<&'a BTreeMap<Incarnation, Arc<str>>>,
     /// A worker that is kept for another task.
-    pub barred: Option<Life>,
+    pub barred: Option<Incarnation>,
     /// Whether workers crashed under the task.
     pub suspect: bool,
     /// How selective a run that fills is about services beside it, from 0 to 1.
@@ -208,17 +208,17 @@
         for live in worker.runs.iter().filter_map(|run| self.runs.get(run)) {
             candidate.youngest = candidate.youngest.max(Some(live.placed));
             match live.share {
-                Share::Apart => candidate.busy += live.asked,
-                Share::Serves(..) => {}
-                Share::Fills(image) => {
+                RunSharing::Apart => candidate.busy += live.asked,
+                RunSharing::Serves(..) => {}
+                RunSharing::Fills(image) => {
                     candidate.filled += live.asked;
                     let share = live.asked / whole;
-                    beside.push(Beside { image, share });
+                    beside.push(NeighborFill { image, share });
                 }
             }
         }
         for live in worker.runs.iter().filter_map(|run| self.runs.get(run)) {
-            if let Share::Serves(image, _) = live.share {
+            if let RunSharing::Serves(image, _) = live.share {
                 let own = live.headroom.map_or(1.0, |own| own.min(1.0));
                 candidate.busy += live.asked * (1.0 - IDLE_SHARE * own);
                 let taken = self.interference.pressure(image, &beside);
@@ -359,12 +359,12 @@
             .plus(&wish.room)
             .share_of(&self.whole);
         match wish.share {
-            Share::Fills(image) => {
+            RunSharing::Fills(image) => {
                 cost += self.fill_cost(image, asked(wish.step), wish.selective, known, on);
             }
             // Services of one image on a worker bear the same fills; full workers leave
             // others free.
-            Share::Serves(image, _) => {
+            RunSharing::Serves(image, _) => {
                 let same = self
                     .serving
                     .iter()
@@ -378,7 +378,7 @@
                     cost -= if same > 0 { SAME_WORTH } else { 0.0 };
                 }
             }
-            Share::Apart => cost -= PACK_COST * used,
+            RunSharing::Apart => cost -= PACK_COST * used,
         }
         cost
     }
@@ -424,12 +424,12 @@
         self.suspects += u32::from(wish.suspect);
         let asked = asked(wish.step);
         match wish.share {
-            Share::Apart => self.busy += asked,
-            Share::Serves(image, _) => {
+            RunSharing::Apart => self.busy += asked,
+            RunSharing::Serves(image, _) => {
                 self.busy += asked * (1.0 - IDLE_SHARE);
                 self.serving.push((image, 1.0 - known.floor(image)));
             }
-            Share::Fills(image) => {
+            RunSharing::Fills(image) => {
                 self.filled += asked;
                 self.filling += 1;
                 let share = asked / self.processors();
--- a/ashtiller/src/workflow/core/intake.rs
+++ b/ashtiller/src/workflow/core/intake.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use crate::workflow::core::{Core, Effect, Now, Then, Ticket};
-use crate::workflow::fact::{Fact, Outcome, Run};
+use crate::workflow::fact::{LogRecord, Outcome, Run};
 use crate::workflow::job::{Job, Sharing, Step};
 use crate::workflow::live::Stage;
 use crate::workflow::message::{Reply, State};
@@ -45,7 +45,7 @@
             tracing::info!(job = %job.id, number, queue = %job.queue, steps = %Shape(&job),
                 position = self.position, config = self.config.version, "job accepted");
             self.recording.insert(number, self.position);
-            self.record(Fact::Accepted(Box::new(job), policy, now.wall), now);
+            self.record(LogRecord::Accepted(Box::new(job), policy, now.wall), now);
             self.counts.accepted += 1;
             self.dirty = true;
             for ticket in tickets {
@@ -98,7 +98,7 @@
         if self.book.jobs[&number].outcome.is_none() {
             tracing::info!(job = id, number, position = self.position, "job cancelled");
             self.recording.insert(number, self.position);
-            self.record(Fact::Cancelled(number), now);
+            self.record(LogRecord::Cancelled(number), now);
             self.dirty = true;
         }
         let position = self.recording.get(&number).copied().unwrap_or(0);
--- a/ashtiller/src/workflow/core/line.rs
+++ b/ashtiller/src/workflow/core/line.rs
@@ -4,9 +4,9 @@
 
 use crate::workflow::core::{Core, Now, SWEEP};
 use crate::workflow::fact::Run;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 use crate::workflow::live::{LiveRun, Stage, Stop};
-use crate::workflow::worker::{Class, Rank, Worker};
+use crate::workflow::worker::{OrderClass, Rank, Worker};
 
 /// Orders under way to one worker; more would open more connections.
 const ORDERS_MAX: u32 = 1;
@@ -19,7 +19,7 @@
 impl Core {
     /// Sends the orders that are due, as many as may be under way.
     pub(super) fn drive_orders(&mut self, now: Now) {
-        let free = self.pressure.free();
+        let free = self.pressure.available_slots();
         if free == 0 {
             self.pressure.note_limit(now.at);
             return;
@@ -50,7 +50,7 @@
         // Ranked anew each time, 26,000 runs that waited took more of an owner's processor
         // time than it had: 20 to 30 ms each 20 ms.
         let stale = waiting.filter(|worker| worker.rank(now.at).is_none());
-        let stale: Vec<Life> = stale.map(|worker| worker.life().clone()).collect();
+        let stale: Vec<Incarnation> = stale.map(|worker| worker.life().clone()).collect();
         for life in stale {
             let (rank, until) = self.rank_worker(&life, now);
             if let Some(worker) = self.workers.get_mut(&life) {
@@ -58,7 +58,7 @@
             }
         }
         let ranked = self.workers.values().filter(waits);
-        let mut ranked: Vec<(Rank, &Life)> = ranked
+        let mut ranked: Vec<(Rank, &Incarnation)> = ranked
             .filter_map(|worker| Some((worker.rank(now.at)?, worker.life())))
             .collect();
         // More than may go out, since some turn out to have nothing.
@@ -73,8 +73,8 @@
 
     /// What a worker's next order protects, and since when it waits; and until when that holds
     /// if nothing happens.
-    fn rank_worker(&self, id: &Life, now: Now) -> (Rank, Duration) {
-        let mut rank = (Class::Nothing, now.at);
+    fn rank_worker(&self, id: &Incarnation, now: Now) -> (Rank, Duration) {
+        let mut rank = (OrderClass::Nothing, now.at);
         let mut until = Duration::MAX;
         for run in &self.workers[id].runs {
             let Some(live) = self.runs.get(run).filter(|live| !live.ordering) else {
@@ -90,24 +90,24 @@
     }
 
     /// What the next order about a run protects.
-    fn class_of(&self, run: Run, live: &LiveRun) -> Class {
+    fn class_of(&self, run: Run, live: &LiveRun) -> OrderClass {
         match (live.stop, live.stage) {
-            (Stop::Wanted(_), _) => Class::Stop,
-            (Stop::None, Stage::Recorded(position)) if position > self.durable => Class::Nothing,
+            (Stop::Wanted(_), _) => OrderClass::Stop,
+            (Stop::None, Stage::Recorded(position)) if position > self.durable => OrderClass::Nothing,
             (Stop::None, Stage::Recorded(_) | Stage::Starting) => {
                 let step = self
                     .book
                     .task(run.task)
                     .and_then(|(job, _)| job.step(run.task));
                 if step.is_some_and(|step| step.lasting) {
-                    Class::StartLasting
+                    OrderClass::StartLongRunning
                 } else {
-                    Class::Start
+                    OrderClass::Start
                 }
             }
-            (Stop::None, Stage::Started(_)) if live.pace_goal < live.pace => Class::Relieve,
-            (Stop::None, Stage::Started(_)) if live.pace_goal > live.pace => Class::Pace,
-            (Stop::Confirmed(_), _) | (Stop::None, Stage::Started(_)) => Class::Nothing,
+            (Stop::None, Stage::Started(_)) if live.pace_goal < live.pace => OrderClass::Relieve,
+            (Stop::None, Stage::Started(_)) if live.pace_goal > live.pace => OrderClass::Pace,
+            (Stop::Confirmed(_), _) | (Stop::None, Stage::Started(_)) => OrderClass::Nothing,
         }
     }
 }
--- a/ashtiller/src/workflow/core/lives.rs
+++ b/ashtiller/src/workflow/core/lives.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use crate::workflow::agents::Order;
-use crate::workflow::config::Listed;
+use crate::workflow::config::ListedWorker;
 use crate::workflow::core::{Core, Effect, Now, Then};
 use crate::workflow::fact::{End, Run};
 use crate::workflow::lease;
-use crate::workflow::life::Life;
-use crate::workflow::live::{LiveRun, Reason, Stage, Stop};
-use crate::workflow::worker::{LATE_MAX, Late, Worker};
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{LiveRun, StopReason, Stage, Stop};
+use crate::workflow::worker::{LATE_MAX, LateRun, Worker};
 
 /// Time for which an entry that names a life which is not there is passed over: long against
 /// the moment in which a new life is listed before it answers.
@@ -21,7 +21,7 @@
 const STRANGERS_MAX: usize = 1000;
 
 /// Lives of the worker with this id among others.
-pub(super) fn find_kin<T>(lives: &BTreeMap<Life, T>, id: &str) -> Vec<Life> {
+pub(super) fn find_kin<T>(lives: &BTreeMap<Incarnation, T>, id: &str) -> Vec<Incarnation> {
     let from = (Bound::Included(id), Bound::Unbounded);
     let near = lives.range::<str, _>(from).map(|(life, _)| life);
     let near = near.take_while(|life| life.as_str().starts_with(id));
@@ -30,13 +30,13 @@
 
 impl Core {
     /// Known lives of the worker with this id.
-    fn kin_of(&self, id: &str) -> Vec<Life> {
+    fn kin_of(&self, id: &str) -> Vec<Incarnation> {
         find_kin(&self.workers, id)
     }
 
     /// Whether an entry lacks the birth that its worker has. Another writer may have put it in
     /// the place of the worker's own, so it says nothing new of it.
-    pub(super) fn lacks_birth(&self, listed: &Listed) -> bool {
+    pub(super) fn lacks_birth(&self, listed: &ListedWorker) -> bool {
         let kin = || self.kin_of(listed.life.id());
         listed.life.born().is_none() && kin().iter().any(|life| life.born().is_some())
     }
@@ -49,15 +49,15 @@
     }
 
     /// Other lives of the worker or of the machine that an entry names, or at its address.
-    fn find_former_lives(&self, listed: &Listed) -> Vec<Life> {
-        let is_there = |life: &&Life| {
+    fn find_former_lives(&self, listed: &ListedWorker) -> Vec<Incarnation> {
+        let is_there = |life: &&Incarnation| {
             self.workers.get(*life).is_some_and(|worker| {
                 let same = listed.machine.is_some() && worker.listed.machine == listed.machine;
                 same || worker.listed.address == listed.address
             })
         };
         let there = self.places.find(listed).filter(is_there).cloned();
-        let mut former: Vec<Life> = there.chain(self.kin_of(listed.life.id())).collect();
+        let mut former: Vec<Incarnation> = there.chain(self.kin_of(listed.life.id())).collect();
         former.sort_unstable();
         former.dedup();
         former.retain(|life| *life != listed.life);
@@ -71,7 +71,7 @@
     }
 
     /// Ceases to know a life of a worker.
-    pub(super) fn remove_worker(&mut self, life: &Life) -> Option<Worker> {
+    pub(super) fn remove_worker(&mut self, life: &Incarnation) -> Option<Worker> {
         let worker = self.workers.remove(life)?;
         self.places.forget(&worker.listed);
         self.summaries.remove(life);
@@ -80,23 +80,23 @@
 
     /// Another life is listed where workers were: they are looked at. Anyone may have written
     /// the entry, so that it alone ends nothing.
-    pub(super) fn doubt_former_lives(&mut self, listed: &Listed, now: Now) {
+    pub(super) fn doubt_former_lives(&mut self, listed: &ListedWorker, now: Now) {
         for life in self.find_former_lives(listed) {
             if let Some(worker) = self.workers.get_mut(&life) {
                 worker.next_look = worker.next_look.min(now.at);
-                worker.replaced |= life.is_kin(&listed.life);
+                worker.replaced |= life.is_same_worker(&listed.life);
             }
         }
     }
 
     /// Runs of an earlier owner may be on a former life of a worker that is listed, which was
     /// over before this owner heard of it. A look tells.
-    pub(super) fn list_former_lives(&mut self, listed: &Listed, now: Now) {
+    pub(super) fn list_former_lives(&mut self, listed: &ListedWorker, now: Now) {
         for life in self.adopted.find_kin(listed.life.id()) {
             if self.workers.contains_key(&life) {
                 continue;
             }
-            let known = Listed {
+            let known = ListedWorker {
                 life: life.clone(),
                 ..listed.clone()
             };
@@ -109,13 +109,13 @@
     }
 
     /// Whether an entry names a life that was not found where it says, a moment ago.
-    pub(super) fn is_stranger(&self, listed: &Listed, now: Now) -> bool {
+    pub(super) fn is_stranger(&self, listed: &ListedWorker, now: Now) -> bool {
         let known = self.strangers.get(&listed.life);
         known.is_some_and(|(entry, until)| entry == listed && now.at < *until)
     }
 
     /// Another life answers for one whose entry is wrong, or older than what answers.
-    fn note_stranger(&mut self, life: &Life, now: Now) {
+    fn note_stranger(&mut self, life: &Incarnation, now: Now) {
         let Some(worker) = self.workers.get(life) else {
             return;
         };
@@ -131,11 +131,11 @@
     }
 
     /// Another life has answered for a worker; `next` when it said which.
-    pub(super) fn take_other_life(&mut self, life: &Life, next: Option<Life>, now: Now) {
+    pub(super) fn take_other_life(&mut self, life: &Incarnation, next: Option<Incarnation>, now: Now) {
         let Some(worker) = self.workers.get(life) else {
             return;
         };
-        let Some(next) = next.filter(|next| next.is_kin(life) && next != life) else {
+        let Some(next) = next.filter(|next| next.is_same_worker(life) && next != life) else {
             if !worker.fenced {
                 self.note_stranger(life, now);
             }
@@ -143,7 +143,7 @@
             return;
         };
         if !self.workers.contains_key(&next) {
-            let listed = Listed {
+            let listed = ListedWorker {
                 life: next.clone(),
                 draining: false,
                 remaining: None,
@@ -159,12 +159,12 @@
     }
 
     /// A worker that answers in a new life runs nothing of its former ones.
-    pub(super) fn end_former_lives(&mut self, life: &Life, now: Now) {
+    pub(super) fn end_former_lives(&mut self, life: &Incarnation, now: Now) {
         let Some(listed) = self.workers.get(life).map(|worker| worker.listed.clone()) else {
             return;
         };
         for former in self.find_former_lives(&listed) {
-            if former.is_kin(life) {
+            if former.is_same_worker(life) {
                 self.note_stranger(&former, now);
                 self.succeed(&former, life, now);
             } else {
@@ -174,7 +174,7 @@
     }
 
     /// A worker without births has started again: what it says is of another life.
-    pub(super) fn restart_in_place(&mut self, life: &Life, now: Now) {
+    pub(super) fn restart_in_place(&mut self, life: &Incarnation, now: Now) {
         let entry = |it: &Worker| (it.entered, it.absent, it.draining);
         let entry = self.workers.get(life).map(entry);
         self.succeed(life, life, now);
@@ -193,14 +193,14 @@
     /// Leases that were granted to a life that has just answered end by this time, those that were
     /// meant for the life before among them.
     fn answered_bound(&self, now: Now) -> Duration {
-        let bound = now.at + lease::stretch(self.terms.hold);
+        let bound = now.at + lease::worst_case_elapsed(self.terms.hold);
         bound.max(self.first_bound())
     }
 
     /// A worker has started again under its id. Nothing of its former life runs, but a start
     /// that was sent to it may still be carried out by the next, which the id alone does not
     /// keep from doing so: such runs are stopped there before their tasks start elsewhere.
-    fn succeed(&mut self, former: &Life, next: &Life, now: Now) {
+    fn succeed(&mut self, former: &Incarnation, next: &Incarnation, now: Now) {
         let Some(worker) = self.workers.get(former) else {
             return;
         };
@@ -240,7 +240,7 @@
             self.add_worker(Worker::new(old.listed.clone(), bound));
         }
         if let Some(worker) = self.workers.get_mut(next) {
-            worker.succeed(&mut old, self.terms.hold);
+            worker.take_over_from(&mut old, self.terms.hold);
         }
         for run in lost {
             self.end_run(run, End::Lost, &Arc::from(""), now);
@@ -265,7 +265,7 @@
         live.sent > 0 && (adopted || in_doubt || live.began.is_none())
     }
 
-    fn move_to_next(&mut self, run: Run, next: &Life, stop: bool) {
+    fn move_to_next(&mut self, run: Run, next: &Incarnation, stop: bool) {
         let Some(mut live) = self.runs.remove(&run) else {
             return;
         };
@@ -279,7 +279,7 @@
             live.stop = Stop::None;
         }
         if stop {
-            live.want_stop(Reason::Restarted);
+            live.want_stop(StopReason::Restarted);
         }
         self.runs.insert(run, live);
         self.seat(run, next);
@@ -296,19 +296,19 @@
         };
         if let Some(worker) = self.workers.get_mut(&live.worker) {
             worker.late.retain(|it| now.at < it.until);
-            worker.late.push(Late { run, name, until });
+            worker.late.push(LateRun { run, name, until });
         }
     }
 
     /// Stops at a life that answers for the first time what may still come for the one before.
-    pub(super) fn stop_late_starts(&mut self, life: &Life, now: Now) {
+    pub(super) fn stop_late_starts(&mut self, life: &Incarnation, now: Now) {
         let (limit, fence) = (self.order_limit(), self.fences.of(life));
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
         let late = std::mem::take(&mut worker.late);
         let target = worker.target(fence, limit);
-        for Late { run, name, .. } in late.into_iter().filter(|it| now.at < it.until) {
+        for LateRun { run, name, .. } in late.into_iter().filter(|it| now.at < it.until) {
             let order = Order::Stop(name, run.number);
             self.pressure.note_sent();
             self.effects.push(Effect::Order(target.clone(), run, order));
@@ -316,7 +316,7 @@
     }
 
     /// A worker's life is over: nothing of it runs.
-    pub(super) fn lose_worker(&mut self, life: &Life, cause: &str, now: Now) {
+    pub(super) fn lose_worker(&mut self, life: &Incarnation, cause: &str, now: Now) {
         let Some(worker) = self.workers.get(life) else {
             return;
         };
--- a/ashtiller/src/workflow/core/looks.rs
+++ b/ashtiller/src/workflow/core/looks.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::workflow::agents::{LOOK_LIMIT, Look};
+use crate::workflow::agents::{POLL_TIMEOUT_MIN, Poll};
 use crate::workflow::core::{Core, Effect, Now};
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 use crate::workflow::live::Stop;
-use crate::workflow::worker::{Looking, Worker};
+use crate::workflow::worker::{PendingPoll, Worker};
 
 /// Time between two searches for looks that are due, each through all workers.
 const LOOKS: Duration = Duration::from_millis(4);
@@ -33,7 +33,7 @@
             return;
         }
         self.looked = now.at;
-        let limit = self.pressure.patience(LOOK_LIMIT, LOOK_MOST);
+        let limit = self.pressure.timeout(POLL_TIMEOUT_MIN, LOOK_MOST);
         for life in self.collect_looks(now) {
             let Some(look) = self.prepare_look(&life, now) else {
                 continue;
@@ -46,9 +46,9 @@
 
     /// Workers at which a look is due: all that have answered this owner, and of the others as many
     /// as may be under way, those that have waited longest.
-    fn collect_looks(&self, now: Now) -> Vec<Life> {
+    fn collect_looks(&self, now: Now) -> Vec<Incarnation> {
         let due = self.workers.values();
-        let due = due.filter(|worker| worker.looking.is_none() && now.at >= worker.due_look());
+        let due = due.filter(|worker| worker.looking.is_none() && now.at >= worker.next_poll_due());
         let mut due: Vec<&Worker> = due.collect();
         let first = due.iter().filter(|worker| !worker.fenced).count();
         let most = (self.workers.len() / FIRST_SHARE).max(FIRST_MIN);
@@ -57,7 +57,7 @@
             let under_way = under_way.filter(|worker| !worker.fenced && worker.looking.is_some());
             let free = most.saturating_sub(under_way.count());
             if first > free {
-                due.sort_by_key(|worker| (!worker.fenced, worker.due_look()));
+                due.sort_by_key(|worker| (!worker.fenced, worker.next_poll_due()));
                 due.truncate(due.len() - first + free);
             }
         }
@@ -67,10 +67,10 @@
     }
 
     /// Notes that a worker is looked at now; the result is what it is asked.
-    fn prepare_look(&mut self, life: &Life, now: Now) -> Option<Look> {
+    fn prepare_look(&mut self, life: &Incarnation, now: Now) -> Option<Poll> {
         let renew = self.may_renew(now);
         // A service over its target must have relief within 4 s, so reports may be fewer.
-        let watch = if self.pressure.is_queued() {
+        let watch = if self.pressure.is_congested() {
             self.terms.wait / 2
         } else {
             self.terms.watch
@@ -108,18 +108,18 @@
         } else {
             0
         };
-        worker.looking = Some(Looking {
+        worker.looking = Some(PendingPoll {
             sent: now.at,
             wait,
             seen,
             fence,
             renews: until.is_some(),
         });
-        Some(Look { until, seen, wait })
+        Some(Poll { until, seen, wait })
     }
 
     /// A look was not answered; `broke` when its connection was refused or broke.
-    pub(super) fn miss_look(&mut self, id: &Life, broke: bool, now: Now) {
+    pub(super) fn miss_look(&mut self, id: &Incarnation, broke: bool, now: Now) {
         self.raise_fence(id, now);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -41,21 +41,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::workflow::agents::{Look, Order, Target};
-use crate::workflow::book::Book;
-use crate::workflow::config::{Config, Listed};
+use crate::workflow::agents::{Poll, Order, Target};
+use crate::workflow::book::LogState;
+use crate::workflow::config::{Config, ListedWorker};
 use crate::workflow::core::advice::{Advised, Question, StepKey};
 use crate::workflow::core::upkeep::Going;
-use crate::workflow::fact::{Fact, Outcome, Run};
+use crate::workflow::fact::{LogRecord, Outcome, Run};
 use crate::workflow::interference::Interference;
 use crate::workflow::job::{Job, Sharing, Step};
-use crate::workflow::life::Life;
-use crate::workflow::live::{LiveRun, Reason, Share};
-use crate::workflow::load::Track;
-use crate::workflow::machines::Duty;
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{LiveRun, StopReason, RunSharing};
+use crate::workflow::load::HeadroomHistory;
+use crate::workflow::machines::MachineOrder;
 use crate::workflow::message::Reply;
-use crate::workflow::pressure::Pressure;
-use crate::workflow::terms::Terms;
+use crate::workflow::pressure::Congestion;
+use crate::workflow::terms::Tuning;
 use crate::workflow::worker::Worker;
 
 /// Time between two looks through all workers for what is over.
@@ -78,15 +78,15 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Write an entry at this position of the log.
-    Append(u64, Vec<Fact>),
+    Append(u64, Vec<LogRecord>),
     /// Give a worker an order about a run.
     Order(Target, Run, Order),
     /// Look at a worker.
-    Look(Target, Look),
+    Look(Target, Poll),
     /// Ask the advisor which workers may run a step.
     Advise(Question),
     /// Give a machine an order.
-    Duty(Arc<str>, Duty),
+    Duty(Arc<str>, MachineOrder),
     /// Answer who waits.
     Answer(Ticket, Reply),
 }
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug)]
 enum Then {
     Answer(Ticket, Reply),
-    Acknowledge(Life, u64),
+    Acknowledge(Incarnation, u64),
 }
 
 /// Counts since this owner began.
@@ -133,10 +133,10 @@
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a state of its own")]
 pub struct Core {
-    terms: Terms,
+    terms: Tuning,
     epoch: u64,
-    book: Book,
-    workers: BTreeMap<Life, Worker>,
+    book: LogState,
+    workers: BTreeMap<Incarnation, Worker>,
     /// Where lives of workers were seen.
     places: places::Places,
     runs: BTreeMap<Run, LiveRun>,
@@ -144,7 +144,7 @@
     adopted: adopt::Adopted,
     config: Arc<Config>,
     arrivals: Vec<(Job, Vec<Ticket>)>,
-    pending: Vec<Fact>,
+    pending: Vec<LogRecord>,
     position: u64,
     in_flight: Option<(u64, Duration)>,
     durable: u64,
@@ -152,7 +152,7 @@
     proof: Duration,
     after: VecDeque<(u64, Then)>,
     recording: BTreeMap<u32, u64>,
-    recorded: BTreeSet<Life>,
+    recorded: BTreeSet<Incarnation>,
     dirty: bool,
     planned: Duration,
     /// Steps that waited in the last round of placing.
@@ -174,15 +174,15 @@
     effects: Vec<Effect>,
     advised: BTreeMap<StepKey, Advised>,
     waves: BTreeMap<u64, Going>,
-    tracks: BTreeMap<u32, Track>,
+    tracks: BTreeMap<u32, HeadroomHistory>,
     interference: Interference,
     summaries: fleet::Summaries,
     /// How much may be under way at workers.
-    pressure: Pressure,
+    pressure: Congestion,
     /// Whether answers waited in a queue when that was last looked at.
     queued: bool,
     /// Workers for which there is an order, as of `lined`.
-    line: VecDeque<Life>,
+    line: VecDeque<Incarnation>,
     lined: Duration,
     /// When looks that are due were last searched for.
     looked: Duration,
@@ -190,7 +190,7 @@
     passed_over: BTreeMap<StepKey, room::PassedOver>,
     reserved: Option<room::Reserved>,
     /// Workers whose runs have left room since the last round, while lasting steps wait.
-    freed: BTreeSet<Life>,
+    freed: BTreeSet<Incarnation>,
     /// When it was last said of a step that it waits.
     told: BTreeMap<StepKey, Duration>,
     /// When a step that is too late last went first.
@@ -201,7 +201,7 @@
     ended: Vec<times::Times>,
     taught: Duration,
     /// Entries that name a life which is not there, passed over until then.
-    strangers: BTreeMap<Life, (Listed, Duration)>,
+    strangers: BTreeMap<Incarnation, (ListedWorker, Duration)>,
     /// Crashes of workers a moment ago.
     crashes: crash_record::CrashRecord,
     counts: Counts,
@@ -210,7 +210,7 @@
 impl Core {
     /// Begins to own a log whose next position is `position`, fenced at `epoch`.
     #[must_use]
-    pub fn new(terms: Terms, epoch: u64, mut book: Book, position: u64, now: Now) -> Self {
+    pub fn new(terms: Tuning, epoch: u64, mut book: LogState, position: u64, now: Now) -> Self {
         book.index(now.at);
         let mut core = Self {
             terms,
@@ -250,7 +250,7 @@
             tracks: BTreeMap::new(),
             interference: Interference::default(),
             summaries: fleet::Summaries::default(),
-            pressure: Pressure::default(),
+            pressure: Congestion::default(),
             queued: false,
             line: VecDeque::new(),
             lined: now.at,
@@ -289,13 +289,13 @@
 
     /// The book, for a snapshot or a dump.
     #[must_use]
-    pub fn book(&self) -> &Book {
+    pub fn book(&self) -> &LogState {
         &self.book
     }
 
     /// Workers by id, for a dump.
     #[must_use]
-    pub fn workers(&self) -> &BTreeMap<Life, Worker> {
+    pub fn workers(&self) -> &BTreeMap<Incarnation, Worker> {
         &self.workers
     }
 
@@ -348,7 +348,7 @@
 
     /// How long answers of workers take, and what follows from it.
     #[must_use]
-    pub fn pressure(&self) -> &Pressure {
+    pub fn pressure(&self) -> &Congestion {
         &self.pressure
     }
 
@@ -386,7 +386,7 @@
 
     /// Says when answers of most workers begin or cease to wait in a queue.
     fn tell_pressure(&mut self) {
-        let queued = self.pressure.is_queued();
+        let queued = self.pressure.is_congested();
         if std::mem::replace(&mut self.queued, queued) == queued {
             return;
         }
@@ -401,7 +401,7 @@
 
     fn open_rounds(&mut self, now: Now) {
         let wall = now.wall.saturating_sub(self.terms.clock_slack);
-        self.dirty |= self.book.open_rounds(wall);
+        self.dirty |= self.book.open_due_occurrences(wall);
     }
 
     pub(super) fn close_job(&mut self, number: u32, outcome: Outcome) {
@@ -414,18 +414,18 @@
         self.advised.retain(|key, _| key.0 != number);
         self.tracks.remove(&number);
         self.told.retain(|key, _| key.0 != number);
-        self.stop_job(number, Reason::Over);
+        self.stop_job(number, StopReason::Over);
     }
 }
 
 /// How runs of a step share their worker, and the processors that they ask for.
-fn share_of(interference: &mut Interference, step: &Step) -> (Share, f64) {
+fn share_of(interference: &mut Interference, step: &Step) -> (RunSharing, f64) {
     let unnamed = Arc::from("");
     let image = interference.number(step.image.as_ref().unwrap_or(&unnamed));
     let share = match step.sharing {
-        Sharing::Apart => Share::Apart,
-        Sharing::Serves(target) => Share::Serves(image, target.as_secs_f64() * 1000.0),
-        Sharing::Fills => Share::Fills(image),
+        Sharing::Apart => RunSharing::Apart,
+        Sharing::Serves(target) => RunSharing::Serves(image, target.as_secs_f64() * 1000.0),
+        Sharing::Fills => RunSharing::Fills(image),
     };
     #[expect(clippy::cast_precision_loss, reason = "thousandths of processors")]
     let processors = step.needs.processors as f64;
--- a/ashtiller/src/workflow/core/moves.rs
+++ b/ashtiller/src/workflow/core/moves.rs
@@ -8,7 +8,7 @@
 use crate::workflow::core::plan::{Demand, Placing};
 use crate::workflow::core::{Core, Now, share_of};
 use crate::workflow::fact::{Run, Task};
-use crate::workflow::live::{Reason, Stop};
+use crate::workflow::live::{StopReason, Stop};
 
 /// Time for which a run that fills is slowed down before it moves: one stuck task makes
 /// its whole job late.
@@ -134,6 +134,6 @@
         }
         tracing::debug!(task = %run.task, run = run.number, from = %live.worker, "run that stands still moves");
         placing.fleet[place].take(&wish, &self.interference);
-        self.want_stop(run, Reason::Crowded);
+        self.want_stop(run, StopReason::Crowded);
     }
 }
--- a/ashtiller/src/workflow/core/order.rs
+++ b/ashtiller/src/workflow/core/order.rs
@@ -6,7 +6,7 @@
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::Task;
 use crate::workflow::job::Step;
-use crate::workflow::state::{JobState, Round};
+use crate::workflow::state::{JobState, Occurrence};
 
 /// Objective within which a job that is late still earns something, as a factor.
 const LATE: u32 = 3;
@@ -103,7 +103,7 @@
     number: u32,
     time: u32,
     job: &JobState,
-    round: &Round,
+    round: &Occurrence,
     now: Now,
 ) {
     if round.steps.iter().all(|state| state.waiting == 0) {
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use crate::failure::{self, Failure};
-use crate::workflow::agents::{Name, ORDER_LIMIT, Order, Refusal, Said, Start};
+use crate::workflow::agents::{TaskName, ORDER_TIMEOUT_MIN, Order, Refusal, OrderReply, Start};
 use crate::workflow::core::looks::LOOK_RETRY;
 use crate::workflow::core::place::Fits;
 use crate::workflow::core::{Core, Effect, Now, line};
 use crate::workflow::fact::{End, Run};
-use crate::workflow::life::Life;
-use crate::workflow::live::{Reason, Stage, Stop};
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{StopReason, Stage, Stop};
 use crate::workflow::worker::LATE_MAX;
 
 /// Pause before an unanswered order goes out again.
@@ -32,9 +32,9 @@
 
 impl Core {
     /// How workers know a task.
-    pub(super) fn name_of(&self, run: Run) -> Option<Name> {
+    pub(super) fn name_of(&self, run: Run) -> Option<TaskName> {
         let job = self.book.jobs.get(&run.task.job)?;
-        Some(Name {
+        Some(TaskName {
             job: job.job.id.clone(),
             time: run.task.time,
             step: run.task.step,
@@ -45,11 +45,11 @@
     /// How long an answer to an order is waited for.
     pub(super) fn order_limit(&self) -> Duration {
         let most = self.terms.drain.mul_f64(ORDER_SHARE);
-        self.pressure.patience(ORDER_LIMIT, most)
+        self.pressure.timeout(ORDER_TIMEOUT_MIN, most)
     }
 
     /// Sends the next order to a worker; whether there was one.
-    pub(super) fn drive_worker(&mut self, id: &Life, now: Now) -> bool {
+    pub(super) fn drive_worker(&mut self, id: &Incarnation, now: Now) -> bool {
         if !self
             .workers
             .get(id)
@@ -87,7 +87,7 @@
     /// Runs of a worker about which an order may go out, stops first: what is to be stopped
     /// may run on for a bounded time only. And when the first pause of the others is over:
     /// until then, or until an event says otherwise, there is nothing to do.
-    fn collect_due(&self, id: &Life, now: Now) -> (Vec<Run>, Duration) {
+    fn collect_due(&self, id: &Incarnation, now: Now) -> (Vec<Run>, Duration) {
         let mut stops = Vec::new();
         let mut others = Vec::new();
         let mut next = Duration::MAX;
@@ -106,7 +106,7 @@
     }
 
     /// The next order about a run, if one is due.
-    fn next_order(&mut self, run: Run, id: &Life, now: Now) -> Option<Order> {
+    fn next_order(&mut self, run: Run, id: &Incarnation, now: Now) -> Option<Order> {
         let live = self.runs.get_mut(&run)?;
         if live.ordering || now.at < live.retry {
             return None;
@@ -129,7 +129,7 @@
         }
     }
 
-    fn start_order(&mut self, run: Run, id: &Life, now: Now) -> Option<Order> {
+    fn start_order(&mut self, run: Run, id: &Incarnation, now: Now) -> Option<Order> {
         // What was decided by an older list may be wrong by now, however it was decided.
         if !self.may_start(now) {
             self.hold_starts(now);
@@ -152,7 +152,7 @@
             Fits::Never => {
                 tracing::info!(task = %run.task, run = run.number, worker = %id,
                     "start is withdrawn: the worker's room has shrunk");
-                self.want_stop(run, Reason::Shrunk);
+                self.want_stop(run, StopReason::Shrunk);
                 return None;
             }
         }
@@ -177,10 +177,10 @@
     /// Takes the answer to an order.
     pub fn take_answer(
         &mut self,
-        id: &Life,
+        id: &Incarnation,
         run: Run,
         order: &Order,
-        said: Result<Said, Failure>,
+        said: Result<OrderReply, Failure>,
         now: Now,
     ) {
         if let Some(worker) = self.workers.get_mut(id)
@@ -200,7 +200,7 @@
         if said.is_err() {
             self.raise_fence(id, now);
         }
-        if let Ok(Said::OtherLife) = said {
+        if let Ok(OrderReply::OtherIncarnation) = said {
             self.take_other_life(id, None, now);
             return;
         }
@@ -227,8 +227,8 @@
 
     /// Takes note of the clock in an answer to an order. One that lags is of another life, or of
     /// a machine that was suspended; which, a look tells. What was ordered is in doubt.
-    fn hear_clock(&mut self, id: &Life, said: &Result<Said, Failure>, now: Now) -> bool {
-        let &Ok(Said::Done(clock)) = said else {
+    fn hear_clock(&mut self, id: &Incarnation, said: &Result<OrderReply, Failure>, now: Now) -> bool {
+        let &Ok(OrderReply::Done(clock)) = said else {
             return false;
         };
         let Some(worker) = self.workers.get_mut(id) else {
@@ -254,38 +254,38 @@
         true
     }
 
-    fn take_start(&mut self, run: Run, said: Result<Said, Failure>, now: Now) {
+    fn take_start(&mut self, run: Run, said: Result<OrderReply, Failure>, now: Now) {
         let mut refused = None;
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
         match said {
-            Ok(Said::Done(_)) => {
+            Ok(OrderReply::Done(_)) => {
                 if !matches!(live.stage, Stage::Started(_)) {
                     live.stage = Stage::Started(now.at);
                 }
             }
-            Ok(Said::Refused(Refusal::Late)) => live.retry = now.at,
-            Ok(Said::Refused(Refusal::Fenced)) => {
+            Ok(OrderReply::Refused(Refusal::Late)) => live.retry = now.at,
+            Ok(OrderReply::Refused(Refusal::Fenced)) => {
                 live.retry = now.at + RETRY;
                 let worker = live.worker.clone();
                 self.take_fenced(&worker, now);
             }
-            Ok(Said::Refused(Refusal::Busy)) => {
+            Ok(OrderReply::Refused(Refusal::Busy)) => {
                 live.unanswered += 1;
                 live.retry = now.at + RETRY_BUSY;
                 if live.unanswered >= UNANSWERED_MAX {
                     refused = Some(Blame::Worker);
                 }
             }
-            Ok(Said::Refused(reason)) => {
+            Ok(OrderReply::Refused(reason)) => {
                 tracing::warn!(task = %run.task, run = run.number, worker = %live.worker, ?reason, "start refused");
                 refused = Some(match reason {
                     Refusal::Old | Refusal::Ticket => Blame::Run,
                     _ => Blame::Worker,
                 });
             }
-            Ok(Said::OtherLife) => {}
+            Ok(OrderReply::OtherIncarnation) => {}
             Err(failure) => {
                 tracing::info!(task = %run.task, run = run.number, worker = %live.worker, %failure, "start unanswered");
                 if failure.effect == failure::Effect::None {
@@ -301,7 +301,7 @@
                 }
                 live.retry = now.at + RETRY.max(self.pressure.usual());
                 // Slowness that most workers share says nothing of this one.
-                if !self.pressure.is_queued() {
+                if !self.pressure.is_congested() {
                     live.unanswered += 1;
                 }
                 if live.unanswered >= UNANSWERED_MAX {
@@ -312,7 +312,7 @@
         let Some(blame) = refused else {
             return;
         };
-        self.want_stop(run, Reason::Refused);
+        self.want_stop(run, StopReason::Refused);
         if blame == Blame::Worker {
             self.note_refusal(run, now);
         }
@@ -330,7 +330,7 @@
         }
     }
 
-    fn take_stop(&mut self, run: Run, said: &Result<Said, Failure>, now: Now) {
+    fn take_stop(&mut self, run: Run, said: &Result<OrderReply, Failure>, now: Now) {
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
@@ -339,14 +339,14 @@
             .get(&live.worker)
             .is_some_and(|worker| worker.answers);
         match said {
-            Ok(Said::Done(_) | Said::Refused(Refusal::Old)) => {
+            Ok(OrderReply::Done(_) | OrderReply::Refused(Refusal::Old)) => {
                 live.stop = Stop::Confirmed(now.at);
                 let id = live.worker.clone();
                 if let Some(worker) = self.workers.get_mut(&id) {
                     worker.next_look = worker.next_look.min(now.at);
                 }
             }
-            Ok(Said::Refused(Refusal::Fenced)) => {
+            Ok(OrderReply::Refused(Refusal::Fenced)) => {
                 live.retry = now.at + RETRY_BUSY;
                 let worker = live.worker.clone();
                 self.take_fenced(&worker, now);
@@ -361,12 +361,12 @@
         }
     }
 
-    fn take_pace(&mut self, run: Run, percent: u32, said: &Result<Said, Failure>, now: Now) {
+    fn take_pace(&mut self, run: Run, percent: u32, said: &Result<OrderReply, Failure>, now: Now) {
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
         match said {
-            Ok(Said::Done(_)) => {
+            Ok(OrderReply::Done(_)) => {
                 live.set_pace(percent, now.at);
                 // An earlier one that was not answered may still come after this one.
                 live.retry = if live.pace_doubt > now.at {
@@ -375,7 +375,7 @@
                     Duration::ZERO
                 };
             }
-            Ok(Said::Refused(Refusal::Fenced)) => {
+            Ok(OrderReply::Refused(Refusal::Fenced)) => {
                 live.retry = now.at + RETRY;
                 let worker = live.worker.clone();
                 self.take_fenced(&worker, now);
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -4,9 +4,9 @@
 
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::Run;
-use crate::workflow::interference::{Beside, Image};
-use crate::workflow::life::Life;
-use crate::workflow::live::{LiveRun, Share, Stage, Stop};
+use crate::workflow::interference::{NeighborFill, Image};
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{LiveRun, RunSharing, Stage, Stop};
 use crate::workflow::worker::Worker;
 
 /// Headroom that paces keep of a service that has been over its target for a while, as a
@@ -59,7 +59,7 @@
 
 impl Core {
     /// Learns from a worker's report and sets the pace of what fills there.
-    pub(super) fn pace_worker(&mut self, id: &Life, now: Now) {
+    pub(super) fn pace_worker(&mut self, id: &Incarnation, now: Now) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -96,19 +96,19 @@
 
     /// Since when fills may have brought a service of a worker over its target: reports
     /// before it said otherwise, or nothing filled there.
-    fn filled_since(&self, id: &Life, now: Now) -> Duration {
+    fn filled_since(&self, id: &Incarnation, now: Now) -> Duration {
         let Some(worker) = self.workers.get(id) else {
             return now.at;
         };
         let filled = worker.runs.iter().filter_map(|run| {
             let live = self.runs.get(run)?;
-            matches!(live.share, Share::Fills(_)).then_some(live.placed)
+            matches!(live.share, RunSharing::Fills(_)).then_some(live.placed)
         });
         filled.min().unwrap_or(now.at).max(worker.calm)
     }
 
     /// Learns about headrooms and pairs from what services reported beside these fills.
-    fn learn(&mut self, services: &[Service], beside: &[Beside], now: Now) {
+    fn learn(&mut self, services: &[Service], beside: &[NeighborFill], now: Now) {
         for service in services {
             let track = self.tracks.entry(service.run.task.job).or_default();
             let own = track.trend(now.at).map(|trend| trend.level);
@@ -126,7 +126,7 @@
     fn services_of(&self, worker: &Worker) -> Vec<Service> {
         let served = worker.runs.iter().filter_map(|run| {
             let live = self.runs.get(run)?;
-            let Share::Serves(image, target) = live.share else {
+            let RunSharing::Serves(image, target) = live.share else {
                 return None;
             };
             #[expect(clippy::cast_precision_loss, reason = "milliseconds of a tail")]
@@ -142,22 +142,22 @@
 
     /// What filled there over the time that a report averages: fills begin and end within
     /// it more often than not.
-    fn fills_of(&self, worker: &Worker, now: Now) -> Vec<Beside> {
+    fn fills_of(&self, worker: &Worker, now: Now) -> Vec<NeighborFill> {
         let whole = whole_of(worker);
         let span = self.terms.report.as_secs_f64();
         let since = |at: Duration| now.at.saturating_sub(at).as_secs_f64() / span;
         let fills = worker.runs.iter().filter_map(|run| {
             let live = self.runs.get(run)?;
-            let (Share::Fills(image), Stage::Started(at)) = (live.share, live.stage) else {
+            let (RunSharing::Fills(image), Stage::Started(at)) = (live.share, live.stage) else {
                 return None;
             };
             let share = live.asked * f64::from(live.pace) / 100.0 / whole;
             let share = share * since(at).min(1.0);
-            Some(Beside { image, share })
+            Some(NeighborFill { image, share })
         });
         let left = worker.left.iter().filter_map(|(image, share, at)| {
             let share = share * (1.0 - since(*at));
-            (share > 0.0).then_some(Beside {
+            (share > 0.0).then_some(NeighborFill {
                 image: *image,
                 share,
             })
@@ -167,7 +167,7 @@
 
     /// Notes a fill that has ended, for the reports that still show it.
     pub(super) fn note_left(&mut self, live: &LiveRun, now: Now) {
-        let (Share::Fills(image), Stage::Started(_)) = (live.share, live.stage) else {
+        let (RunSharing::Fills(image), Stage::Started(_)) = (live.share, live.stage) else {
             return;
         };
         let report = self.terms.report;
@@ -183,9 +183,9 @@
     /// cannot bear by what is known of the pairs, the most harmful first.
     fn choose_paces(
         &mut self,
-        id: &Life,
+        id: &Incarnation,
         services: &[Service],
-        beside: &[Beside],
+        beside: &[NeighborFill],
         over: Duration,
         now: Now,
     ) {
@@ -196,7 +196,7 @@
         let whole = whole_of(worker);
         let fills = worker.runs.iter().filter_map(|run| {
             let live = self.runs.get(run)?;
-            let Share::Fills(image) = live.share else {
+            let RunSharing::Fills(image) = live.share else {
                 return None;
             };
             Some(Fill {
--- a/ashtiller/src/workflow/core/place.rs
+++ b/ashtiller/src/workflow/core/place.rs
@@ -4,9 +4,9 @@
 
 use crate::resources::Resources;
 use crate::workflow::core::{Core, Now, share_of};
-use crate::workflow::fact::{Fact, Run};
+use crate::workflow::fact::{LogRecord, Run};
 use crate::workflow::job::Sharing;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 use crate::workflow::live::{LiveRun, Stage, Stop};
 
 /// Whether a start still fits into its worker's room.
@@ -23,7 +23,7 @@
 impl Core {
     /// Whether a run that was placed earlier may still be started: the worker's room may have
     /// shrunk. All that may run there counts, and so does what is being stopped.
-    pub(super) fn judge_room(&self, run: Run, id: &Life) -> Fits {
+    pub(super) fn judge_room(&self, run: Run, id: &Incarnation) -> Fits {
         let Some(worker) = self.workers.get(id) else {
             return Fits::Never;
         };
@@ -51,7 +51,7 @@
     }
 
     /// Counts a run in its worker's room.
-    pub(super) fn seat(&mut self, run: Run, id: &Life) {
+    pub(super) fn seat(&mut self, run: Run, id: &Incarnation) {
         let Some((job, _)) = self.book.task(run.task) else {
             return;
         };
@@ -109,7 +109,7 @@
     }
 
     /// Gives a run to a worker.
-    pub(super) fn place(&mut self, run: Run, id: &Life, ticket: Option<Arc<str>>, now: Now) {
+    pub(super) fn place(&mut self, run: Run, id: &Incarnation, ticket: Option<Arc<str>>, now: Now) {
         let Some((job, task)) = self.book.task(run.task) else {
             return;
         };
@@ -124,7 +124,7 @@
         let mut live = LiveRun::new(id.clone(), stage, share, processors, now.at);
         live.saved = saved.clone();
         live.ticket = ticket;
-        self.record(Fact::Placed(run, id.clone(), saved), now);
+        self.record(LogRecord::Placed(run, id.clone(), saved), now);
         self.runs.insert(run, live);
         self.recorded.insert(id.clone());
         self.seat(run, id);
--- a/ashtiller/src/workflow/core/places.rs
+++ b/ashtiller/src/workflow/core/places.rs
@@ -6,20 +6,20 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::workflow::config::Listed;
-use crate::workflow::life::Life;
+use crate::workflow::config::ListedWorker;
+use crate::workflow::life::Incarnation;
 
 /// Lives by machine and by address. Entries of a worker change, so one that is found here may
 /// be elsewhere by now.
 #[derive(Debug, Default)]
 pub(super) struct Places {
-    machines: HashMap<Arc<str>, Vec<Life>>,
-    addresses: HashMap<SocketAddr, Vec<Life>>,
+    machines: HashMap<Arc<str>, Vec<Incarnation>>,
+    addresses: HashMap<SocketAddr, Vec<Incarnation>>,
 }
 
 impl Places {
     /// A life is where its entry says.
-    pub fn note(&mut self, listed: &Listed) {
+    pub fn note(&mut self, listed: &ListedWorker) {
         if let Some(machine) = &listed.machine {
             insert(
                 self.machines.entry(machine.clone()).or_default(),
@@ -33,7 +33,7 @@
     }
 
     /// A life is not there any more.
-    pub fn forget(&mut self, listed: &Listed) {
+    pub fn forget(&mut self, listed: &ListedWorker) {
         if let Some(machine) = &listed.machine
             && let Some(lives) = self.machines.get_mut(machine)
         {
@@ -51,7 +51,7 @@
     }
 
     /// Lives that were seen on the machine or at the address of an entry.
-    pub fn find(&self, listed: &Listed) -> impl Iterator<Item = &Life> {
+    pub fn find(&self, listed: &ListedWorker) -> impl Iterator<Item = &Incarnation> {
         let machine = listed.machine.as_ref();
         let machine = machine.and_then(|machine| self.machines.get(machine));
         let address = self.addresses.get(&listed.address);
@@ -59,7 +59,7 @@
     }
 }
 
-fn insert(lives: &mut Vec<Life>, life: &Life) {
+fn insert(lives: &mut Vec<Incarnation>, life: &Incarnation) {
     if !lives.contains(life) {
         lives.push(life.clone());
     }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -10,14 +10,14 @@
 use crate::workflow::core::trials::{Trial, Trials};
 use crate::workflow::core::{Core, Now, share_of};
 use crate::workflow::fact::{Run, Task};
-use crate::workflow::life::Life;
-use crate::workflow::live::Share;
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::RunSharing;
 
 /// What a task asks of a worker.
 #[derive(Clone)]
 pub(super) struct Demand {
     pub service: Arc<str>,
-    pub share: Share,
+    pub share: RunSharing,
     pub room: Resources,
     /// How selective it is, if it fills.
     pub selective: f64,
@@ -39,7 +39,7 @@
     /// What found no worker.
     refused: Vec<Demand>,
     /// Worker that gets no short runs until a lasting one has room there.
-    pub reserved: Option<Life>,
+    pub reserved: Option<Incarnation>,
     /// A step that is too late and goes first in this round.
     pub rescued: Option<StepKey>,
     /// Trials of tasks that are suspected of crashing workers.
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use crate::failure::Failure;
-use crate::workflow::agents::{Active, Finished, How, Looked, Name, Order};
+use crate::workflow::agents::{Active, Finished, EndReason, PollReply, TaskName, Order};
 use crate::workflow::core::looks::LOOK_MOST;
 use crate::workflow::core::{Core, Effect, Now, Then};
-use crate::workflow::fact::{End, Fact, Run, Task};
+use crate::workflow::fact::{End, LogRecord, Run, Task};
 use crate::workflow::lease;
-use crate::workflow::life::Life;
-use crate::workflow::live::{Reason, Stage, Stop};
-use crate::workflow::worker::{LATE_MAX, Looking};
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{StopReason, Stage, Stop};
+use crate::workflow::worker::{LATE_MAX, PendingPoll};
 
 /// Time without progress after which a run counts as stalled. The platform's
 /// workers report whole percents, which tasks of up to 5.4 s gain every 54 ms.
@@ -31,7 +31,7 @@
 
 impl Core {
     /// The run that a worker means.
-    fn run_of(&self, name: &Name, number: u32) -> Option<Run> {
+    fn run_of(&self, name: &TaskName, number: u32) -> Option<Run> {
         let job = self.book.find(&name.job)?;
         let task = Task {
             job,
@@ -43,7 +43,7 @@
     }
 
     /// Takes the answer to a look.
-    pub fn take_look(&mut self, id: &Life, looked: Result<Looked, Failure>, now: Now) {
+    pub fn take_look(&mut self, id: &Incarnation, looked: Result<PollReply, Failure>, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -58,7 +58,7 @@
             self.pressure.note_delay(worker.life(), late, now.at);
         }
         match looked {
-            Ok(Looked::Report {
+            Ok(PollReply::Report {
                 clock,
                 active,
                 finished,
@@ -73,12 +73,12 @@
                 self.pace_worker(id, now);
                 self.summaries.remove(id);
             }
-            Ok(Looked::OtherLife(next)) => self.take_other_life(id, next, now),
-            Ok(Looked::Fenced) => {
+            Ok(PollReply::OtherIncarnation(next)) => self.take_other_life(id, next, now),
+            Ok(PollReply::Fenced) => {
                 self.take_fenced(id, now);
                 self.miss_look(id, false, now);
             }
-            Ok(Looked::Busy) => self.miss_look(id, false, now),
+            Ok(PollReply::Busy) => self.miss_look(id, false, now),
             Err(failure) => {
                 if worker.answers {
                     tracing::info!(worker = %id, %failure, runs = worker.runs.len(), "worker does not answer");
@@ -96,7 +96,7 @@
     /// lags may also be of a machine that was suspended: then it still knows of runs.
     fn is_other_life(
         &self,
-        id: &Life,
+        id: &Incarnation,
         clock: u64,
         begun: Duration,
         active: &[Active],
@@ -121,7 +121,7 @@
         })
     }
 
-    fn greet_worker(&mut self, id: &Life, clock: u64, asked: &Looking, now: Now) {
+    fn greet_worker(&mut self, id: &Incarnation, clock: u64, asked: &PendingPoll, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -131,7 +131,7 @@
             worker.lease.fence(now.at, self.terms.lease);
             // A young life may have carried out a grant that an earlier owner made to the one
             // before, by a clock that had gone on for longer.
-            let hold = lease::stretch(self.terms.hold);
+            let hold = lease::worst_case_elapsed(self.terms.hold);
             if Duration::from_millis(clock) < FORMER_GRANT + self.terms.hold {
                 worker.lease.extend(now.at + hold);
             }
@@ -181,7 +181,7 @@
         }
     }
 
-    fn take_finished(&mut self, id: &Life, finished: &[Finished], now: Now) {
+    fn take_finished(&mut self, id: &Incarnation, finished: &[Finished], now: Now) {
         let mut highest = 0;
         for end in finished {
             highest = highest.max(end.number);
@@ -189,10 +189,10 @@
                 continue;
             };
             let how = match end.how {
-                How::Done => End::Done,
-                How::Failed => End::Failed,
-                How::Stopped => End::Stopped,
-                How::Lapsed | How::Broken | How::Alone => End::Lost,
+                EndReason::Done => End::Done,
+                EndReason::Failed => End::Failed,
+                EndReason::Stopped => End::Stopped,
+                EndReason::Lapsed | EndReason::Broken | EndReason::Alone => End::Lost,
             };
             match self.runs.get(&run) {
                 Some(live) if live.worker == *id => {}
@@ -221,23 +221,23 @@
 
     /// Takes an end whose run was given up before its worker could tell it. Work that is
     /// done must not be done again, and the worker forgets the end once it is acknowledged.
-    fn take_late_end(&mut self, id: &Life, run: Run, end: End, saved: &Arc<str>, now: Now) {
-        if !self.book.counts_late(run, end) {
+    fn take_late_end(&mut self, id: &Incarnation, run: Run, end: End, saved: &Arc<str>, now: Now) {
+        if !self.book.late_end_matters(run, end) {
             return;
         }
         tracing::info!(worker = %id, task = %run.task, run = run.number, ?end,
             "end is told after its run was given up");
-        self.record(Fact::Ended(run, end, saved.clone()), now);
+        self.record(LogRecord::Ended(run, end, saved.clone()), now);
         self.dirty = true;
         match end {
-            End::Done => self.stop_siblings(run, Reason::Copied),
+            End::Done => self.stop_siblings(run, StopReason::Copied),
             End::Failed => self.judge_failure(run, now),
             End::Stopped | End::Lost => {}
         }
     }
 
     /// Learns from an end whether the worker is well.
-    fn note_health(&mut self, id: &Life, run: Run, end: End, now: Now) {
+    fn note_health(&mut self, id: &Incarnation, run: Run, end: End, now: Now) {
         let first = self
             .book
             .task(run.task)
@@ -265,7 +265,7 @@
         }
     }
 
-    fn take_active(&mut self, id: &Life, active: &[Active], begun: Duration, now: Now) {
+    fn take_active(&mut self, id: &Incarnation, active: &[Active], begun: Duration, now: Now) {
         let mut present = BTreeSet::new();
         for row in active {
             let run = self.run_of(&row.name, row.run);
@@ -288,7 +288,7 @@
     }
 
     /// A run that the log does not place here is stopped.
-    fn stop_stray(&mut self, id: &Life, row: &Active) {
+    fn stop_stray(&mut self, id: &Incarnation, row: &Active) {
         let (limit, fence) = (self.order_limit(), self.fences.of(id));
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -357,11 +357,11 @@
             tracing::info!(task = %run.task, run = run.number, worker = %live.worker, percent = row.percent,
                 since_ms = now.at.saturating_sub(live.moved).as_millis(), "run stalls");
             let id = live.worker.clone();
-            self.want_stop(run, Reason::Stalled);
+            self.want_stop(run, StopReason::Stalled);
             if let Some(worker) = self.workers.get_mut(&id)
                 && worker.aside.is_none_or(|until| until < now.at)
             {
-                worker.put_aside(now.at);
+                worker.quarantine(now.at);
             }
         }
     }
--- a/ashtiller/src/workflow/core/room.rs
+++ b/ashtiller/src/workflow/core/room.rs
@@ -9,7 +9,7 @@
 use crate::workflow::core::plan::Placing;
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::Task;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// Time for which there may be room for a lasting step while short ones are placed first.
 /// The platform asks for its start within 3 s.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Reserved {
     step: StepKey,
-    worker: Life,
+    worker: Incarnation,
     since: Duration,
 }
 
@@ -123,7 +123,7 @@
     }
 
     /// Keeps a worker for the lasting step that has waited longest without room.
-    fn reserve(&mut self, waiting: &mut [Waiting], fleet: &[Candidate], now: Now) -> Option<Life> {
+    fn reserve(&mut self, waiting: &mut [Waiting], fleet: &[Candidate], now: Now) -> Option<Incarnation> {
         if let Some(kept) = self.reserved.take()
             && now.at < kept.since + RESERVED_MAX
             && let Some(entry) = waiting.iter_mut().find(|entry| entry.key() == kept.step)
@@ -180,7 +180,7 @@
 
     /// The worker on which short runs leave room soonest for a task of a step: one that
     /// gets nothing, or none of this step, would be kept in vain.
-    fn find_emptying(&self, entry: &Waiting, fleet: &[Candidate]) -> Option<Life> {
+    fn find_emptying(&self, entry: &Waiting, fleet: &[Candidate]) -> Option<Incarnation> {
         let job = &self.book.jobs[&entry.job];
         let step = &job.job.steps[usize::from(entry.step)];
         let room = step.room();
--- a/ashtiller/src/workflow/core/roster.rs
+++ b/ashtiller/src/workflow/core/roster.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::workflow::config::Listed;
+use crate::workflow::config::ListedWorker;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{End, Fact, Run};
+use crate::workflow::fact::{End, LogRecord, Run};
 use crate::workflow::lease;
-use crate::workflow::life::Life;
-use crate::workflow::live::{Reason, Stage, Stop};
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{StopReason, Stage, Stop};
 use crate::workflow::worker::{LATE_MAX, Worker};
 
 /// How long a worker that is not listed and runs nothing is remembered.
@@ -32,7 +32,7 @@
 
 impl Core {
     /// The platform lists a worker.
-    pub fn list_worker(&mut self, mut listed: Listed, now: Now) {
+    pub fn list_worker(&mut self, mut listed: ListedWorker, now: Now) {
         listed.service = self.share_name(&listed.service);
         if self.is_known(&listed) {
             return;
@@ -76,7 +76,7 @@
     /// Whether a list says of a worker what was known before. Lists of all workers come
     /// several times a second, and to look for former lives of each among all others took a
     /// quarter of the processor time of an owner of 890 workers.
-    fn is_known(&self, listed: &Listed) -> bool {
+    fn is_known(&self, listed: &ListedWorker) -> bool {
         self.workers.get(&listed.life).is_some_and(|worker| {
             worker.absent.is_none() && !listed.draining && worker.listed == *listed
         })
@@ -85,7 +85,7 @@
     /// Leases that earlier owners granted end by this time.
     pub(super) fn first_bound(&self) -> Duration {
         let granted = self.cleared.unwrap_or(self.began + self.terms.horizon);
-        granted + lease::stretch(self.terms.lease)
+        granted + lease::worst_case_elapsed(self.terms.lease)
     }
 
     /// The owner at this epoch, which this one replaced, has ended; 0 when there was none.
@@ -111,11 +111,11 @@
 
     fn note_cleared(&mut self, now: Now) {
         self.cleared = Some(now.at);
-        self.record(Fact::Cleared(self.epoch), now);
+        self.record(LogRecord::Cleared(self.epoch), now);
     }
 
     /// Counts the runs of earlier owners in a worker's room.
-    pub(super) fn seat_adopted(&mut self, id: &Life) {
+    pub(super) fn seat_adopted(&mut self, id: &Incarnation) {
         for run in self.adopted.take(id) {
             let here = self.runs.get(&run).is_some_and(|live| live.worker == *id);
             let worker = self.workers.get(id);
@@ -126,7 +126,7 @@
     }
 
     /// The platform does not list a worker any more.
-    pub fn unlist_worker(&mut self, id: &Life, now: Now) {
+    pub fn unlist_worker(&mut self, id: &Incarnation, now: Now) {
         if let Some(worker) = self.workers.get_mut(id)
             && worker.absent.is_none()
         {
@@ -136,22 +136,22 @@
     }
 
     /// The platform lists exactly these workers.
-    pub fn list_all(&mut self, listed: Vec<Listed>, now: Now) {
+    pub fn list_all(&mut self, listed: Vec<ListedWorker>, now: Now) {
         self.list_read(listed, &[], now);
     }
 
     /// The platform lists exactly these workers, and some whose entries cannot be read: of
     /// them nothing new is known.
-    pub fn list_read(&mut self, listed: Vec<Listed>, unread: &[Arc<str>], now: Now) {
-        let named: BTreeSet<&Life> = listed.iter().map(|worker| &worker.life).collect();
+    pub fn list_read(&mut self, listed: Vec<ListedWorker>, unread: &[Arc<str>], now: Now) {
+        let named: BTreeSet<&Incarnation> = listed.iter().map(|worker| &worker.life).collect();
         let unread: BTreeSet<&str> = unread.iter().map(|id| &**id).collect();
         // An entry without a birth says nothing new of a worker that has one.
         let lacking = listed.iter().filter(|worker| self.lacks_birth(worker));
         let lacking: BTreeSet<&str> = lacking.map(|worker| worker.life.id()).collect();
-        let silent = |life: &Life| unread.contains(life.id()) || lacking.contains(life.id());
+        let silent = |life: &Incarnation| unread.contains(life.id()) || lacking.contains(life.id());
         let gone = self.workers.keys();
         let gone = gone.filter(|life| !named.contains(life) && !silent(life));
-        let gone: Vec<Life> = gone.cloned().collect();
+        let gone: Vec<Incarnation> = gone.cloned().collect();
         for id in gone {
             self.unlist_worker(&id, now);
         }
@@ -169,7 +169,7 @@
             .filter(|(_, live)| !self.workers.contains_key(&live.worker))
             .map(|(run, _)| *run)
             .collect();
-        self.suspect_lost(&Life::from(""), &lost, now);
+        self.suspect_lost(&Incarnation::from(""), &lost, now);
         self.adopted.clear();
         for run in lost {
             self.end_run(run, End::Lost, &Arc::from(""), now);
@@ -197,7 +197,7 @@
         let over = self.workers.values().filter(|worker| {
             !worker.runs.is_empty() && !worker.answers && worker.lease.bound() < now.at
         });
-        let over: Vec<Life> = over.map(|worker| worker.life().clone()).collect();
+        let over: Vec<Incarnation> = over.map(|worker| worker.life().clone()).collect();
         for id in over {
             let worker = &self.workers[&id];
             let over = |run: &Run| !(worker.replaced && self.may_outlast(*run, now));
@@ -218,7 +218,7 @@
         };
         let adopted = (live.placed <= self.began).then_some(self.began + LATE_MAX);
         let doubt = live.in_doubt.max(adopted);
-        doubt.is_some_and(|until| now.at < until + lease::stretch(self.terms.hold))
+        doubt.is_some_and(|until| now.at < until + lease::worst_case_elapsed(self.terms.hold))
     }
 
     /// Forgets workers that are gone and run nothing.
@@ -227,7 +227,7 @@
             let absent = worker.absent;
             worker.runs.is_empty() && absent.is_some_and(|since| now.at > since + FORGET)
         });
-        let gone: Vec<Life> = gone.map(|worker| worker.life().clone()).collect();
+        let gone: Vec<Incarnation> = gone.map(|worker| worker.life().clone()).collect();
         for id in gone {
             self.remove_worker(&id);
         }
@@ -252,7 +252,7 @@
             if told || !self.has_begun(run) || self.may_be_away(run, now) {
                 tracing::info!(task = %run.task, run = run.number, told, left_ms = left.as_millis(),
                     "run moves off a worker that leaves");
-                self.want_stop(run, Reason::Draining);
+                self.want_stop(run, StopReason::Draining);
             }
         }
     }
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -4,8 +4,8 @@
 
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{End, Fact, Run, Task};
-use crate::workflow::live::{LiveRun, Reason};
+use crate::workflow::fact::{End, LogRecord, Run, Task};
+use crate::workflow::live::{LiveRun, StopReason};
 use crate::workflow::state::TaskState;
 
 impl Core {
@@ -44,14 +44,14 @@
         self.runs.range(runs(first, 0)..=runs(last, u32::MAX))
     }
 
-    pub(super) fn stop_job(&mut self, number: u32, reason: Reason) {
+    pub(super) fn stop_job(&mut self, number: u32, reason: StopReason) {
         for run in self.runs_of(number) {
             self.want_stop(run, reason);
         }
     }
 
     /// Asks for the stop of a run.
-    pub(super) fn want_stop(&mut self, run: Run, reason: Reason) {
+    pub(super) fn want_stop(&mut self, run: Run, reason: StopReason) {
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
@@ -84,7 +84,7 @@
             tracing::info!(job = %job.job.id, task = %run.task, run = run.number,
                 worker = %live.worker, ?end, age_ms = age, stop = ?live.stop, percent = live.percent, "run ended");
         }
-        self.record(Fact::Ended(run, end, saved.clone()), now);
+        self.record(LogRecord::Ended(run, end, saved.clone()), now);
         self.dirty = true;
         if end == End::Failed {
             self.judge_failure(run, now);
@@ -93,7 +93,7 @@
             self.convict_spent(run.task, now);
         }
         if end == End::Done {
-            self.stop_siblings(run, Reason::Copied);
+            self.stop_siblings(run, StopReason::Copied);
         }
         if self.is_gang(run) {
             self.stop_gang(run);
@@ -116,7 +116,7 @@
         let lasting = job.step(run.task).is_some_and(|step| step.lasting);
         if failures >= job.policy.attempts && !lasting && job.outcome.is_none() {
             tracing::info!(job = %job.job.id, task = %run.task, failures, "job given up");
-            self.record(Fact::Failed(run.task.job), now);
+            self.record(LogRecord::Failed(run.task.job), now);
         }
     }
 
@@ -126,7 +126,7 @@
             .is_some_and(|(job, _)| job.step(run.task).is_some_and(|step| step.gang))
     }
 
-    pub(super) fn stop_siblings(&mut self, run: Run, reason: Reason) {
+    pub(super) fn stop_siblings(&mut self, run: Run, reason: StopReason) {
         for other in self.runs_of(run.task.job) {
             if other.task == run.task {
                 self.want_stop(other, reason);
@@ -138,7 +138,7 @@
         let step = |run: Run| (run.task.time, run.task.step, run.number);
         for other in self.runs_of(run.task.job) {
             if step(other) == step(run) {
-                self.want_stop(other, Reason::Over);
+                self.want_stop(other, StopReason::Over);
             }
         }
     }
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -6,10 +6,10 @@
 
 use crate::failure::Failure;
 use crate::workflow::core::{Core, Effect, Now};
-use crate::workflow::fact::{Fact, Run, Task};
-use crate::workflow::life::Life;
-use crate::workflow::live::{Reason, Stage, Stop};
-use crate::workflow::machines::{Done, Duty, Wave};
+use crate::workflow::fact::{LogRecord, Run, Task};
+use crate::workflow::life::Incarnation;
+use crate::workflow::live::{StopReason, Stage, Stop};
+use crate::workflow::machines::{Done, MachineOrder, Wave};
 use crate::workflow::worker::Worker;
 
 /// Time after which a machine that no worker was ever seen of counts as gone.
@@ -140,14 +140,14 @@
             self.drive_wave(&mut going, now);
             if self.is_over(&going, now) {
                 tracing::info!(wave = number, "wave of upkeep is over");
-                self.record(Fact::WaveOver(number), now);
+                self.record(LogRecord::WaveOver(number), now);
             } else {
                 self.waves.insert(number, going);
             }
         }
     }
 
-    fn worker_of(&self, machine: &str) -> Option<Life> {
+    fn worker_of(&self, machine: &str) -> Option<Incarnation> {
         let mut lives = self.workers.values().filter(|worker| {
             worker.listed.machine.as_deref() == Some(machine) && worker.absent.is_none()
         });
@@ -260,7 +260,7 @@
             return;
         }
         going.steps.insert(machine.clone(), Step::Ordered);
-        let duty = Duty::Upkeep(going.wave.number);
+        let duty = MachineOrder::Upkeep(going.wave.number);
         self.effects.push(Effect::Duty(machine.clone(), duty));
     }
 
@@ -268,11 +268,11 @@
     pub fn take_duty(
         &mut self,
         machine: &Arc<str>,
-        duty: &Duty,
+        duty: &MachineOrder,
         done: Result<Done, Failure>,
         now: Now,
     ) {
-        let Duty::Upkeep(number) = duty else {
+        let MachineOrder::Upkeep(number) = duty else {
             return;
         };
         let Some(mut going) = self.waves.remove(number) else {
@@ -282,7 +282,7 @@
             Ok(Done::Yes) => {
                 tracing::info!(wave = number, %machine, "machine has its upkeep");
                 going.steps.insert(machine.clone(), Step::Away);
-                self.record(Fact::Upkept(*number, machine.clone()), now);
+                self.record(LogRecord::Upkept(*number, machine.clone()), now);
                 self.doubt_workers(machine, now);
             }
             Ok(Done::Busy) => {
@@ -294,7 +294,7 @@
             Ok(Done::Never) => {
                 tracing::warn!(wave = number, %machine, "machine does not take the upkeep");
                 going.steps.remove(machine);
-                self.record(Fact::Upkept(*number, machine.clone()), now);
+                self.record(LogRecord::Upkept(*number, machine.clone()), now);
             }
             Err(failure) => {
                 tracing::info!(wave = number, %machine, %failure, "upkeep not confirmed");
@@ -308,7 +308,7 @@
 
     /// Empties a worker: waits for what ends by itself, and stops the rest where its
     /// step can miss it.
-    fn empty_worker(&mut self, id: &Life, urge: bool, now: Now) -> Emptied {
+    fn empty_worker(&mut self, id: &Incarnation, urge: bool, now: Now) -> Emptied {
         let Some(worker) = self.workers.get(id) else {
             return Emptied::Whole;
         };
@@ -320,7 +320,7 @@
             let step = job.step(run.task);
             let lasting = step.is_some_and(|step| step.lasting);
             if (lasting || urge) && self.may_be_away(*run, now) {
-                self.want_stop(*run, Reason::Upkeep);
+                self.want_stop(*run, StopReason::Upkeep);
             }
         }
         match () {
@@ -332,7 +332,7 @@
     }
 
     /// Whether a lasting run on a worker may not be stopped now.
-    fn is_blocked(&self, id: &Life, now: Now) -> bool {
+    fn is_blocked(&self, id: &Incarnation, now: Now) -> bool {
         let mut runs = self.workers.get(id).into_iter().flat_map(|it| &it.runs);
         runs.any(|run| {
             let task = self.book.task(run.task);
--- a/ashtiller/src/workflow/evacuations.rs
+++ b/ashtiller/src/workflow/evacuations.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use crate::clock::Moment;
-use crate::workflow::config::Dialect;
-use crate::workflow::follow::Seen;
+use crate::workflow::config::PlatformCodec;
+use crate::workflow::follow::StoreUpdate;
 use crate::workflow::kv::{Change, Item};
 
 /// Zones under evacuation, each with the revision of its entry.
@@ -22,16 +22,16 @@
 
 impl Evacuations {
     /// Takes what a follower of the operators' entries has seen.
-    pub fn take(&mut self, dialect: &dyn Dialect, seen: &Seen) {
+    pub fn take(&mut self, dialect: &dyn PlatformCodec, seen: &StoreUpdate) {
         let as_of = match seen {
-            Seen::All { items, as_of } => {
+            StoreUpdate::All { items, as_of } => {
                 self.zones.clear();
                 for item in items {
                     self.put(dialect, item);
                 }
                 *as_of
             }
-            Seen::Changes { changes, as_of } => {
+            StoreUpdate::Changes { changes, as_of } => {
                 for change in changes {
                     match change {
                         Change::Put(item) => self.put(dialect, item),
@@ -48,7 +48,7 @@
         self.as_of = Some(as_of);
     }
 
-    fn put(&mut self, dialect: &dyn Dialect, item: &Item) {
+    fn put(&mut self, dialect: &dyn PlatformCodec, item: &Item) {
         if let Some(zone) = dialect.evacuated(&item.key) {
             self.zones.insert(zone, item.revision);
         }
--- a/ashtiller/src/workflow/fact.rs
+++ b/ashtiller/src/workflow/fact.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::workflow::blame::Victim;
-use crate::workflow::interference::Lesson;
+use crate::workflow::blame::LostRun;
+use crate::workflow::interference::LearnedFactor;
 use crate::workflow::job::{Job, Policy};
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// One task of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -70,13 +70,13 @@
 
 /// One recorded event.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Fact {
+pub enum LogRecord {
     /// A job was accepted; it gets the next number.
     Accepted(Box<Job>, Policy, u64),
     /// A job was cancelled.
     Cancelled(u32),
     /// A run was given to a worker, to begin from a checkpoint.
-    Placed(Run, Life, Arc<str>),
+    Placed(Run, Incarnation, Arc<str>),
     /// A run ended, with its newest checkpoint.
     Ended(Run, End, Arc<str>),
     /// A job is given up.
@@ -88,18 +88,18 @@
     /// All machines of a wave have had theirs.
     WaveOver(u64),
     /// What was learned about images that disturb each other.
-    Learned(Vec<Lesson>),
+    Learned(Vec<LearnedFactor>),
     /// No owner before this epoch grants leases any more.
     Cleared(u64),
     /// A worker crashed under these runs.
-    Crashed(Life, Vec<Victim>),
+    Crashed(Incarnation, Vec<LostRun>),
     /// A task that was suspected of crashing workers is not any more.
     Absolved(Task),
 }
 
 /// An owner that another replaced.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Former {
+pub struct PreviousOwner {
     /// Where its peers reached it.
     pub address: std::net::SocketAddr,
     /// Random number of the process's life.
@@ -110,7 +110,7 @@
 
 /// The process that owns a log, as its lead key says.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Lead {
+pub struct LogOwner {
     /// Name of the instance.
     pub name: Arc<str>,
     /// Where its peers reach it.
@@ -120,17 +120,17 @@
     /// Processors of the largest instance that it knew, in thousandths.
     pub largest: u64,
     /// The owner that it replaced; none for the first owner of a log.
-    pub former: Option<Former>,
+    pub former: Option<PreviousOwner>,
     /// Revision of the lead key, which fences earlier owners; 0 until it is known.
     #[serde(default)]
     pub epoch: u64,
 }
 
-impl Lead {
+impl LogOwner {
     /// This owner as the one that another replaces.
     #[must_use]
-    pub fn as_former(&self) -> Former {
-        Former {
+    pub fn as_former(&self) -> PreviousOwner {
+        PreviousOwner {
             address: self.address,
             life: self.life,
             epoch: self.epoch,
--- a/ashtiller/src/workflow/follow.rs
+++ b/ashtiller/src/workflow/follow.rs
@@ -18,7 +18,7 @@
 use crate::clock::Moment;
 use crate::failure::Failure;
 use crate::workflow::kv::{Change, Item, Store, Watched};
-use crate::workflow::tempo::{PAUSE, Tempo};
+use crate::workflow::tempo::{PAUSE, StoreLatency};
 
 /// Wait of one watch where news also comes another way; the platform allows 30 s.
 /// Shorter, so that a watch that a silent store has forgotten is noticed.
@@ -41,7 +41,7 @@
 
 /// What was seen below a prefix.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum StoreUpdate {
     /// All that stands there, what changed last at the end.
     All {
         /// Items.
@@ -89,7 +89,7 @@
     store: Arc<dyn Store>,
     prefix: &'static str,
     patience: watch::Receiver<Duration>,
-    seen: mpsc::Sender<Seen>,
+    seen: mpsc::Sender<StoreUpdate>,
 ) {
     let now = Instant::now();
     let mut follower = Follower {
@@ -103,7 +103,7 @@
         lists: FuturesUnordered::new(),
         asked: now,
         due: now,
-        tempo: Tempo::default(),
+        tempo: StoreLatency::default(),
         slow: false,
     };
     let mut next = Next::List;
@@ -120,7 +120,7 @@
     store: Arc<dyn Store>,
     prefix: &'static str,
     patience: watch::Receiver<Duration>,
-    seen: mpsc::Sender<Seen>,
+    seen: mpsc::Sender<StoreUpdate>,
     /// Revision to watch from.
     at: u64,
     /// No change before this is missing.
@@ -133,7 +133,7 @@
     asked: Instant,
     /// When the next list is asked for, if one is wanted.
     due: Instant,
-    tempo: Tempo,
+    tempo: StoreLatency,
     /// Whether lists are read in place of watches.
     slow: bool,
 }
@@ -195,11 +195,11 @@
         self.as_of = as_of;
         if list.at < self.at {
             let changes = Vec::new();
-            return self.tell(Seen::Changes { changes, as_of }, next).await;
+            return self.tell(StoreUpdate::Changes { changes, as_of }, next).await;
         }
         self.at = list.at;
         let items = list.items;
-        self.tell(Seen::All { items, as_of }, next).await
+        self.tell(StoreUpdate::All { items, as_of }, next).await
     }
 
     /// Whether to watch from now on, or to list again since the store is too slow for it.
@@ -287,12 +287,12 @@
         let as_of = if whole { now.min(end) } else { asked };
         self.as_of = as_of;
         let next = self
-            .tell(Seen::Changes { changes, as_of }, Next::Watch)
+            .tell(StoreUpdate::Changes { changes, as_of }, Next::Watch)
             .await;
         (!cut || matches!(next, Next::End)).then_some(next)
     }
 
-    async fn tell(&mut self, seen: Seen, next: Next) -> Next {
+    async fn tell(&mut self, seen: StoreUpdate, next: Next) -> Next {
         match self.seen.send(seen).await {
             Ok(()) => next,
             Err(_) => Next::End,
--- a/ashtiller/src/workflow/interference.rs
+++ b/ashtiller/src/workflow/interference.rs
@@ -36,7 +36,7 @@
 
 /// A run that fills, beside a run that serves.
 #[derive(Clone, Copy, Debug)]
-pub struct Beside {
+pub struct NeighborFill {
     /// Image.
     pub image: Image,
     /// Share of the worker's processors that it uses.
@@ -138,8 +138,8 @@
 
     /// What fills beside an image take of its headroom.
     #[must_use]
-    pub fn pressure(&self, serves: Image, beside: &[Beside]) -> f64 {
-        let each = |fill: &Beside| self.factor(serves, fill.image) * fill.share;
+    pub fn pressure(&self, serves: Image, beside: &[NeighborFill]) -> f64 {
+        let each = |fill: &NeighborFill| self.factor(serves, fill.image) * fill.share;
         beside.iter().map(each).sum()
     }
 
@@ -155,7 +155,7 @@
     /// Learns from a report: how many times faster than its target an image answers
     /// beside these fills, and its headroom without them where that is known from
     /// elsewhere.
-    pub fn learn(&mut self, serves: Image, times: f64, own: Option<f64>, beside: &[Beside]) {
+    pub fn learn(&mut self, serves: Image, times: f64, own: Option<f64>, beside: &[NeighborFill]) {
         if beside.is_empty() {
             self.learn_usual(serves, times);
             return;
@@ -164,7 +164,7 @@
         let expected = own.unwrap_or(1.0) - self.pressure(serves, beside);
         let error = expected - self.headroom(serves, times);
         let each =
-            |fill: &Beside| fill.share * fill.share * self.known(serves, fill.image).variance;
+            |fill: &NeighborFill| fill.share * fill.share * self.known(serves, fill.image).variance;
         let spread = beside.iter().map(each).sum::<f64>() + noise;
         for fill in beside {
             let factor = self.factor_mut(serves, fill.image);
@@ -177,14 +177,14 @@
 
     /// What was learned, to be kept for a later owner.
     #[must_use]
-    pub fn export(&self) -> Vec<Lesson> {
+    pub fn export(&self) -> Vec<LearnedFactor> {
         let rows = self.names.iter().zip(&self.factors);
         let pairs = rows.flat_map(|(serves, row)| {
             let pairs = self.names.iter().zip(row);
             pairs.map(move |(fills, factor)| (serves, fills, factor))
         });
         let learned = pairs.filter(|(_, _, factor)| **factor != FIRST);
-        let pairs = learned.map(|(serves, fills, factor)| Lesson {
+        let pairs = learned.map(|(serves, fills, factor)| LearnedFactor {
             serves: serves.clone(),
             fills: fills.clone(),
             factor: factor.value,
@@ -192,19 +192,19 @@
         });
         let alone = self.names.iter().zip(&self.usual);
         let seen = alone.filter(|(_, usual)| usual.reports > 0);
-        let alone = seen.map(|(serves, usual)| Lesson {
+        let alone = seen.map(|(serves, usual)| LearnedFactor {
             serves: serves.clone(),
             fills: Arc::from(""),
             factor: usual.value,
             variance: 1.0 / f64::from(usual.reports),
         });
-        let mut lessons: Vec<Lesson> = pairs.chain(alone).collect();
+        let mut lessons: Vec<LearnedFactor> = pairs.chain(alone).collect();
         lessons.sort_by(|one, two| (&one.serves, &one.fills).cmp(&(&two.serves, &two.fills)));
         lessons
     }
 
     /// Takes over what an earlier owner learned.
-    pub fn import(&mut self, lessons: &[Lesson]) {
+    pub fn import(&mut self, lessons: &[LearnedFactor]) {
         for lesson in lessons {
             let serves = self.number(&lesson.serves);
             if lesson.fills.is_empty() {
@@ -222,7 +222,7 @@
 
 /// What was learned about one pair of images, or about one image by itself.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Lesson {
+pub struct LearnedFactor {
     /// Image that serves.
     pub serves: Arc<str>,
     /// Image that fills; empty for a lesson about the image that serves by itself.
@@ -234,7 +234,7 @@
     pub variance: f64,
 }
 
-impl Lesson {
+impl LearnedFactor {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/ashtiller/src/workflow/lease.rs
+++ b/ashtiller/src/workflow/lease.rs
@@ -22,7 +22,7 @@
 
 /// Time on this clock within which a worker's clock has certainly gone on by `span`.
 #[must_use]
-pub fn stretch(span: Duration) -> Duration {
+pub fn worst_case_elapsed(span: Duration) -> Duration {
     span * 100 / (100 - SLOW_PERCENT) + MARGIN
 }
 
@@ -52,7 +52,7 @@
     /// The worker has heard this owner's fence for the first time: earlier owners'
     /// grants are at most `longest` from now.
     pub fn fence(&mut self, now: Duration, longest: Duration) {
-        self.bound = self.bound.min(now + stretch(longest));
+        self.bound = self.bound.min(now + worst_case_elapsed(longest));
     }
 
     /// Whether a clock that answers a call sent at `sent` reads less than the worker's did
@@ -93,7 +93,7 @@
     pub fn grant(&mut self, now: Duration, length: Duration) -> Option<u64> {
         let (clock, at) = self.stamp?;
         let since = now.saturating_sub(at) + length;
-        self.bound = self.bound.max(at + stretch(since));
+        self.bound = self.bound.max(at + worst_case_elapsed(since));
         let until = clock.saturating_add(u64::try_from(since.as_millis()).unwrap_or(u64::MAX));
         self.until = self.until.max(until);
         Some(until)
@@ -103,6 +103,6 @@
     /// clock said, at most `longest` from now.
     pub fn note_lag(&mut self, clock: u64, now: Duration, longest: Duration) {
         let left = Duration::from_millis(self.until.saturating_sub(clock));
-        self.extend(now + stretch(left.min(longest)));
+        self.extend(now + worst_case_elapsed(left.min(longest)));
     }
 }
--- a/ashtiller/src/workflow/life.rs
+++ b/ashtiller/src/workflow/life.rs
@@ -21,14 +21,14 @@
 /// life, and which of them is the newer one only an answer tells. Where a platform's messages
 /// have no births, the id alone names a life.
 #[derive(Clone)]
-pub struct Life {
+pub struct Incarnation {
     /// The id, and the birth behind a mark if there is one.
     text: Arc<str>,
     /// Length of the id in bytes.
     id: usize,
 }
 
-impl Life {
+impl Incarnation {
     /// The life of a worker that was born at this millisecond since the Unix epoch, if that is
     /// known.
     #[must_use]
@@ -54,7 +54,7 @@
 
     /// Whether both are lives of one worker.
     #[must_use]
-    pub fn is_kin(&self, other: &Self) -> bool {
+    pub fn is_same_worker(&self, other: &Self) -> bool {
         self.id() == other.id()
     }
 
@@ -65,7 +65,7 @@
     }
 }
 
-impl From<&str> for Life {
+impl From<&str> for Incarnation {
     /// Reads a life's text; one without a birth is an id.
     fn from(text: &str) -> Self {
         let id = match text.rsplit_once(MARK) {
@@ -79,63 +79,63 @@
     }
 }
 
-impl From<String> for Life {
+impl From<String> for Incarnation {
     fn from(text: String) -> Self {
         text.as_str().into()
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(&self.text)
     }
 }
 
-impl fmt::Debug for Life {
+impl fmt::Debug for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(&self.text, f)
     }
 }
 
-impl PartialEq for Life {
+impl PartialEq for Incarnation {
     fn eq(&self, other: &Self) -> bool {
         self.text == other.text
     }
 }
 
-impl Eq for Life {}
+impl Eq for Incarnation {}
 
-impl PartialOrd for Life {
+impl PartialOrd for Incarnation {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Life {
+impl Ord for Incarnation {
     fn cmp(&self, other: &Self) -> Ordering {
         self.text.cmp(&other.text)
     }
 }
 
-impl Hash for Life {
+impl Hash for Incarnation {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.text.hash(state);
     }
 }
 
-impl Borrow<str> for Life {
+impl Borrow<str> for Incarnation {
     fn borrow(&self) -> &str {
         &self.text
     }
 }
 
-impl Serialize for Life {
+impl Serialize for Incarnation {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         self.text.serialize(serializer)
     }
 }
 
-impl<'de> Deserialize<'de> for Life {
+impl<'de> Deserialize<'de> for Incarnation {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text: Arc<str> = Deserialize::deserialize(deserializer)?;
         Ok(Self::from(&*text))
--- a/ashtiller/src/workflow/link.rs
+++ b/ashtiller/src/workflow/link.rs
@@ -17,7 +17,7 @@
 use crate::calls;
 use crate::meter;
 use crate::schema::entry_capnp::entry;
-use crate::workflow::message::{Ask, Reply};
+use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::traffic::{self, Way};
 
 /// Time after which unacknowledged bytes break a connection.
@@ -50,23 +50,23 @@
 }
 
 /// Answers questions of other instances.
-pub trait Answers {
+pub trait RequestHandler {
     /// Answers one question.
-    fn answer(self: Rc<Self>, ask: Ask) -> LocalBoxFuture<'static, Reply>;
+    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply>;
 }
 
 struct Hosted<A> {
     answers: Rc<A>,
 }
 
-impl<A: Answers + 'static> entry::Server for Hosted<A> {
+impl<A: RequestHandler + 'static> entry::Server for Hosted<A> {
     async fn ask(
         self: Rc<Self>,
         params: entry::AskParams,
         mut results: entry::AskResults,
     ) -> Result<(), capnp::Error> {
         let request = params.get()?.get_request()?;
-        let ask: Ask = postcard::from_bytes(request)
+        let ask: PeerRequest = postcard::from_bytes(request)
             .map_err(|error| capnp::Error::failed(format!("decode question: {error}")))?;
         let kind = ask.kind();
         traffic::note(kind, Way::Received, request.len());
@@ -80,7 +80,7 @@
 }
 
 /// Answers other instances on `listener` until the task is dropped.
-pub async fn serve<A: Answers + 'static>(listener: TcpListener, answers: Rc<A>) {
+pub async fn serve<A: RequestHandler + 'static>(listener: TcpListener, answers: Rc<A>) {
     let bytes = Arc::new(meter::Bytes::default());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -94,7 +94,7 @@
 }
 
 /// Answers another instance on one connection.
-pub fn host<A: Answers + 'static>(
+pub fn host<A: RequestHandler + 'static>(
     stream: impl Stream + 'static,
     answers: Rc<A>,
     bytes: &Arc<meter::Bytes>,
--- a/ashtiller/src/workflow/live.rs
+++ b/ashtiller/src/workflow/live.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::workflow::interference::Image;
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// How far the start of a run has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -23,14 +23,14 @@
     /// It is to go on.
     None,
     /// It is to be stopped, for this reason.
-    Wanted(Reason),
+    Wanted(StopReason),
     /// The worker confirmed the stop at this time.
     Confirmed(Duration),
 }
 
 /// Why a run is stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum StopReason {
     /// Its job is over.
     Over,
     /// A copy of it has done the work.
@@ -55,7 +55,7 @@
 
 /// How a run shares its worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Share {
+pub enum RunSharing {
     /// It keeps to what it asked for.
     Apart,
     /// It serves, with this latency target in milliseconds.
@@ -68,9 +68,9 @@
 #[derive(Clone, Debug)]
 pub struct LiveRun {
     /// Worker.
-    pub worker: Life,
+    pub worker: Incarnation,
     /// How it shares its worker.
-    pub share: Share,
+    pub share: RunSharing,
     /// How far its start has come.
     pub stage: Stage,
     /// How far its stop has come.
@@ -128,7 +128,7 @@
 impl LiveRun {
     /// A run that was just placed.
     #[must_use]
-    pub fn new(worker: Life, stage: Stage, share: Share, asked: f64, now: Duration) -> Self {
+    pub fn new(worker: Incarnation, stage: Stage, share: RunSharing, asked: f64, now: Duration) -> Self {
         Self {
             worker,
             share,
@@ -174,7 +174,7 @@
     }
 
     /// Asks for its stop, unless that was asked before.
-    pub fn want_stop(&mut self, reason: Reason) {
+    pub fn want_stop(&mut self, reason: StopReason) {
         if self.stop == Stop::None {
             self.stop = Stop::Wanted(reason);
         }
--- a/ashtiller/src/workflow/load.rs
+++ b/ashtiller/src/workflow/load.rs
@@ -20,7 +20,7 @@
 
 /// Reports of one job's services.
 #[derive(Clone, Debug, Default)]
-pub struct Track {
+pub struct HeadroomHistory {
     reports: VecDeque<(Duration, f64, f64)>,
     /// What was worked out last, and when.
     known: Option<(Duration, Option<Trend>)>,
@@ -35,7 +35,7 @@
     pub slope: f64,
 }
 
-impl Track {
+impl HeadroomHistory {
     /// Takes a report: the headroom that would be there without fills of this pressure.
     pub fn note(&mut self, share: f64, pressure: f64, now: Duration) {
         let doubt = pressure / DOUBT;
--- a/ashtiller/src/workflow/log/compaction.rs
+++ b/ashtiller/src/workflow/log/compaction.rs
@@ -10,7 +10,7 @@
 use tokio::time::{self, Instant};
 
 use crate::failure::{Effect, Failure};
-use crate::workflow::book::Book;
+use crate::workflow::book::LogState;
 use crate::workflow::kv::{Committed, Txn};
 use crate::workflow::log::{Base, Log};
 use crate::workflow::snapshot;
@@ -177,10 +177,10 @@
     }
 
     /// Reads the newest snapshot, and the position after which entries follow it.
-    pub(super) async fn read_snapshot(&self) -> Result<(Book, u64), Failure> {
+    pub(super) async fn read_snapshot(&self) -> Result<(LogState, u64), Failure> {
         let key = self.base_key();
         let Some(item) = self.store.get(&key, false).await? else {
-            return Ok((Book::default(), 0));
+            return Ok((LogState::default(), 0));
         };
         let base: Base = postcard::from_bytes(&item.value)
             .map_err(|error| Failure::none("decode base", &key, error))?;
--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -16,8 +16,8 @@
 
 use crate::clock::Moment;
 use crate::failure::Failure;
-use crate::workflow::book::Book;
-use crate::workflow::fact::{Fact, Lead};
+use crate::workflow::book::LogState;
+use crate::workflow::fact::{LogRecord, LogOwner};
 use crate::workflow::kv::{Committed, Store, Txn};
 
 pub use compaction::PartSize;
@@ -48,7 +48,7 @@
     /// Life of the writer, to tell its own entries.
     life: u64,
     /// What happened.
-    facts: Vec<Fact>,
+    facts: Vec<LogRecord>,
 }
 
 /// The newest entry as it was seen at a time.
@@ -85,7 +85,7 @@
 /// A log as its new owner finds it.
 pub struct Replayed {
     /// Every job.
-    pub book: Book,
+    pub book: LogState,
     /// Position of the next entry.
     pub next: u64,
 }
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// The store did not answer, or the key cannot be read.
-    pub async fn read_lead(&self, stale: bool) -> Result<Option<Lead>, Failure> {
+    pub async fn read_lead(&self, stale: bool) -> Result<Option<LogOwner>, Failure> {
         let key = self.lead_key();
         let Some(item) = self.store.get(&key, stale).await? else {
             return Ok(None);
@@ -141,7 +141,7 @@
     ///
     /// # Errors
     /// The store did not answer; the lead may have been written.
-    pub async fn seize(&self, mine: &Lead, former: u64) -> Result<Seized, Failure> {
+    pub async fn seize(&self, mine: &LogOwner, former: u64) -> Result<Seized, Failure> {
         let key = self.lead_key();
         let value =
             postcard::to_stdvec(mine).map_err(|error| Failure::none("encode lead", &key, error))?;
@@ -234,7 +234,7 @@
     ///
     /// # Errors
     /// It cannot be encoded.
-    pub fn encode(&self, facts: Vec<Fact>) -> Result<Bytes, Failure> {
+    pub fn encode(&self, facts: Vec<LogRecord>) -> Result<Bytes, Failure> {
         let entry = Entry {
             life: self.life,
             facts,
@@ -313,15 +313,15 @@
     /// It is ours, at this epoch.
     Mine(u64),
     /// Another process has it.
-    Theirs(Option<Lead>),
+    Theirs(Option<LogOwner>),
 }
 
 /// The owner that a lead key names. Others may write there too: what cannot be read names an
 /// owner that is nowhere, which ends the one before and is replaced like any that has ended.
-fn decode_lead(key: &str, value: &[u8], revision: u64) -> Lead {
+fn decode_lead(key: &str, value: &[u8], revision: u64) -> LogOwner {
     let lead = postcard::from_bytes(value).unwrap_or_else(|error| {
         tracing::error!(key, revision, %error, "lead cannot be read; nobody owns the log");
-        Lead {
+        LogOwner {
             name: "".into(),
             address: NOWHERE,
             life: 0,
@@ -330,7 +330,7 @@
             epoch: 0,
         }
     });
-    Lead {
+    LogOwner {
         epoch: revision,
         ..lead
     }
--- a/ashtiller/src/workflow/machines.rs
+++ b/ashtiller/src/workflow/machines.rs
@@ -42,7 +42,7 @@
 
 /// An order to a machine; all that runs there dies.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Duty {
+pub enum MachineOrder {
     /// Upkeep as part of this wave.
     Upkeep(u64),
     /// A move to this pool.
@@ -81,6 +81,6 @@
         &'a self,
         holder: &'a Holder,
         machine: &'a str,
-        duty: &'a Duty,
+        duty: &'a MachineOrder,
     ) -> Called<'a, Done>;
 }
--- a/ashtiller/src/workflow/membership/campaign.rs
+++ b/ashtiller/src/workflow/membership/campaign.rs
@@ -10,11 +10,11 @@
 use tokio::time::{self, Instant};
 
 use crate::failure::{Effect, Failure};
-use crate::workflow::fact::{Former, Lead};
+use crate::workflow::fact::{PreviousOwner, LogOwner};
 use crate::workflow::log::{Seized, Sight};
 use crate::workflow::membership::heir;
 use crate::workflow::membership::succession;
-use crate::workflow::message::{Ask, Hello, Reply};
+use crate::workflow::message::{PeerRequest, Heartbeat, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner;
 
@@ -88,7 +88,7 @@
     for address in node.others() {
         match node
             .links
-            .ask("ask for the owner", address, &Ask::Lead, LEAD_LIMIT)
+            .ask("ask for the owner", address, &PeerRequest::Lead, LEAD_LIMIT)
             .await
         {
             Ok(Reply::Lead(Some(lead))) => node.adopt_lead(&lead),
@@ -99,14 +99,14 @@
 }
 
 /// Heartbeats until the owner is lost.
-async fn follow(node: &Rc<Node>, lead: &Lead) -> Loss {
+async fn follow(node: &Rc<Node>, lead: &LogOwner) -> Loss {
     let mut patience = Instant::now() + BEGIN;
     loop {
         if node.lead().is_none_or(|known| known.epoch != lead.epoch) {
             return Loss::Replaced;
         }
         let began = Instant::now();
-        let hello = Ask::Hello(Hello {
+        let hello = PeerRequest::Heartbeat(Heartbeat {
             member: node.as_member(),
             config: node.config().version,
             members: node.members_version(),
@@ -149,8 +149,8 @@
 /// One heartbeat, with the log as it was when the answer was late.
 async fn greet(
     node: &Rc<Node>,
-    lead: &Lead,
-    hello: &Ask,
+    lead: &LogOwner,
+    hello: &PeerRequest,
 ) -> (Result<Reply, Failure>, Option<Sight>) {
     let answer = node
         .links
@@ -184,8 +184,8 @@
     silent.then_some(Loss::Silent(sight))
 }
 
-async fn send_config(node: &Rc<Node>, lead: &Lead) {
-    let config = Ask::Config(Box::new((*node.config()).clone()));
+async fn send_config(node: &Rc<Node>, lead: &LogOwner) {
+    let config = PeerRequest::Config(Box::new((*node.config()).clone()));
     if let Err(failure) = node
         .links
         .ask("send configuration", lead.address, &config, LEAD_LIMIT)
@@ -196,7 +196,7 @@
 }
 
 /// How long this instance leaves it to others to replace an owner.
-fn wait_of(node: &Node, lead: &Lead) -> Duration {
+fn wait_of(node: &Node, lead: &LogOwner) -> Duration {
     let own = node.settings.entry.processors;
     let name = &node.settings.instance.name;
     let rank = succession::rank(own, name, &lead.name, &node.members());
@@ -206,7 +206,7 @@
 }
 
 /// Tries to replace an owner that was lost.
-async fn replace(node: &Rc<Node>, lead: &Lead, loss: Loss) {
+async fn replace(node: &Rc<Node>, lead: &LogOwner, loss: Loss) {
     if node.is_leaving() {
         time::sleep(PAUSE).await;
         find_lead(node).await;
@@ -237,7 +237,7 @@
 }
 
 /// Whether an owner that does not answer here still writes to its log.
-async fn is_alive(node: &Rc<Node>, lead: &Lead, sight: Option<Sight>) -> bool {
+async fn is_alive(node: &Rc<Node>, lead: &LogOwner, sight: Option<Sight>) -> bool {
     let grown = async {
         let since = match sight {
             Some(sight) => sight,
@@ -278,7 +278,7 @@
 }
 
 /// The owner asks this instance to go on in its place.
-pub async fn take_over(node: &Rc<Node>, lead: &Lead) {
+pub async fn take_over(node: &Rc<Node>, lead: &LogOwner) {
     if node.owns() || node.is_leaving() {
         return;
     }
@@ -286,12 +286,12 @@
     seize(node, Some(lead.as_former())).await;
 }
 
-async fn seize(node: &Rc<Node>, former: Option<Former>) {
+async fn seize(node: &Rc<Node>, former: Option<PreviousOwner>) {
     let mine = node.as_lead(former);
     let replaced = former.map_or(0, |former| former.epoch);
     match node.log.seize(&mine, replaced).await {
         Ok(Seized::Mine(epoch)) => {
-            let lead = Lead { epoch, ..mine };
+            let lead = LogOwner { epoch, ..mine };
             owner::spawn(node, lead);
         }
         Ok(Seized::Theirs(Some(lead))) => node.adopt_lead(&lead),
--- a/ashtiller/src/workflow/message.rs
+++ b/ashtiller/src/workflow/message.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::workflow::config::Config;
-use crate::workflow::fact::{Former, Lead, Outcome};
+use crate::workflow::fact::{PreviousOwner, LogOwner, Outcome};
 use crate::workflow::job::Job;
 use crate::workflow::membership::member::{Member, News, Version};
 use crate::workflow::relay::{Parcels, Results};
 
 /// A heartbeat.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Hello {
+pub struct Heartbeat {
     /// Sender.
     pub member: Member,
     /// Version of its configuration.
@@ -23,18 +23,18 @@
 
 /// A question.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// A follower's heartbeat.
-    Hello(Hello),
+    Heartbeat(Heartbeat),
     /// Who owns the log?
     Lead,
     /// The sender owns the log, or was told who does.
-    Leads(Lead),
+    OwnerIs(LogOwner),
     /// Take over the log; the sender cannot go on.
-    TakeOver(Lead),
+    TakeOver(LogOwner),
     /// Has the owner at this epoch, in the process with this life, ended? The sender has
     /// replaced it.
-    HasEnded(Former),
+    HasEnded(PreviousOwner),
     /// The sender has a newer configuration.
     Config(Box<Config>),
     /// Accept a job.
@@ -46,32 +46,32 @@
     /// How many jobs of a queue have not begun?
     Pending(Arc<str>),
     /// Make these calls to workers.
-    Carry(Box<Parcels>),
+    RelayCalls(Box<Parcels>),
     /// What came of calls that the sender was given.
-    Carried(Box<Results>),
+    RelayResults(Box<Results>),
 }
 
-impl Ask {
+impl PeerRequest {
     /// What it is for, in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
-            Self::Hello(_) => "heartbeat",
-            Self::Lead | Self::Leads(_) | Self::TakeOver(_) | Self::HasEnded(_) => "ownership",
+            Self::Heartbeat(_) => "heartbeat",
+            Self::Lead | Self::OwnerIs(_) | Self::TakeOver(_) | Self::HasEnded(_) => "ownership",
             Self::Config(_) => "configuration",
             Self::Submit(_) => "submit",
             Self::State(_) => "state",
             Self::Cancel(_) => "cancel",
             Self::Pending(_) => "pending",
-            Self::Carry(_) => "relay_calls",
-            Self::Carried(_) => "relay_results",
+            Self::RelayCalls(_) => "relay_calls",
+            Self::RelayResults(_) => "relay_results",
         }
     }
 }
 
 /// An answer to [`Ask::Hello`].
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Welcome {
+pub struct HeartbeatReply {
     /// Whether the answering process owns the log at this epoch; 0 if it does not.
     pub epoch: u64,
     /// Life of the answering process.
@@ -103,9 +103,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Reply {
     /// To a heartbeat.
-    Welcome(Box<Welcome>),
+    Welcome(Box<HeartbeatReply>),
     /// Who owns the log, as far as the process knows.
-    Lead(Option<Lead>),
+    Lead(Option<LogOwner>),
     /// Taken note of.
     Noted,
     /// Whether the owner has ended and never comes back.
--- a/ashtiller/src/workflow/metrics.rs
+++ b/ashtiller/src/workflow/metrics.rs
@@ -14,7 +14,7 @@
 use crate::workflow::core::times::Times;
 use crate::workflow::core::waits::Waits;
 use crate::workflow::message::Reply;
-use crate::workflow::pressure::Pressure;
+use crate::workflow::pressure::Congestion;
 use crate::workflow::traffic;
 
 /// Bounds of the histograms in seconds: from a call within a zone to a client's wait.
@@ -220,7 +220,7 @@
 
     /// How much the owner has under way, and what goes over relays.
     #[expect(clippy::cast_precision_loss, reason = "counts for a gauge")]
-    pub fn note_pressure(&self, pressure: &Pressure, relays: usize, carried: u64) {
+    pub fn note_pressure(&self, pressure: &Congestion, relays: usize, carried: u64) {
         let figures = [
             ("window", pressure.window()),
             ("under_way", pressure.under_way() as f64),
--- a/ashtiller/src/workflow/node/answer.rs
+++ b/ashtiller/src/workflow/node/answer.rs
@@ -5,15 +5,15 @@
 
 use futures_util::future::LocalBoxFuture;
 
-use crate::workflow::link::Answers;
+use crate::workflow::link::RequestHandler;
 use crate::workflow::membership::campaign;
 use crate::workflow::membership::member::Version;
-use crate::workflow::message::{Ask, Hello, Reply, Welcome};
+use crate::workflow::message::{PeerRequest, Heartbeat, Reply, HeartbeatReply};
 use crate::workflow::node::Node;
 use crate::workflow::node::ask::ASK_LIMIT;
 
 impl Node {
-    fn welcome(&self, hello: &Hello) -> Welcome {
+    fn welcome(&self, hello: &Heartbeat) -> HeartbeatReply {
         let config = self.config();
         if hello.config > config.version {
             // The sender's own heartbeat brings it when it sees our version.
@@ -31,7 +31,7 @@
             (None, Version::default())
         };
         let newer = config.version > hello.config;
-        Welcome {
+        HeartbeatReply {
             epoch: if owns {
                 self.lead().map_or(0, |lead| lead.epoch)
             } else {
@@ -47,31 +47,31 @@
     }
 }
 
-impl Answers for Node {
-    fn answer(self: Rc<Self>, ask: Ask) -> LocalBoxFuture<'static, Reply> {
+impl RequestHandler for Node {
+    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
         Box::pin(async move {
             match ask {
-                Ask::Hello(hello) => Reply::Welcome(Box::new(self.welcome(&hello))),
-                Ask::Lead => Reply::Lead(self.lead()),
-                Ask::Leads(lead) => {
+                PeerRequest::Heartbeat(hello) => Reply::Welcome(Box::new(self.welcome(&hello))),
+                PeerRequest::Lead => Reply::Lead(self.lead()),
+                PeerRequest::OwnerIs(lead) => {
                     self.adopt_lead(&lead);
                     Reply::Noted
                 }
                 // One that begins late finds the log replaced before it does anything.
-                Ask::HasEnded(former) => Reply::Ended(former.life != self.life || !self.owns()),
-                Ask::Config(config) => {
+                PeerRequest::HasEnded(former) => Reply::Ended(former.life != self.life || !self.owns()),
+                PeerRequest::Config(config) => {
                     self.adopt_config(&Arc::new(*config));
                     Reply::Noted
                 }
-                Ask::TakeOver(lead) => {
+                PeerRequest::TakeOver(lead) => {
                     campaign::take_over(&self, &lead).await;
                     Reply::Lead(self.lead())
                 }
-                Ask::Carry(parcels) => {
+                PeerRequest::RelayCalls(parcels) => {
                     self.carrier.carry(*parcels);
                     Reply::Noted
                 }
-                Ask::Carried(results) => {
+                PeerRequest::RelayResults(results) => {
                     self.calls.take(*results);
                     Reply::Noted
                 }
--- a/ashtiller/src/workflow/node/ask.rs
+++ b/ashtiller/src/workflow/node/ask.rs
@@ -6,7 +6,7 @@
 use tokio::time::{self, Instant};
 
 use crate::failure::{Effect, Failure};
-use crate::workflow::message::{Ask, Reply};
+use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner::Asked;
 
@@ -17,7 +17,7 @@
 
 impl Node {
     /// Asks the owner of the log, wherever it is, and goes on until `deadline`.
-    pub async fn ask_owner(&self, ask: &Ask, deadline: Instant) -> Reply {
+    pub async fn ask_owner(&self, ask: &PeerRequest, deadline: Instant) -> Reply {
         // Epoch of the last owner that may have done it.
         let mut doubt = None;
         loop {
@@ -49,7 +49,7 @@
         }
     }
 
-    async fn try_owner(&self, ask: &Ask, deadline: Instant) -> Result<Reply, Failure> {
+    async fn try_owner(&self, ask: &PeerRequest, deadline: Instant) -> Result<Reply, Failure> {
         let left = deadline.saturating_duration_since(Instant::now());
         if self.owns() {
             return Ok(self.ask_here(ask.clone(), left).await);
@@ -63,7 +63,7 @@
     }
 
     /// Asks the log that this process owns.
-    pub(super) async fn ask_here(&self, ask: Ask, limit: Duration) -> Reply {
+    pub(super) async fn ask_here(&self, ask: PeerRequest, limit: Duration) -> Reply {
         let Some(owner) = self.owner.borrow().clone() else {
             return Reply::NotOwner;
         };
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -16,10 +16,10 @@
 
 use crate::clock::Moment;
 use crate::workflow::advisor::Advisor;
-use crate::workflow::agents::Agents;
-use crate::workflow::config::{Config, Dialect};
+use crate::workflow::agents::WorkerClient;
+use crate::workflow::config::{Config, PlatformCodec};
 use crate::workflow::evacuations::Evacuations;
-use crate::workflow::fact::{Former, Lead};
+use crate::workflow::fact::{PreviousOwner, LogOwner};
 use crate::workflow::follow;
 use crate::workflow::kv::Store;
 use crate::workflow::link::Tcp;
@@ -28,10 +28,10 @@
 use crate::workflow::membership::campaign;
 use crate::workflow::membership::member::{Member, News, Version};
 use crate::workflow::membership::members::Members;
-use crate::workflow::message::Hello;
+use crate::workflow::message::Heartbeat;
 use crate::workflow::metrics::Metrics;
 use crate::workflow::owner::Asked;
-use crate::workflow::peers::Links;
+use crate::workflow::peers::PeerConnections;
 use crate::workflow::relay::carrier::Carrier;
 use crate::workflow::relay::sender::Sender;
 use crate::workflow::settings::Settings;
@@ -46,15 +46,15 @@
     /// Key-value service.
     pub store: Arc<dyn Store>,
     /// Workers.
-    pub agents: Arc<dyn Agents>,
+    pub agents: Arc<dyn WorkerClient>,
     /// Advisor on workers, if there is one.
     pub advisor: Option<Arc<dyn Advisor>>,
     /// Machines, if there is an interface to them.
     pub machines: Option<Arc<dyn Machines>>,
     /// Reader of what the platform keeps in the store.
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn PlatformCodec>,
     /// Connections to other instances.
-    pub links: Rc<Links>,
+    pub links: Rc<PeerConnections>,
     /// Calls to workers for owners elsewhere.
     pub carrier: Rc<Carrier>,
     /// Calls to workers for the owner here.
@@ -65,7 +65,7 @@
     pub log: Log,
     /// Random number of this process's life.
     pub life: u64,
-    lead: watch::Sender<Option<Lead>>,
+    lead: watch::Sender<Option<LogOwner>>,
     config: watch::Sender<Arc<Config>>,
     waves: watch::Sender<BTreeMap<u64, Wave>>,
     evacuations: watch::Sender<Evacuations>,
@@ -84,13 +84,13 @@
     /// Key-value service.
     pub store: Arc<dyn Store>,
     /// Workers.
-    pub agents: Arc<dyn Agents>,
+    pub agents: Arc<dyn WorkerClient>,
     /// Advisor on workers, if there is one.
     pub advisor: Option<Arc<dyn Advisor>>,
     /// Machines, if there is an interface to them.
     pub machines: Option<Arc<dyn Machines>>,
     /// Reader of what the platform keeps in the store.
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn PlatformCodec>,
 }
 
 impl Node {
@@ -108,7 +108,7 @@
             dialect,
         } = outside;
         let metrics = Metrics::open()?;
-        let links = Links::over(Rc::new(Tcp), metrics.silent_links());
+        let links = PeerConnections::over(Rc::new(Tcp), metrics.silent_links());
         Ok(Rc::new(Self {
             log: Log::new(store.clone(), PREFIX, life),
             store,
@@ -236,18 +236,18 @@
 
     /// Who owns the log, as far as is known.
     #[must_use]
-    pub fn lead(&self) -> Option<Lead> {
+    pub fn lead(&self) -> Option<LogOwner> {
         self.lead.borrow().clone()
     }
 
     /// Follows who owns the log.
     #[must_use]
-    pub fn watch_lead(&self) -> watch::Receiver<Option<Lead>> {
+    pub fn watch_lead(&self) -> watch::Receiver<Option<LogOwner>> {
         self.lead.subscribe()
     }
 
     /// Takes note of an owner, unless a later one is known.
-    pub fn adopt_lead(&self, lead: &Lead) {
+    pub fn adopt_lead(&self, lead: &LogOwner) {
         let adopted = self.lead.send_if_modified(|current| {
             let newer = current
                 .as_ref()
@@ -264,8 +264,8 @@
 
     /// This process as an owner in place of `former`, at an epoch that is not known yet.
     #[must_use]
-    pub fn as_lead(&self, former: Option<Former>) -> Lead {
-        Lead {
+    pub fn as_lead(&self, former: Option<PreviousOwner>) -> LogOwner {
+        LogOwner {
             former,
             name: self.settings.instance.name.clone(),
             address: self.settings.entry.peers,
@@ -326,7 +326,7 @@
 
     /// Takes note of a heartbeat; the result is what the sender has missed of the members, and
     /// as of when it knows them then.
-    fn hear_member(&self, hello: &Hello) -> (Option<News>, Version) {
+    fn hear_member(&self, hello: &Heartbeat) -> (Option<News>, Version) {
         let mut members = self.members.borrow_mut();
         members.hear(hello.member.clone());
         (members.news(hello.members), members.version())
--- a/ashtiller/src/workflow/node/news.rs
+++ b/ashtiller/src/workflow/node/news.rs
@@ -8,8 +8,8 @@
 use tokio::task;
 use tokio::time::{self, Instant};
 
-use crate::workflow::config::Operated;
-use crate::workflow::follow::{self, Seen};
+use crate::workflow::config::OperatorEntry;
+use crate::workflow::follow::{self, StoreUpdate};
 use crate::workflow::kv::{Change, Item};
 use crate::workflow::node::Node;
 
@@ -31,14 +31,14 @@
             self.evacuations
                 .send_modify(|known| known.take(&*self.dialect, &seen));
             let items = match seen {
-                Seen::All { items, .. } => items,
-                Seen::Changes { changes, .. } => changes.into_iter().filter_map(put_of).collect(),
+                StoreUpdate::All { items, .. } => items,
+                StoreUpdate::Changes { changes, .. } => changes.into_iter().filter_map(put_of).collect(),
             };
             for item in items {
                 match self.dialect.operated(&item.key, &item.value) {
-                    Ok(Operated::Config(config)) => self.adopt_config(&Arc::new(config)),
-                    Ok(Operated::Wave(wave)) => self.adopt_wave(wave),
-                    Ok(Operated::Other) => {}
+                    Ok(OperatorEntry::Config(config)) => self.adopt_config(&Arc::new(config)),
+                    Ok(OperatorEntry::Wave(wave)) => self.adopt_wave(wave),
+                    Ok(OperatorEntry::Other) => {}
                     Err(error) => {
                         tracing::error!(key = %item.key, revision = item.revision, %error,
                             "configuration cannot be read; the last good one stays");
--- a/ashtiller/src/workflow/owner/carry.rs
+++ b/ashtiller/src/workflow/owner/carry.rs
@@ -6,7 +6,7 @@
 use crate::failure::Failure;
 use crate::workflow::core::Effect;
 use crate::workflow::core::advice::Question;
-use crate::workflow::fact::Fact;
+use crate::workflow::fact::LogRecord;
 use crate::workflow::kv::Txn;
 use crate::workflow::log::Log;
 use crate::workflow::machines::Holder;
@@ -76,7 +76,7 @@
         }
     }
 
-    pub(super) fn append(&mut self, position: u64, facts: Vec<Fact>) {
+    pub(super) fn append(&mut self, position: u64, facts: Vec<LogRecord>) {
         if Log::wants_snapshot(position) {
             match snapshot::encode(self.core.book()) {
                 Ok(bytes) => self.snapshot = Some((position, bytes)),
--- a/ashtiller/src/workflow/owner/former.rs
+++ b/ashtiller/src/workflow/owner/former.rs
@@ -5,8 +5,8 @@
 use tokio::task;
 use tokio::time;
 
-use crate::workflow::fact::Former;
-use crate::workflow::message::{Ask, Reply};
+use crate::workflow::fact::PreviousOwner;
+use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner::{Input, Owner};
 
@@ -43,11 +43,11 @@
 
 /// Whether an owner is known to have ended: its process says so, another process answers at
 /// its address, or nobody listens there any more.
-async fn has_ended(node: &std::rc::Rc<Node>, former: &Former) -> bool {
+async fn has_ended(node: &std::rc::Rc<Node>, former: &PreviousOwner) -> bool {
     if former.life == node.life {
         return true;
     }
-    let ask = Ask::HasEnded(*former);
+    let ask = PeerRequest::HasEnded(*former);
     match node
         .links
         .ask("ask former owner", former.address, &ask, ASK_LIMIT)
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -7,7 +7,7 @@
 
 use crate::workflow::core::Now;
 use crate::workflow::membership::heir::{self, Standing};
-use crate::workflow::message::{Ask, Reply};
+use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::owner::{HAND_OVER_PAUSE, Input, Owner, TAKE_OVER_LIMIT};
 
 /// Time after which an owner looks for a larger instance, so that members are known.
@@ -40,7 +40,7 @@
             "hands over the log");
         let (node, lead, sender) = (self.node.clone(), self.lead.clone(), self.sender.clone());
         task::spawn_local(async move {
-            let ask = Ask::TakeOver(lead.clone());
+            let ask = PeerRequest::TakeOver(lead.clone());
             let done = match node
                 .links
                 .ask("hand over", heir.address, &ask, TAKE_OVER_LIMIT)
--- a/ashtiller/src/workflow/owner/inputs.rs
+++ b/ashtiller/src/workflow/owner/inputs.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use crate::workflow::config::Listed;
+use crate::workflow::config::ListedWorker;
 use crate::workflow::core::{Now, Ticket};
 use crate::workflow::evacuations::Evacuations;
-use crate::workflow::follow::Seen;
+use crate::workflow::follow::StoreUpdate;
 use crate::workflow::kv::{Change, Item};
 use crate::workflow::log::{Lost, Written};
-use crate::workflow::message::{Ask, Reply};
+use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::owner::{Asked, Input, Owner};
 
 /// Inputs taken before the state machine is polled.
@@ -68,19 +68,19 @@
         }
     }
 
-    pub(super) fn take_workers(&mut self, seen: Seen, now: Now) {
+    pub(super) fn take_workers(&mut self, seen: StoreUpdate, now: Now) {
         self.node.note_store();
         let as_of = match seen {
-            Seen::All { items, as_of } => {
+            StoreUpdate::All { items, as_of } => {
                 let read = items.iter().map(|item| self.read_worker(item));
-                let read: Vec<Result<Listed, Arc<str>>> = read.collect();
+                let read: Vec<Result<ListedWorker, Arc<str>>> = read.collect();
                 let unread = read.iter().filter_map(|read| read.as_ref().err().cloned());
                 let unread: Vec<Arc<str>> = unread.collect();
                 let listed = read.into_iter().flatten().collect();
                 self.core.list_read(listed, &unread, now);
                 as_of
             }
-            Seen::Changes { changes, as_of } => {
+            StoreUpdate::Changes { changes, as_of } => {
                 for change in changes {
                     match change {
                         Change::Put(item) => {
@@ -110,7 +110,7 @@
 
     /// Reads a worker's entry. Others may write there too: what cannot be read names nobody,
     /// and says nothing new of a worker that is known.
-    fn read_worker(&mut self, item: &Item) -> Result<Listed, Arc<str>> {
+    fn read_worker(&mut self, item: &Item) -> Result<ListedWorker, Arc<str>> {
         match self.node.dialect.worker(&item.key, &item.value) {
             Ok(listed) => Ok(listed),
             Err(error) => {
@@ -150,14 +150,14 @@
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         let said = match ask {
-            Ask::State(id) => self.core.state(&id),
-            Ask::Pending(queue) => self.core.count_pending(&queue),
-            Ask::Submit(job) => {
+            PeerRequest::State(id) => self.core.state(&id),
+            PeerRequest::Pending(queue) => self.core.count_pending(&queue),
+            PeerRequest::Submit(job) => {
                 self.waiting.insert(ticket, reply);
                 self.core.submit(*job, ticket, now);
                 return;
             }
-            Ask::Cancel(id) => {
+            PeerRequest::Cancel(id) => {
                 self.waiting.insert(ticket, reply);
                 self.core.cancel(&id, ticket, now);
                 return;
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -18,15 +18,15 @@
 use crate::clock::Moment;
 use crate::failure::Failure;
 use crate::workflow::advisor::Tickets;
-use crate::workflow::agents::{Looked, Order, Said};
+use crate::workflow::agents::{PollReply, Order, OrderReply};
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Counts, Now, Ticket};
-use crate::workflow::fact::{Lead, Run};
-use crate::workflow::follow::{self, Seen};
-use crate::workflow::life::Life;
+use crate::workflow::fact::{LogOwner, Run};
+use crate::workflow::follow::{self, StoreUpdate};
+use crate::workflow::life::Incarnation;
 use crate::workflow::log::{Lost, Replayed, Written};
-use crate::workflow::machines::{Done, Duty};
-use crate::workflow::message::{Ask, Reply};
+use crate::workflow::machines::{Done, MachineOrder};
+use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
 
 /// Questions that may wait for the owner.
@@ -47,19 +47,19 @@
 /// A question to the owner and where its answer goes.
 pub struct Asked {
     /// Question.
-    pub ask: Ask,
+    pub ask: PeerRequest,
     /// Where the answer goes.
     pub reply: oneshot::Sender<Reply>,
 }
 
 /// What comes back from outside.
 enum Input {
-    Looked(Life, Result<Looked, Failure>),
-    Answered(Life, Run, Order, Result<Said, Failure>),
+    Looked(Incarnation, Result<PollReply, Failure>),
+    Answered(Incarnation, Run, Order, Result<OrderReply, Failure>),
     Appended(u64, Result<Written, Lost>),
-    Workers(Seen),
+    Workers(StoreUpdate),
     Advised(StepKey, Duration, Result<Tickets, Failure>),
-    Duty(Arc<str>, Duty, Result<Done, Failure>),
+    Duty(Arc<str>, MachineOrder, Result<Done, Failure>),
     Told(u64, bool, bool),
     HandedOver(bool),
     /// The owner at this epoch, which this one replaced, has ended.
@@ -67,7 +67,7 @@
 }
 
 /// Begins to own the log as `lead`.
-pub fn spawn(node: &Rc<Node>, lead: Lead) {
+pub fn spawn(node: &Rc<Node>, lead: LogOwner) {
     // Two tries to own may both find that the lead is this process.
     if node.owns() {
         return;
@@ -79,7 +79,7 @@
     task::spawn_local(run(node.clone(), lead, asked));
 }
 
-async fn run(node: Rc<Node>, lead: Lead, asked: mpsc::Receiver<Asked>) {
+async fn run(node: Rc<Node>, lead: LogOwner, asked: mpsc::Receiver<Asked>) {
     let start = Moment::now();
     announce(&node, &lead);
     let replayed = loop {
@@ -149,7 +149,7 @@
 }
 
 /// Reads the log, unless it has another owner by now.
-async fn replay(node: &Rc<Node>, lead: &Lead) -> Result<Option<Replayed>, Failure> {
+async fn replay(node: &Rc<Node>, lead: &LogOwner) -> Result<Option<Replayed>, Failure> {
     if let Some(known) = node.log.read_lead(false).await?
         && known.epoch != lead.epoch
     {
@@ -169,11 +169,11 @@
     }
 }
 
-fn announce(node: &Rc<Node>, lead: &Lead) {
+fn announce(node: &Rc<Node>, lead: &LogOwner) {
     for address in node.others() {
         let (node, lead) = (node.clone(), lead.clone());
         task::spawn_local(async move {
-            let ask = Ask::Leads(lead);
+            let ask = PeerRequest::OwnerIs(lead);
             if let Err(failure) = node
                 .links
                 .ask("announce", address, &ask, TAKE_OVER_LIMIT)
@@ -187,7 +187,7 @@
 
 struct Owner {
     node: Rc<Node>,
-    lead: Lead,
+    lead: LogOwner,
     core: Core,
     start: Moment,
     asked: mpsc::Receiver<Asked>,
--- a/ashtiller/src/workflow/peers.rs
+++ b/ashtiller/src/workflow/peers.rs
@@ -22,7 +22,7 @@
 use crate::meter;
 use crate::schema::entry_capnp::entry;
 use crate::workflow::link::Dial;
-use crate::workflow::message::{Ask, Reply};
+use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::traffic::{self, Way};
 
 /// Time for connecting to another instance: a few times the way to another zone.
@@ -52,7 +52,7 @@
 }
 
 impl Link {
-    async fn ask(&self, ask: &Ask) -> Result<Reply, capnp::Error> {
+    async fn ask(&self, ask: &PeerRequest) -> Result<Reply, capnp::Error> {
         let bytes = postcard::to_stdvec(ask)
             .map_err(|error| capnp::Error::failed(format!("encode question: {error}")))?;
         let mut request = self.client.ask_request();
@@ -73,14 +73,14 @@
 }
 
 /// Connections to other instances.
-pub struct Links {
+pub struct PeerConnections {
     dial: Rc<dyn Dial>,
     open: RefCell<HashMap<SocketAddr, Rc<Link>>>,
     bytes: Arc<meter::Bytes>,
     silent: IntCounter,
 }
 
-impl Links {
+impl PeerConnections {
     /// No connections yet; `dial` opens them, `silent` counts those that went silent.
     #[must_use]
     pub fn over(dial: Rc<dyn Dial>, silent: IntCounter) -> Rc<Self> {
@@ -112,7 +112,7 @@
         self: &Rc<Self>,
         step: &'static str,
         address: SocketAddr,
-        ask: &Ask,
+        ask: &PeerRequest,
         limit: Duration,
     ) -> Result<Reply, Failure> {
         let link = self.connect(step, address).await?;
@@ -160,13 +160,13 @@
     async fn check(self: Rc<Self>, step: &'static str, link: Rc<Link>) {
         let fresh = async {
             let fresh = self.open(step, link.address).await.ok()?;
-            fresh.ask(&Ask::Lead).await.ok()?;
+            fresh.ask(&PeerRequest::Lead).await.ok()?;
             Some(fresh)
         };
         tokio::select! {
             biased;
             // It lives, or is broken, which its calls hear without us.
-            _ = link.ask(&Ask::Lead) => {}
+            _ = link.ask(&PeerRequest::Lead) => {}
             answered = time::timeout(CHECK, fresh) => {
                 if let Ok(Some(fresh)) = answered {
                     self.replace(step, &link, fresh);
--- a/ashtiller/src/workflow/pressure.rs
+++ b/ashtiller/src/workflow/pressure.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// Workers whose last answers are compared; a few that are slow do not move the middle.
 const SAMPLES: usize = 33;
@@ -39,14 +39,14 @@
 /// One answer.
 #[derive(Clone, Debug)]
 struct Sample {
-    worker: Life,
+    worker: Incarnation,
     took: Duration,
     at: Duration,
 }
 
 /// Delays of the answers to one owner, and what follows from them.
 #[derive(Clone, Debug)]
-pub struct Pressure {
+pub struct Congestion {
     /// Last answers of some workers, oldest first.
     samples: VecDeque<Sample>,
     /// The middle of them.
@@ -61,7 +61,7 @@
     limited: Option<Duration>,
 }
 
-impl Default for Pressure {
+impl Default for Congestion {
     fn default() -> Self {
         Self {
             samples: VecDeque::new(),
@@ -76,18 +76,18 @@
     }
 }
 
-impl Pressure {
+impl Congestion {
     /// An order goes out.
     pub fn note_sent(&mut self) {
         self.under_way += 1;
     }
 
     /// An order was answered, or given up, after this delay.
-    pub fn note_order(&mut self, worker: &Life, took: Duration, now: Duration) {
+    pub fn note_order(&mut self, worker: &Incarnation, took: Duration, now: Duration) {
         let used = self.under_way * 2 >= self.open();
         self.under_way = self.under_way.saturating_sub(1);
         self.note_delay(worker, took, now);
-        if self.is_queued() {
+        if self.is_congested() {
             self.shrink(now);
         } else if used {
             // A window that nothing fills says nothing of what could be carried.
@@ -101,7 +101,7 @@
     }
 
     /// A worker took this long for an answer, beyond what it was asked to wait.
-    pub fn note_delay(&mut self, worker: &Life, took: Duration, now: Duration) {
+    pub fn note_delay(&mut self, worker: &Incarnation, took: Duration, now: Duration) {
         if let Some(place) = self.samples.iter().position(|it| it.worker == *worker) {
             self.samples.remove(place);
         } else if self.samples.len() >= SAMPLES {
@@ -155,20 +155,20 @@
 
     /// Whether answers wait in a queue that most workers share.
     #[must_use]
-    pub fn is_queued(&self) -> bool {
+    pub fn is_congested(&self) -> bool {
         let least = self.least[0].min(self.least[1]);
         self.usual > least.saturating_add(QUEUED)
     }
 
     /// How long to wait for an answer: `least`, or longer when most take long.
     #[must_use]
-    pub fn patience(&self, least: Duration, most: Duration) -> Duration {
+    pub fn timeout(&self, least: Duration, most: Duration) -> Duration {
         (self.usual * PATIENCE).clamp(least, most.max(least))
     }
 
     /// How many more orders may go out.
     #[must_use]
-    pub fn free(&self) -> usize {
+    pub fn available_slots(&self) -> usize {
         self.open().saturating_sub(self.under_way)
     }
 
--- a/ashtiller/src/workflow/relay/carrier.rs
+++ b/ashtiller/src/workflow/relay/carrier.rs
@@ -9,9 +9,9 @@
 use tokio::task;
 use tokio::time;
 
-use crate::workflow::agents::{Agents, Order};
-use crate::workflow::message::Ask;
-use crate::workflow::peers::Links;
+use crate::workflow::agents::{WorkerClient, Order};
+use crate::workflow::message::PeerRequest;
+use crate::workflow::peers::PeerConnections;
 use crate::workflow::relay::{Call, GATHER, MESSAGE_LIMIT, Outcome, Parcel, Parcels, Results};
 
 /// Payloads kept of one session; a job's tasks start within seconds of each other.
@@ -46,8 +46,8 @@
 
 /// Makes calls for owners.
 pub struct Carrier {
-    agents: Arc<dyn Agents>,
-    links: Rc<Links>,
+    agents: Arc<dyn WorkerClient>,
+    links: Rc<PeerConnections>,
     sessions: RefCell<BTreeMap<u64, Session>>,
     /// Sessions, oldest first.
     order: RefCell<VecDeque<u64>>,
@@ -56,7 +56,7 @@
 impl Carrier {
     /// A relay that has no calls yet.
     #[must_use]
-    pub fn new(agents: Arc<dyn Agents>, links: Rc<Links>) -> Rc<Self> {
+    pub fn new(agents: Arc<dyn WorkerClient>, links: Rc<PeerConnections>) -> Rc<Self> {
         Rc::new(Self {
             agents,
             links,
@@ -108,7 +108,7 @@
                 Outcome::of(self.agents.order(&parcel.to, &order).await, Outcome::Said)
             }
             Call::Look(look) => {
-                Outcome::of(self.agents.look(&parcel.to, &look).await, Outcome::Looked)
+                Outcome::of(self.agents.poll(&parcel.to, &look).await, Outcome::Looked)
             }
         }
     }
@@ -134,7 +134,7 @@
     async fn send(&self, owner: SocketAddr, session: u64) {
         while let Some(results) = self.take_results(session) {
             let count = results.len();
-            let ask = Ask::Carried(Box::new(Results { session, results }));
+            let ask = PeerRequest::RelayResults(Box::new(Results { session, results }));
             // The owner asks again for what it misses: ends stay listed until acknowledged.
             if let Err(failure) = self
                 .links
--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -20,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::failure::{Effect, Failure};
-use crate::workflow::agents::{Look, Looked, Order, Said, Target};
+use crate::workflow::agents::{Poll, PollReply, Order, OrderReply, Target};
 
 /// For how long calls and results are gathered, so that one message carries many: a tenth
 /// of the time for which facts are gathered into an entry, twice over.
@@ -37,7 +37,7 @@
     /// Give it an order.
     Order(Order),
     /// Look at it.
-    Look(Look),
+    Look(Poll),
 }
 
 /// A call that a relay is to make.
@@ -68,9 +68,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Outcome {
     /// The worker's answer to an order.
-    Said(Said),
+    Said(OrderReply),
     /// The worker's answer to a look.
-    Looked(Looked),
+    Looked(PollReply),
     /// It failed for this cause; whether the worker may have done it.
     Failed(Arc<str>, bool),
     /// The relay lacks the payload of the job; nothing was done.
--- a/ashtiller/src/workflow/relay/sender.rs
+++ b/ashtiller/src/workflow/relay/sender.rs
@@ -13,10 +13,10 @@
 
 use crate::clock::Moment;
 use crate::failure::Failure;
-use crate::workflow::agents::{Agents, Look, Looked, Order, Said, Target};
+use crate::workflow::agents::{WorkerClient, Poll, PollReply, Order, OrderReply, Target};
 use crate::workflow::membership::member::Member;
-use crate::workflow::message::Ask;
-use crate::workflow::peers::Links;
+use crate::workflow::message::PeerRequest;
+use crate::workflow::peers::PeerConnections;
 use crate::workflow::relay::route::Routes;
 use crate::workflow::relay::{
     Call, GATHER, MESSAGE_LIMIT, Outcome, Parcel, Parcels, QUEUED_MAX, Results,
@@ -51,8 +51,8 @@
 
 /// Calls to workers, directly or over relays.
 pub struct Sender {
-    agents: Arc<dyn Agents>,
-    links: Rc<Links>,
+    agents: Arc<dyn WorkerClient>,
+    links: Rc<PeerConnections>,
     own: SocketAddr,
     routes: RefCell<Routes>,
     chosen: Cell<Option<Instant>>,
@@ -67,7 +67,7 @@
 impl Sender {
     /// Calls go directly until relays are chosen; results come to `own`.
     #[must_use]
-    pub fn new(agents: Arc<dyn Agents>, links: Rc<Links>, own: SocketAddr) -> Rc<Self> {
+    pub fn new(agents: Arc<dyn WorkerClient>, links: Rc<PeerConnections>, own: SocketAddr) -> Rc<Self> {
         Rc::new(Self {
             agents,
             links,
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// As [`Agents::order`]; over a relay, also when the relay is lost.
-    pub async fn order(self: &Rc<Self>, to: &Target, order: &Order) -> Result<Said, Failure> {
+    pub async fn order(self: &Rc<Self>, to: &Target, order: &Order) -> Result<OrderReply, Failure> {
         let Some(relay) = self.find(to) else {
             let said = self.agents.order(to, order).await;
             self.note_direct(to, said.is_ok());
@@ -128,7 +128,7 @@
         };
         let step = order.kind();
         let call = Call::Order(order.clone());
-        match self.call(step, relay, to, call, to.patience).await? {
+        match self.call(step, relay, to, call, to.timeout).await? {
             Outcome::Said(said) => Ok(said),
             outcome => Err(fail(step, to, &outcome)),
         }
@@ -138,13 +138,13 @@
     ///
     /// # Errors
     /// As [`Agents::look`]; over a relay, also when the relay is lost.
-    pub async fn look(self: &Rc<Self>, to: &Target, look: &Look) -> Result<Looked, Failure> {
+    pub async fn look(self: &Rc<Self>, to: &Target, look: &Poll) -> Result<PollReply, Failure> {
         let Some(relay) = self.find(to) else {
-            let looked = self.agents.look(to, look).await;
+            let looked = self.agents.poll(to, look).await;
             self.note_direct(to, looked.is_ok());
             return looked;
         };
-        let limit = look.wait + to.patience;
+        let limit = look.wait + to.timeout;
         let call = Call::Look(look.clone());
         match self.call("look", relay, to, call, limit).await? {
             Outcome::Looked(looked) => Ok(looked),
@@ -243,7 +243,7 @@
     async fn send(&self, relay: SocketAddr) {
         while let Some(parcels) = self.take_parcels(relay) {
             let count = parcels.parcels.len() as u64;
-            let ask = Ask::Carry(Box::new(parcels));
+            let ask = PeerRequest::RelayCalls(Box::new(parcels));
             match self
                 .links
                 .ask("give calls", relay, &ask, MESSAGE_LIMIT)
--- a/ashtiller/src/workflow/settings.rs
+++ b/ashtiller/src/workflow/settings.rs
@@ -7,9 +7,9 @@
 use crate::document::Document;
 use crate::mistake::Mistakes;
 use crate::settings::{self, Instance};
-use crate::workflow::agents::ORDER_LIMIT;
+use crate::workflow::agents::ORDER_TIMEOUT_MIN;
 use crate::workflow::switches::Switches;
-use crate::workflow::terms::{LEASE_MAX, START_MAX, Terms};
+use crate::workflow::terms::{LEASE_MAX, START_MAX, Tuning};
 
 /// Sections of a settings file.
 const SECTIONS: [&str; 5] = ["instance", "entry", "platform", "workers", "policy"];
@@ -19,7 +19,7 @@
 const HOUR: Duration = Duration::from_hours(1);
 /// Least time for which workers go on after they were told to leave. Half of it goes to the
 /// wait of a watch on workers; a start that is ordered then has to arrive in the other half.
-const DRAIN_MIN: Duration = ORDER_LIMIT.saturating_mul(2);
+const DRAIN_MIN: Duration = ORDER_TIMEOUT_MIN.saturating_mul(2);
 /// Least time within which an evacuated zone may get its last start. A start may be under way
 /// for [`START_MAX`]; the rest is for the age of what is known of evacuations.
 const EVACUATION_MIN: Duration = START_MAX.saturating_add(Duration::from_millis(200));
@@ -64,7 +64,7 @@
     /// How to reach the platform.
     pub platform: Platform,
     /// Times and limits towards workers.
-    pub terms: Terms,
+    pub terms: Tuning,
 }
 
 impl Settings {
@@ -129,11 +129,11 @@
     }
 }
 
-fn read_terms(document: &mut Document) -> Terms {
+fn read_terms(document: &mut Document) -> Tuning {
     let mut section = document.section("workers");
-    let defaults = Terms::default();
+    let defaults = Tuning::default();
     let longest = section.duration("lease", Some(defaults.hold), SECOND..=10 * MINUTE);
-    Terms {
+    Tuning {
         lease: longest.min(LEASE_MAX),
         hold: longest,
         horizon: section.duration("horizon", Some(defaults.horizon), SECOND..=HOUR),
--- a/ashtiller/src/workflow/snapshot.rs
+++ b/ashtiller/src/workflow/snapshot.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::workflow::blame::Suspect;
-use crate::workflow::book::Book;
+use crate::workflow::book::LogState;
 use crate::workflow::fact::Task;
 
 type Suspects = BTreeMap<Task, Suspect>;
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// It cannot be encoded.
-pub fn encode(book: &Book) -> Result<Vec<u8>, postcard::Error> {
+pub fn encode(book: &LogState) -> Result<Vec<u8>, postcard::Error> {
     let bytes = postcard::to_stdvec(book)?;
     postcard::to_extend(book.suspects(), bytes)
 }
@@ -24,8 +24,8 @@
 ///
 /// # Errors
 /// The bytes are no snapshot.
-pub fn decode(bytes: &[u8]) -> Result<Book, postcard::Error> {
-    let (mut book, rest) = postcard::take_from_bytes::<Book>(bytes)?;
+pub fn decode(bytes: &[u8]) -> Result<LogState, postcard::Error> {
+    let (mut book, rest) = postcard::take_from_bytes::<LogState>(bytes)?;
     if !rest.is_empty() {
         book.set_suspects(postcard::from_bytes::<Suspects>(rest)?);
     }
--- a/ashtiller/src/workflow/state.rs
+++ b/ashtiller/src/workflow/state.rs
@@ -7,22 +7,22 @@
 
 use crate::workflow::fact::{Outcome, Task};
 use crate::workflow::job::{Job, Policy, Step};
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// A run that has been placed and has not ended.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Live {
+pub struct PlacedRun {
     /// Number of the run.
     pub number: u32,
     /// Worker that has it.
-    pub worker: Life,
+    pub worker: Incarnation,
 }
 
 /// One task.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct TaskState {
     /// Runs that may be going on.
-    pub live: Vec<Live>,
+    pub live: Vec<PlacedRun>,
     /// Number of the newest run.
     pub last: u32,
     /// Numbers of the runs that failed.
@@ -32,7 +32,7 @@
     /// Newest checkpoint; empty for none.
     pub saved: Arc<str>,
     /// Workers on which it failed.
-    pub failed_on: BTreeSet<Life>,
+    pub failed_on: BTreeSet<Incarnation>,
 }
 
 impl TaskState {
@@ -62,12 +62,12 @@
 
 /// One time of a job.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Round {
+pub struct Occurrence {
     /// Steps.
     pub steps: Vec<StepState>,
 }
 
-impl Round {
+impl Occurrence {
     pub(super) fn new(job: &Job) -> Self {
         let steps = job.steps.iter().map(|step| StepState {
             tasks: vec![TaskState::default(); step.count as usize],
@@ -102,7 +102,7 @@
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub accepted: u64,
     /// Times that have begun or may begin, and are not done.
-    pub rounds: BTreeMap<u32, Round>,
+    pub rounds: BTreeMap<u32, Occurrence>,
     /// Times not in `rounds`: the next that was not opened yet.
     pub next_round: u32,
     /// Whether a task has begun.
@@ -129,7 +129,7 @@
     }
 
     /// Opens the times that are due at `wall` milliseconds since the Unix epoch.
-    pub fn open_rounds(&mut self, wall: u64) -> bool {
+    pub fn open_due_occurrences(&mut self, wall: u64) -> bool {
         let mut opened = false;
         while self.next_round < self.job.times() && self.outcome.is_none() {
             let due = self.job.schedule.map_or(0, |it| it.due(self.next_round));
@@ -144,7 +144,7 @@
 
     pub(super) fn open_round(&mut self, number: u32) {
         while self.next_round <= number {
-            self.rounds.insert(self.next_round, Round::new(&self.job));
+            self.rounds.insert(self.next_round, Occurrence::new(&self.job));
             self.next_round += 1;
         }
     }
--- a/ashtiller/src/workflow/tempo.rs
+++ b/ashtiller/src/workflow/tempo.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::workflow::agents::ORDER_LIMIT;
+use crate::workflow::agents::ORDER_TIMEOUT_MIN;
 
 /// Time without an answer after which a call is not relied on any more: above the
 /// store's slow answers of some 0.35 s.
@@ -18,14 +18,14 @@
 /// How long answers took lately. What takes longer counts at once, what takes less by
 /// and by.
 #[derive(Debug, Default)]
-pub struct Tempo {
+pub struct StoreLatency {
     /// Time of one call.
     call: Duration,
     /// Time of a whole list, which may have several pages.
     list: Duration,
 }
 
-impl Tempo {
+impl StoreLatency {
     /// A list of so many pages took this long.
     pub fn note_list(&mut self, took: Duration, pages: u32) {
         ease(&mut self.call, took / pages.max(1));
@@ -72,7 +72,7 @@
 /// How old news may be when it is used, where watches wait for `longest`: half of the time
 /// for which workers go on, of which an order needs a part as well.
 fn keep_time(longest: Duration) -> Duration {
-    (2 * longest).saturating_sub(ORDER_LIMIT)
+    (2 * longest).saturating_sub(ORDER_TIMEOUT_MIN)
 }
 
 fn ease(usual: &mut Duration, took: Duration) {
--- a/ashtiller/src/workflow/terms.rs
+++ b/ashtiller/src/workflow/terms.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::workflow::agents::ORDER_LIMIT;
+use crate::workflow::agents::ORDER_TIMEOUT_MIN;
 use crate::workflow::follow;
 use crate::workflow::relay::QUEUED_MAX;
 use crate::workflow::switches::Switches;
@@ -12,12 +12,12 @@
 pub const LEASE_MAX: Duration = Duration::from_secs(6);
 
 /// Time for which a start is under way at most while workers answer as usual.
-pub const START_MAX: Duration = QUEUED_MAX.saturating_add(ORDER_LIMIT);
+pub const START_MAX: Duration = QUEUED_MAX.saturating_add(ORDER_TIMEOUT_MIN);
 
 /// Times and limits. The platform's bounds come from the settings; what is ours is
 /// explained where [`Terms::default`] sets it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Tuning {
     /// Longest lease that is asked for.
     pub lease: Duration,
     /// Longest lease that a worker grants.
@@ -65,7 +65,7 @@
     pub switches: Switches,
 }
 
-impl Terms {
+impl Tuning {
     /// Wait of one watch of the store on whose news the next start depends.
     #[must_use]
     pub fn watch_wait(&self) -> Duration {
@@ -75,7 +75,7 @@
     }
 }
 
-impl Default for Terms {
+impl Default for Tuning {
     fn default() -> Self {
         Self {
             lease: LEASE_MAX,
--- a/ashtiller/src/workflow/worker.rs
+++ b/ashtiller/src/workflow/worker.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use crate::resources::{Pool, Resources};
-use crate::workflow::agents::{Name, Target};
-use crate::workflow::config::Listed;
+use crate::workflow::agents::{TaskName, Target};
+use crate::workflow::config::ListedWorker;
 use crate::workflow::fact::Run;
 use crate::workflow::interference::Image;
 use crate::workflow::lease::{self, Lease};
-use crate::workflow::life::Life;
+use crate::workflow::life::Incarnation;
 
 /// First time for which a worker that fails what it starts gets nothing; doubles.
 /// Short against the spells of some seconds that workers show.
@@ -29,11 +29,11 @@
 
 /// A run that was given up while a start of it may still be carried out.
 #[derive(Debug)]
-pub struct Late {
+pub struct LateRun {
     /// Run.
     pub run: Run,
     /// Its task, as the worker knows it.
-    pub name: Name,
+    pub name: TaskName,
     /// Until when.
     pub until: Duration,
 }
@@ -42,11 +42,11 @@
 /// that nobody needs any more, services, relief for them, other work, and fills that may
 /// work more than before.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Class {
+pub enum OrderClass {
     /// Stop a run.
     Stop,
     /// Start a run that lasts.
-    StartLasting,
+    StartLongRunning,
     /// Let a run work less.
     Relieve,
     /// Start any other run.
@@ -58,11 +58,11 @@
 }
 
 /// Class of the next order to a worker, and since when it waits.
-pub type Rank = (Class, Duration);
+pub type Rank = (OrderClass, Duration);
 
 /// A look that is under way.
 #[derive(Clone, Copy, Debug)]
-pub struct Looking {
+pub struct PendingPoll {
     /// When it was sent.
     pub sent: Duration,
     /// For how long it may wait for an end.
@@ -80,7 +80,7 @@
 #[expect(clippy::struct_excessive_bools, reason = "each is a state of its own")]
 pub struct Worker {
     /// What the platform says of it.
-    pub listed: Listed,
+    pub listed: ListedWorker,
     /// Whether an entry of its own was read; until then it is known by an answer only.
     pub entered: bool,
     /// Since when the platform does not list it.
@@ -108,7 +108,7 @@
     /// the network says so.
     pub broke: Option<Duration>,
     /// The look that is under way.
-    pub looking: Option<Looking>,
+    pub looking: Option<PendingPoll>,
     /// When the next look is due.
     pub next_look: Duration,
     /// Orders under way.
@@ -137,7 +137,7 @@
     /// Until when a look meant for the life before may acknowledge ends of this one.
     pub forgetful: Option<Duration>,
     /// Runs that were given up here, or at the life before, and may begin after all.
-    pub late: Vec<Late>,
+    pub late: Vec<LateRun>,
     /// Runs there that serve.
     pub serving: u32,
     /// Runs there that fill.
@@ -167,7 +167,7 @@
 impl Worker {
     /// A worker whose earlier leases end by `bound`.
     #[must_use]
-    pub fn new(listed: Listed, bound: Duration) -> Self {
+    pub fn new(listed: ListedWorker, bound: Duration) -> Self {
         Self {
             pool: Pool::new(listed.capacity),
             draining: None,
@@ -226,7 +226,7 @@
             life: self.listed.life.clone(),
             address: self.listed.address,
             fence,
-            patience,
+            timeout: patience,
             zone: self.listed.zone.clone(),
         }
     }
@@ -263,7 +263,7 @@
 
     /// When the next look at it is due.
     #[must_use]
-    pub fn due_look(&self) -> Duration {
+    pub fn next_poll_due(&self) -> Duration {
         self.next_look.max(self.doubted.unwrap_or_default())
     }
 
@@ -281,7 +281,7 @@
 
     /// Takes over from the life before, which is over, what belongs to the machine and what was
     /// sent to that life and may come here; a worker grants leases of at most `hold`.
-    pub fn succeed(&mut self, former: &mut Self, hold: Duration) {
+    pub fn take_over_from(&mut self, former: &mut Self, hold: Duration) {
         self.failures = self.failures.max(former.failures);
         self.quarantines = self.quarantines.max(former.quarantines);
         self.aside = self.aside.max(former.aside);
@@ -296,12 +296,12 @@
         self.outdated = self.outdated.max(former.outdated);
         self.renewing = self.renewing.max(former.renewing);
         if let Some(until) = former.renewing {
-            self.lease.extend(until + lease::stretch(hold));
+            self.lease.extend(until + lease::worst_case_elapsed(hold));
         }
     }
 
     /// A look at it was not answered in time, and may still be carried out.
-    pub fn note_unanswered(&mut self, look: &Looking) {
+    pub fn note_unanswered(&mut self, look: &PendingPoll) {
         let until = look.sent + LATE_MAX;
         if look.renews {
             self.renewing = self.renewing.max(Some(until));
@@ -323,12 +323,12 @@
         if self.failures < FAILURES || self.aside.is_some_and(|until| until > now) {
             return false;
         }
-        self.put_aside(now);
+        self.quarantine(now);
         true
     }
 
     /// Gives it nothing for a while, longer each time until something succeeds there.
-    pub fn put_aside(&mut self, now: Duration) {
+    pub fn quarantine(&mut self, now: Duration) {
         let doubled = QUARANTINE_FIRST * 2u32.pow(self.quarantines.min(4));
         self.aside = Some(now + doubled.min(QUARANTINE_MAX));
         self.quarantines += 1;
@@ -366,7 +366,7 @@
 
     /// Its life.
     #[must_use]
-    pub fn life(&self) -> &Life {
+    pub fn life(&self) -> &Incarnation {
         &self.listed.life
     }
 }
--- a/ashtiller/tests/links/follower.rs
+++ b/ashtiller/tests/links/follower.rs
@@ -9,8 +9,8 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::agents::{Agents, Look, Looked, Order, Said, Target};
-use ashtiller::workflow::config::{Config, Dialect, Listed, Operated};
+use ashtiller::workflow::agents::{WorkerClient, Poll, PollReply, Order, OrderReply, Target};
+use ashtiller::workflow::config::{Config, PlatformCodec, ListedWorker, OperatorEntry};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use ashtiller::workflow::node::{Node, Outside};
 use ashtiller::workflow::settings::Settings;
@@ -106,22 +106,22 @@
 
 struct Nobody;
 
-impl Agents for Nobody {
-    fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> Called<'a, Said> {
+impl WorkerClient for Nobody {
+    fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> Called<'a, OrderReply> {
         Box::pin(async move { Err(Failure::none("order", &to.life, "there are no workers")) })
     }
 
-    fn look<'a>(&'a self, to: &'a Target, _: &'a Look) -> Called<'a, Looked> {
+    fn poll<'a>(&'a self, to: &'a Target, _: &'a Poll) -> Called<'a, PollReply> {
         Box::pin(async move { Err(Failure::none("look", &to.life, "there are no workers")) })
     }
 }
 
-impl Dialect for Nobody {
+impl PlatformCodec for Nobody {
     fn worker_prefix(&self) -> &'static str {
         "workers/"
     }
 
-    fn worker(&self, key: &str, _: &[u8]) -> anyhow::Result<Listed> {
+    fn worker(&self, key: &str, _: &[u8]) -> anyhow::Result<ListedWorker> {
         anyhow::bail!("no worker at {key}")
     }
 
@@ -129,8 +129,8 @@
         "operators/"
     }
 
-    fn operated(&self, _: &str, _: &[u8]) -> anyhow::Result<Operated> {
-        Ok(Operated::Other)
+    fn operated(&self, _: &str, _: &[u8]) -> anyhow::Result<OperatorEntry> {
+        Ok(OperatorEntry::Other)
     }
 
     fn evacuated(&self, key: &str) -> Option<Arc<str>> {
--- a/ashtiller/tests/links/main.rs
+++ b/ashtiller/tests/links/main.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 
 use ashtiller::failure::Effect;
-use ashtiller::workflow::message::{Ask, Reply, State};
+use ashtiller::workflow::message::{PeerRequest, Reply, State};
 use futures_util::future;
 use net::Net;
 use peer::{ADDRESS, Peer};
@@ -36,8 +36,8 @@
 /// more tries of anything that was under way.
 const NOTICED: Duration = Duration::from_millis(700);
 
-fn state() -> Ask {
-    Ask::State("00000000000000a1".into())
+fn state() -> PeerRequest {
+    PeerRequest::State("00000000000000a1".into())
 }
 
 /// Three calls are sent on a connection that has gone silent; new connections work. Each
@@ -49,7 +49,7 @@
         let net = Rc::new(Net::default());
         net.host(ADDRESS, Rc::new(Peer::default()));
         let links = net.links();
-        let met = links.ask("meet", ADDRESS, &Ask::Lead, LIMIT).await;
+        let met = links.ask("meet", ADDRESS, &PeerRequest::Lead, LIMIT).await;
         assert!(met.is_ok(), "{met:?}");
         time::sleep(MS * 5000).await;
         net.strike();
--- a/ashtiller/tests/links/net.rs
+++ b/ashtiller/tests/links/net.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use ashtiller::meter;
-use ashtiller::workflow::link::{self, Answers, Dial, Stream};
-use ashtiller::workflow::peers::Links;
+use ashtiller::workflow::link::{self, RequestHandler, Dial, Stream};
+use ashtiller::workflow::peers::PeerConnections;
 use futures_util::future::LocalBoxFuture;
 use prometheus::IntCounter;
 use tokio::io::{self, AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
@@ -33,7 +33,7 @@
 
 impl Net {
     /// Lets `answers` listen at `address`.
-    pub fn host<A: Answers + 'static>(&self, address: SocketAddr, answers: Rc<A>) {
+    pub fn host<A: RequestHandler + 'static>(&self, address: SocketAddr, answers: Rc<A>) {
         let bytes = Arc::new(meter::Bytes::default());
         let accept = move |stream| link::host(stream, answers.clone(), &bytes);
         self.hosts.borrow_mut().insert(address, Rc::new(accept));
@@ -47,9 +47,9 @@
     }
 
     /// An instance's connections in this net.
-    pub fn links(self: &Rc<Self>) -> Rc<Links> {
+    pub fn links(self: &Rc<Self>) -> Rc<PeerConnections> {
         let silent = IntCounter::new("silent_links", "silent links").expect("a counter");
-        Links::over(self.clone(), silent)
+        PeerConnections::over(self.clone(), silent)
     }
 
     /// Connections that were opened so far.
--- a/ashtiller/tests/links/peer.rs
+++ b/ashtiller/tests/links/peer.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashtiller::workflow::fact::Lead;
-use ashtiller::workflow::link::Answers;
-use ashtiller::workflow::message::{Ask, Reply, State, Welcome};
+use ashtiller::workflow::fact::LogOwner;
+use ashtiller::workflow::link::RequestHandler;
+use ashtiller::workflow::message::{PeerRequest, Reply, State, HeartbeatReply};
 use futures_util::future::LocalBoxFuture;
 use tokio::time::{self, Instant};
 
@@ -34,8 +34,8 @@
 
 impl Peer {
     /// It as the owner at the first revision of the store.
-    pub fn as_lead() -> Lead {
-        Lead {
+    pub fn as_lead() -> LogOwner {
+        LogOwner {
             name: "owner".into(),
             address: ADDRESS,
             life: 7,
@@ -48,11 +48,11 @@
     fn welcome(&self) -> Reply {
         self.greeted.borrow_mut().push(Instant::now());
         let lead = Self::as_lead();
-        Reply::Welcome(Box::new(Welcome {
+        Reply::Welcome(Box::new(HeartbeatReply {
             epoch: lead.epoch,
             life: lead.life,
             version: 1,
-            ..Welcome::default()
+            ..HeartbeatReply::default()
         }))
     }
 
@@ -64,16 +64,16 @@
     }
 }
 
-impl Answers for Peer {
-    fn answer(self: Rc<Self>, ask: Ask) -> LocalBoxFuture<'static, Reply> {
+impl RequestHandler for Peer {
+    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
         Box::pin(async move {
             if self.frozen.get() {
                 return future::pending().await;
             }
             match ask {
-                Ask::Hello(_) => self.welcome(),
-                Ask::Lead => Reply::Lead(Some(Self::as_lead())),
-                Ask::Leads(_) | Ask::Config(_) => Reply::Noted,
+                PeerRequest::Heartbeat(_) => self.welcome(),
+                PeerRequest::Lead => Reply::Lead(Some(Self::as_lead())),
+                PeerRequest::OwnerIs(_) | PeerRequest::Config(_) => Reply::Noted,
                 _ => self.serve().await,
             }
         })
