--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -8,10 +8,10 @@
 
 use ashtiller::failure::{Effect, Failure};
 use ashtiller::store::Called;
-use ashtiller::workflow::agents::{Agents, Look, Looked, Name, Order, Said, Start, Target};
-use ashtiller::workflow::link::Answers;
+use ashtiller::workflow::agents::{WorkerClient, Poll, PollReply, TaskName, Order, OrderReply, Start, Target};
+use ashtiller::workflow::link::RequestHandler;
 use ashtiller::workflow::membership::member::Member;
-use ashtiller::workflow::message::{Ask, Reply};
+use ashtiller::workflow::message::{PeerRequest, Reply};
 use ashtiller::workflow::relay::carrier::Carrier;
 use ashtiller::workflow::relay::sender::{RELAYED_MIN, Sender};
 use futures_util::future::LocalBoxFuture;
@@ -40,30 +40,30 @@
     from: &'static str,
 }
 
-impl Agents for View {
-    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> Called<'a, Said> {
+impl WorkerClient for View {
+    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> Called<'a, OrderReply> {
         let call = (self.from, to.clone(), order.clone());
         self.workers.calls.lock().push(call);
         let down = self.workers.down.lock().contains(to);
         let cut = *self.workers.cut.lock() == Some(self.from);
         Box::pin(async move {
             if cut {
-                time::sleep(to.patience).await;
+                time::sleep(to.timeout).await;
                 return Err(Failure::unknown("start", to.address, "no answer in time"));
             }
             if down {
                 return Err(Failure::none("start", to.address, "connection refused"));
             }
-            Ok(Said::Done(7))
+            Ok(OrderReply::Done(7))
         })
     }
 
-    fn look<'a>(&'a self, to: &'a Target, look: &'a Look) -> Called<'a, Looked> {
+    fn poll<'a>(&'a self, to: &'a Target, look: &'a Poll) -> Called<'a, PollReply> {
         self.workers.looks.lock().push(to.clone());
         let wait = look.wait;
         Box::pin(async move {
             time::sleep(wait).await;
-            Ok(Looked::Report {
+            Ok(PollReply::Report {
                 clock: 7,
                 active: Vec::new(),
                 finished: Vec::new(),
@@ -78,13 +78,13 @@
     frozen: Cell<bool>,
 }
 
-impl Answers for Relay {
-    fn answer(self: Rc<Self>, ask: Ask) -> LocalBoxFuture<'static, Reply> {
+impl RequestHandler for Relay {
+    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
         Box::pin(async move {
             if self.frozen.get() {
                 return std::future::pending().await;
             }
-            if let Ask::Carry(parcels) = ask {
+            if let PeerRequest::RelayCalls(parcels) = ask {
                 self.carrier.borrow().carry(*parcels);
             }
             Reply::Noted
@@ -95,9 +95,9 @@
 /// The owner's instance.
 struct Owner(Rc<Sender>);
 
-impl Answers for Owner {
-    fn answer(self: Rc<Self>, ask: Ask) -> LocalBoxFuture<'static, Reply> {
-        if let Ask::Carried(results) = ask {
+impl RequestHandler for Owner {
+    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
+        if let PeerRequest::RelayResults(results) = ask {
             self.0.take(*results);
         }
         Box::pin(async { Reply::Noted })
@@ -142,7 +142,7 @@
         }
     }
 
-    async fn start(&self, index: u16) -> Result<Said, Effect> {
+    async fn start(&self, index: u16) -> Result<OrderReply, Effect> {
         let order = Order::Start(start(index));
         let said = self.sender.order(&target(index), &order).await;
         said.map_err(|failure| failure.effect)
@@ -182,14 +182,14 @@
         life: format!("w{worker}").into(),
         address: address(9000 + worker),
         fence: 5,
-        patience: LIMIT,
+        timeout: LIMIT,
         zone: "bern".into(),
     }
 }
 
 fn start(index: u16) -> Start {
     Start {
-        name: Name {
+        name: TaskName {
             job: "job".into(),
             time: 0,
             step: 0,
@@ -217,7 +217,7 @@
     play(async {
         let scene = Scene::open(RELAYED_MIN);
         for index in 0..3 {
-            assert_eq!(scene.start(index).await, Ok(Said::Done(7)));
+            assert_eq!(scene.start(index).await, Ok(OrderReply::Done(7)));
         }
         let calls = scene.workers.calls.lock().clone();
         let sent = |index| ("relay", target(index), Order::Start(start(index)));
@@ -229,7 +229,7 @@
 fn a_small_fleet_is_called_directly() {
     play(async {
         let scene = Scene::open(RELAYED_MIN - 1);
-        assert_eq!(scene.start(0).await, Ok(Said::Done(7)));
+        assert_eq!(scene.start(0).await, Ok(OrderReply::Done(7)));
         assert_eq!(scene.callers(), ["owner"]);
     });
 }
@@ -243,7 +243,7 @@
             task::spawn_local(async move { scene.start(index).await })
         });
         for call in calls.collect::<Vec<_>>() {
-            assert_eq!(call.await.expect("a call"), Ok(Said::Done(7)));
+            assert_eq!(call.await.expect("a call"), Ok(OrderReply::Done(7)));
         }
         assert_eq!(scene.callers().len(), 50);
         assert_eq!(scene.net.opened(), 2, "a connection each way");
@@ -293,7 +293,7 @@
         assert!(scene.start(0).await.is_ok());
         scene.restart_relay();
         assert_eq!(scene.start(1).await, Err(Effect::None), "it knows no job");
-        assert_eq!(scene.start(1).await, Ok(Said::Done(7)));
+        assert_eq!(scene.start(1).await, Ok(OrderReply::Done(7)));
         let calls = scene.workers.calls.lock().clone();
         assert_eq!(calls[1], ("relay", target(1), Order::Start(start(1))));
     });
@@ -318,14 +318,14 @@
 fn looks_over_a_relay_wait_as_long_as_they_are_told() {
     play(async {
         let scene = Scene::open(RELAYED_MIN);
-        let look = Look {
+        let look = Poll {
             until: Some(6007),
             seen: 3,
             wait: Duration::from_secs(2),
         };
         let began = time::Instant::now();
         let looked = scene.sender.look(&target(0), &look).await;
-        assert!(matches!(looked, Ok(Looked::Report { clock: 7, .. })));
+        assert!(matches!(looked, Ok(PollReply::Report { clock: 7, .. })));
         assert!(began.elapsed() < Duration::from_millis(2100));
         assert_eq!(scene.workers.looks.lock()[..], [target(0)]);
     });
--- a/ashtiller/tests/owner/asleep.rs
+++ b/ashtiller/tests/owner/asleep.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::{Looked, Order};
+use ashtiller::workflow::agents::{PollReply, Order};
 use ashtiller::workflow::core::Effect;
 use ashtiller::workflow::job::Step;
 
@@ -78,7 +78,7 @@
     driver.pass(200 * MS);
     let clock = driver.clock();
     driver.now.at += Duration::from_secs(5);
-    let looked = Looked::Report {
+    let looked = PollReply::Report {
         clock,
         active: Vec::new(),
         finished: Vec::new(),
--- a/ashtiller/tests/owner/blame.rs
+++ b/ashtiller/tests/owner/blame.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ashtiller::workflow::blame::{self, CRASHES_MAX, STARTS_AFTER, Scene, Suspect, Victim};
+use ashtiller::workflow::blame::{self, CRASHES_MAX, STARTS_AFTER, CrashContext, Suspect, LostRun};
 use ashtiller::workflow::fact::{Run, Task};
 
 use crate::driver::MS;
@@ -21,8 +21,8 @@
     Run { task, number }
 }
 
-fn victim(index: u16, number: u32, age: u32, weight: u32) -> Victim {
-    Victim {
+fn victim(index: u16, number: u32, age: u32, weight: u32) -> LostRun {
+    LostRun {
         run: run(index, number),
         age,
         weight,
@@ -31,7 +31,7 @@
 }
 
 /// What these crashes say of each task.
-fn suspects(victims: &[Victim]) -> BTreeMap<Task, Suspect> {
+fn suspects(victims: &[LostRun]) -> BTreeMap<Task, Suspect> {
     let mut known: BTreeMap<Task, Suspect> = BTreeMap::new();
     for victim in victims {
         known.entry(victim.run.task).or_default().note(victim);
@@ -39,20 +39,20 @@
     known
 }
 
-fn judge(victims: &[Victim], known: &BTreeMap<Task, Suspect>) -> Option<u16> {
-    let guilty = blame::judge(victims, |task| known.get(&task));
+fn judge(victims: &[LostRun], known: &BTreeMap<Task, Suspect>) -> Option<u16> {
+    let guilty = blame::find_culprit(victims, |task| known.get(&task));
     guilty.map(|task| task.index)
 }
 
 #[test]
 fn what_had_just_begun_is_suspected_most() {
-    let young = Scene {
+    let young = CrashContext {
         age: 30 * MS,
         begun: true,
         many: false,
         alike: false,
     };
-    let old = Scene {
+    let old = CrashContext {
         age: Duration::from_secs(7),
         ..young
     };
@@ -62,13 +62,13 @@
 
 #[test]
 fn workers_that_go_together_speak_little_against_a_task_unless_it_has_sisters_there() {
-    let rack = Scene {
+    let rack = CrashContext {
         age: 30 * MS,
         begun: true,
         many: true,
         alike: false,
     };
-    let sisters = Scene {
+    let sisters = CrashContext {
         alike: true,
         ..rack
     };
@@ -108,14 +108,14 @@
 /// The worker may have been gone before the start came.
 #[test]
 fn a_start_that_was_not_confirmed_speaks_little_and_convicts_nobody() {
-    let scene = Scene {
+    let scene = CrashContext {
         age: 30 * MS,
         begun: false,
         many: false,
         alike: false,
     };
     assert_eq!(scene.weight(), LIGHT);
-    let doubtful = |number| Victim {
+    let doubtful = |number| LostRun {
         begun: false,
         ..victim(0, number, 40, LIGHT)
     };
@@ -131,14 +131,14 @@
 fn a_start_is_left_after_the_third_crash() {
     let mut suspect = Suspect::default();
     for number in [2, 5, 6] {
-        assert!(!suspect.is_spent(number));
+        assert!(!suspect.has_no_starts_left(number));
         suspect.note(&victim(0, number, 10, LIGHT));
         // Told twice, by an earlier owner's entry and by a late answer.
         suspect.note(&victim(0, number, 10, LIGHT));
     }
     assert_eq!(suspect.crashes as usize, CRASHES_MAX);
-    assert!(!suspect.is_spent(6 + STARTS_AFTER - 1));
-    assert!(suspect.is_spent(6 + STARTS_AFTER));
+    assert!(!suspect.has_no_starts_left(6 + STARTS_AFTER - 1));
+    assert!(suspect.has_no_starts_left(6 + STARTS_AFTER));
 }
 
 #[test]
@@ -148,7 +148,7 @@
         suspect.note(&victim(0, number, 10, LIGHT));
     }
     assert_eq!(suspect.crashed, [1, 2, 4]);
-    assert!(suspect.is_spent(4 + STARTS_AFTER));
+    assert!(suspect.has_no_starts_left(4 + STARTS_AFTER));
 }
 
 /// A task that survived one moment longer than at its crash may crash in the next.
--- a/ashtiller/tests/owner/compaction.rs
+++ b/ashtiller/tests/owner/compaction.rs
@@ -11,12 +11,12 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::book::Book;
-use ashtiller::workflow::fact::{Fact, Lead};
+use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::fact::{LogRecord, LogOwner};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use ashtiller::workflow::log::{Log, PartSize, Seized};
 use ashtiller::workflow::snapshot;
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::terms::Tuning;
 use bytes::Bytes;
 use parking_lot::Mutex;
 use tokio::time::{self, Instant};
@@ -125,8 +125,8 @@
     }
 }
 
-fn lead() -> Lead {
-    Lead {
+fn lead() -> LogOwner {
+    LogOwner {
         name: "a".into(),
         address: ([10, 0, 0, 1], 7720).into(),
         life: 1,
@@ -137,14 +137,14 @@
 }
 
 /// A book of open jobs with payloads, as large as so many bytes.
-fn book_of(bytes: usize) -> Book {
-    let mut book = Book::default();
+fn book_of(bytes: usize) -> LogState {
+    let mut book = LogState::default();
     let mut number = 0;
     while snapshot::encode(&book).unwrap().len() < bytes {
         for _ in 0..20 {
             let mut job = job(&format!("{number:016x}"), vec![step(8)]);
             job.payload = format!("{number:0>3000}").into();
-            book.apply(&Fact::Accepted(Box::new(job), policy(), 1), Duration::ZERO);
+            book.apply(&LogRecord::Accepted(Box::new(job), policy(), 1), Duration::ZERO);
             number += 1;
         }
     }
@@ -161,7 +161,7 @@
 
 /// Writes a snapshot while entries of 2 KB go out each 50 ms. The result is how many entries
 /// were written and the longest time that one took.
-async fn compact_beside_entries(store: &Arc<Thin>, book: &Book) -> (u64, Duration) {
+async fn compact_beside_entries(store: &Arc<Thin>, book: &LogState) -> (u64, Duration) {
     let (log, epoch) = open(store).await;
     let bytes = snapshot::encode(book).unwrap();
     let compacted = tokio::spawn({
@@ -187,7 +187,7 @@
     let store = Thin::open(0);
     let book = book_of(600_000);
     let (entries, longest) = compact_beside_entries(&store, &book).await;
-    let stall = Terms::default().stall;
+    let stall = Tuning::default().stall;
     assert!(longest < stall, "{longest:?} of {entries} entries");
     let replayed = Log::new(store, "flow/", 2).replay(Duration::ZERO).await;
     let jobs = replayed.expect("a whole log").book.jobs.len();
@@ -222,13 +222,13 @@
     for position in 1..=4 {
         let number = u64::try_from(book.jobs.len()).unwrap();
         let job = job(&format!("{number:016x}"), vec![step(1)]);
-        let accepted = Fact::Accepted(Box::new(job), policy(), 1);
+        let accepted = LogRecord::Accepted(Box::new(job), policy(), 1);
         book.apply(&accepted, Duration::ZERO);
         let value = log.encode(vec![accepted]).unwrap();
         log.append(epoch, position, value).await.expect("owner");
     }
     // The newer one is small, as most jobs have ended meanwhile.
-    let small = snapshot::encode(&Book::default()).unwrap();
+    let small = snapshot::encode(&LogState::default()).unwrap();
     log.compact(epoch, 4, &small).await.expect("written");
     assert!(late.await.unwrap().is_err(), "it comes late");
     let replayed = log.replay(Duration::ZERO).await.expect("a whole log");
--- a/ashtiller/tests/owner/crash_wave.rs
+++ b/ashtiller/tests/owner/crash_wave.rs
@@ -6,9 +6,9 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::Looked;
-use ashtiller::workflow::config::Listed;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::agents::PollReply;
+use ashtiller::workflow::config::ListedWorker;
+use ashtiller::workflow::life::Incarnation;
 
 use nix::time::{ClockId, clock_gettime};
 
@@ -17,9 +17,9 @@
 /// Each seventh worker crashes.
 const SPACING: u16 = 7;
 
-fn born(number: u16, at: u64) -> Listed {
-    Listed {
-        life: Life::new(&format!("w{number}"), Some(at)),
+fn born(number: u16, at: u64) -> ListedWorker {
+    ListedWorker {
+        life: Incarnation::new(&format!("w{number}"), Some(at)),
         ..listed(number)
     }
 }
@@ -35,7 +35,7 @@
 fn crash_many(workers: u16) -> Duration {
     let mut driver = Driver::new(0, policy());
     driver.patient = true;
-    let list: Vec<Listed> = (0..workers).map(|number| born(number, 1000)).collect();
+    let list: Vec<ListedWorker> = (0..workers).map(|number| born(number, 1000)).collect();
     driver.core.list_all(list, driver.now);
     driver.pass(200 * MS);
     for number in 0..workers / 20 {
@@ -53,7 +53,7 @@
     for number in (0..workers).step_by(SPACING.into()) {
         let former = born(number, 1000).life;
         // The look that is under way there is answered by the next life.
-        let next = Looked::OtherLife(Some(born(number, 1001).life));
+        let next = PollReply::OtherIncarnation(Some(born(number, 1001).life));
         driver.core.take_look(&former, Ok(next), driver.now);
     }
     driver.pass(500 * MS);
--- a/ashtiller/tests/owner/crashes.rs
+++ b/ashtiller/tests/owner/crashes.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::Active;
-use ashtiller::workflow::blame::Victim;
-use ashtiller::workflow::config::Listed;
-use ashtiller::workflow::fact::{End, Fact, Outcome, Run, Task};
+use ashtiller::workflow::blame::LostRun;
+use ashtiller::workflow::config::ListedWorker;
+use ashtiller::workflow::fact::{End, LogRecord, Outcome, Run, Task};
 use ashtiller::workflow::job::{Job, Step};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 use ashtiller::workflow::message::{Reply, State};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
@@ -31,7 +31,7 @@
 pub struct Crashing {
     pub driver: Driver,
     /// Workers as the platform lists them.
-    lives: Vec<Listed>,
+    lives: Vec<ListedWorker>,
     /// Runs that took their worker down, in order.
     pub crashed: Vec<Run>,
     seen: usize,
@@ -44,7 +44,7 @@
     }
 
     /// The same workers under an owner that reads the log.
-    pub fn replay(facts: &[Fact], lives: Vec<Listed>) -> Self {
+    pub fn replay(facts: &[LogRecord], lives: Vec<ListedWorker>) -> Self {
         let mut driver = Driver::replay(facts, 0, policy());
         driver.core.list_all(lives.clone(), driver.now);
         Self {
@@ -73,7 +73,7 @@
     }
 
     /// The worker that started a bad task crashes, if one did.
-    pub fn crash_next(&mut self) -> Option<Life> {
+    pub fn crash_next(&mut self) -> Option<Incarnation> {
         let starts = self.driver.starts();
         let new = starts[self.seen..].to_vec();
         self.seen = starts.len();
@@ -84,7 +84,7 @@
     }
 
     /// The worker is listed under another id.
-    pub fn come_back(&mut self, id: &Life) {
+    pub fn come_back(&mut self, id: &Incarnation) {
         let life = self.lives.iter_mut().find(|life| life.life == *id);
         let life = life.expect("a worker that was listed");
         life.life = format!("{id}x").into();
@@ -203,21 +203,21 @@
         task: task(index),
         number: 1,
     });
-    let victims = runs.map(|run| Victim {
+    let victims = runs.map(|run| LostRun {
         run,
         age: 8000,
         weight: 2,
         begun: true,
     });
-    let accepted = Fact::Accepted(
+    let accepted = LogRecord::Accepted(
         Box::new(job("suspects", vec![lasting(3)])),
         policy(),
         1_000_000,
     );
     let mut facts = vec![accepted];
-    facts.extend(runs.map(|run| Fact::Placed(run, "w9".into(), "".into())));
-    facts.push(Fact::Crashed("w9".into(), victims.to_vec()));
-    facts.extend(runs.map(|run| Fact::Ended(run, End::Lost, "".into())));
+    facts.extend(runs.map(|run| LogRecord::Placed(run, "w9".into(), "".into())));
+    facts.push(LogRecord::Crashed("w9".into(), victims.to_vec()));
+    facts.extend(runs.map(|run| LogRecord::Ended(run, End::Lost, "".into())));
     let mut driver = Driver::replay(&facts, 1, policy());
     driver.submit(job("plain", vec![lasting(1)]));
     driver.pass(Duration::from_secs(9));
@@ -259,14 +259,14 @@
         driver.crash(&life);
         driver.pass(200 * MS);
         let machine = driver.core.workers()[&life].listed.clone();
-        let next = Listed {
+        let next = ListedWorker {
             life: "next".into(),
             ..machine
         };
         driver.come_back_as(&life, next);
         driver.pass(500 * MS);
         let victims = driver.facts.iter().filter_map(|fact| match fact {
-            Fact::Crashed(of, victims) if *of == life => Some(victims),
+            LogRecord::Crashed(of, victims) if *of == life => Some(victims),
             _ => None,
         });
         let victim = victims.flatten().find(|victim| victim.run == run);
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -7,19 +7,19 @@
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{
-    Active, Finished, How, Looked, Name, Order, Refusal, Said, Target,
+    Active, Finished, EndReason, PollReply, TaskName, Order, Refusal, OrderReply, Target,
 };
-use ashtiller::workflow::book::Book;
-use ashtiller::workflow::config::{Config, Listed, Queue};
+use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::advice::Question;
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::evacuations::Zones;
-use ashtiller::workflow::fact::{Fact, Run};
+use ashtiller::workflow::fact::{LogRecord, Run};
 use ashtiller::workflow::job::{Job, Policy, Step};
-use ashtiller::workflow::life::Life;
-use ashtiller::workflow::machines::{Done, Duty};
+use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::machines::{Done, MachineOrder};
 use ashtiller::workflow::message::Reply;
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::terms::Tuning;
 
 pub const MS: Duration = Duration::from_millis(1);
 
@@ -57,8 +57,8 @@
     }
 }
 
-pub fn listed(number: u16) -> Listed {
-    Listed {
+pub fn listed(number: u16) -> ListedWorker {
+    ListedWorker {
         life: format!("w{number}").into(),
         machine: Some(format!("m{number}").into()),
         service: "fleet".into(),
@@ -92,43 +92,43 @@
     pub core: Core,
     pub now: Now,
     pub ticket: u64,
-    pub orders: Vec<(Life, Run, Order)>,
+    pub orders: Vec<(Incarnation, Run, Order)>,
     pub answers: Vec<(Ticket, Reply)>,
     /// Starts that were refused.
-    pub refused: Vec<(Life, Run)>,
+    pub refused: Vec<(Incarnation, Run)>,
     pub asked: Vec<Question>,
     /// What becomes of questions to the advisor.
     pub advisor: Advisor,
-    pub duties: Vec<(Arc<str>, Duty)>,
+    pub duties: Vec<(Arc<str>, MachineOrder)>,
     /// What the machines' interface says to each order; nothing when it is silent.
     pub says: Option<Done>,
-    pub facts: Vec<Fact>,
+    pub facts: Vec<LogRecord>,
     /// The only worker that the advisor lets run anything.
-    pub advises: Option<Life>,
+    pub advises: Option<Incarnation>,
     /// A worker that refuses starts, and why.
-    pub refuses: Option<(Life, Refusal)>,
+    pub refuses: Option<(Incarnation, Refusal)>,
     /// A worker that answers no look.
-    pub silent: Option<Life>,
+    pub silent: Option<Incarnation>,
     /// A worker at which looks run out of time.
-    pub mute: Option<Life>,
+    pub mute: Option<Incarnation>,
     /// Lives of workers that are over: they answer nothing.
-    pub crashed: BTreeSet<Life>,
+    pub crashed: BTreeSet<Incarnation>,
     /// Lives that are not where their entries say: another one answers.
-    pub strangers: BTreeSet<Life>,
+    pub strangers: BTreeSet<Incarnation>,
     /// Lives that are over, and the next ones, which answer for them.
-    pub reborn: BTreeMap<Life, Life>,
+    pub reborn: BTreeMap<Incarnation, Incarnation>,
     /// What each look acknowledged.
-    pub acknowledged: Vec<(Life, u64)>,
+    pub acknowledged: Vec<(Incarnation, u64)>,
     /// Looks by worker.
-    pub looked: BTreeMap<Life, u32>,
+    pub looked: BTreeMap<Incarnation, u32>,
     /// Rows that a look at a worker shows in place of the usual ones.
-    pub at_work: Vec<(Life, Active)>,
+    pub at_work: Vec<(Incarnation, Active)>,
     /// Ends that each look shows.
     pub listed_ends: Vec<Finished>,
     /// Whether looks are answered only when they need not wait any longer.
     pub patient: bool,
     /// Looks that wait, and until when.
-    looks: Vec<(Duration, Life)>,
+    looks: Vec<(Duration, Incarnation)>,
     /// Whether entries become durable.
     pub store: bool,
     /// Whether news of workers comes.
@@ -136,7 +136,7 @@
     /// Availability zones under evacuation; nothing while no news of that comes.
     pub evacuated: Option<Zones>,
     /// A worker whose orders get lost.
-    pub deaf: Option<Life>,
+    pub deaf: Option<Incarnation>,
     /// When the workers' clocks began.
     pub began: Duration,
     /// Position of the entry that is not durable.
@@ -149,17 +149,17 @@
     }
 
     /// A new owner of a log that holds these facts.
-    pub fn replay(facts: &[Fact], workers: u16, policy: Policy) -> Self {
-        Self::with_terms(&Terms::default(), facts, workers, policy)
+    pub fn replay(facts: &[LogRecord], workers: u16, policy: Policy) -> Self {
+        Self::with_terms(&Tuning::default(), facts, workers, policy)
     }
 
     /// A new owner of such a log under these terms.
-    pub fn with_terms(terms: &Terms, facts: &[Fact], workers: u16, policy: Policy) -> Self {
+    pub fn with_terms(terms: &Tuning, facts: &[LogRecord], workers: u16, policy: Policy) -> Self {
         let now = Now {
             at: Duration::from_mins(10),
             wall: 1_000_000,
         };
-        let mut book = Book::default();
+        let mut book = LogState::default();
         for fact in facts {
             book.apply(fact, now.at);
         }
@@ -246,7 +246,7 @@
     }
 
     /// Reports what runs at a worker.
-    fn show(&mut self, id: &Life) {
+    fn show(&mut self, id: &Incarnation) {
         let rows = self.at_work.iter().filter(|(at, _)| at == id);
         let rows = rows.map(|(_, row)| row.clone()).collect();
         let ends = self.listed_ends.clone();
@@ -261,12 +261,12 @@
         match effect {
             Effect::Look(target, _) if self.reborn.contains_key(&target.life) => {
                 let next = self.reborn[&target.life].clone();
-                let looked = Looked::OtherLife(Some(next));
+                let looked = PollReply::OtherIncarnation(Some(next));
                 self.core.take_look(&target.life, Ok(looked), self.now);
             }
             Effect::Look(target, _) if self.strangers.contains(&target.life) => {
                 self.core
-                    .take_look(&target.life, Ok(Looked::OtherLife(None)), self.now);
+                    .take_look(&target.life, Ok(PollReply::OtherIncarnation(None)), self.now);
             }
             Effect::Order(target, run, order) if self.crashed.contains(&target.life) => {
                 let nothing = Failure::unknown("order", &target.life, "connection refused");
@@ -297,13 +297,13 @@
             }
             Effect::Order(target, run, order) if self.refusal(&target, &order).is_some() => {
                 let refusal = self.refusal(&target, &order).expect("a refusal");
-                let said = Ok(Said::Refused(refusal));
+                let said = Ok(OrderReply::Refused(refusal));
                 self.core
                     .take_answer(&target.life, run, &order, said, self.now);
                 self.refused.push((target.life, run));
             }
             Effect::Order(target, run, order) => {
-                let said = Ok(Said::Done(self.clock()));
+                let said = Ok(OrderReply::Done(self.clock()));
                 self.core
                     .take_answer(&target.life, run, &order, said, self.now);
                 if let Order::Stop(name, _) = &order {
@@ -326,7 +326,7 @@
             Effect::Advise(question) => {
                 let Question { key, asked_at, .. } = question;
                 let only = self.advises.clone();
-                let allowed = |id: &&Life| only.as_ref().is_none_or(|only| only == *id);
+                let allowed = |id: &&Incarnation| only.as_ref().is_none_or(|only| only == *id);
                 let good = question.workers.iter().filter(allowed).take(1);
                 let good = good.map(|id| (id.clone(), Arc::from("t")));
                 let answer = match std::mem::take(&mut self.advisor) {
@@ -346,13 +346,13 @@
     }
 
     /// A worker's process ends, and with it all that runs there.
-    pub fn crash(&mut self, id: &Life) {
+    pub fn crash(&mut self, id: &Incarnation) {
         self.crashed.insert(id.clone());
         self.at_work.retain(|(at, _)| at != id);
     }
 
     /// The platform lists another life in place of one that is over.
-    pub fn come_back_as(&mut self, former: &Life, listed: Listed) {
+    pub fn come_back_as(&mut self, former: &Incarnation, listed: ListedWorker) {
         self.core.unlist_worker(former, self.now);
         self.core.list_worker(listed, self.now);
     }
@@ -375,7 +375,7 @@
         u64::try_from(self.now.at.saturating_sub(self.began).as_millis()).unwrap()
     }
 
-    pub fn report(&mut self, id: &Life, mut active: Vec<Active>, finished: Vec<Finished>) {
+    pub fn report(&mut self, id: &Incarnation, mut active: Vec<Active>, finished: Vec<Finished>) {
         // What was started there goes on, unless it was stopped or is among the finished.
         for (worker, run, order) in &self.orders {
             if let Order::Start(start) = order
@@ -397,7 +397,7 @@
                 });
             }
         }
-        let looked = Looked::Report {
+        let looked = PollReply::Report {
             clock: self.clock(),
             active,
             finished,
@@ -424,7 +424,7 @@
         ticket
     }
 
-    pub fn starts(&self) -> Vec<(Life, Run)> {
+    pub fn starts(&self) -> Vec<(Incarnation, Run)> {
         let starts = self
             .orders
             .iter()
@@ -433,7 +433,7 @@
     }
 
     /// A list of one end.
-    pub fn ends(&self, run: Run, how: How, number: u64) -> Vec<Finished> {
+    pub fn ends(&self, run: Run, how: EndReason, number: u64) -> Vec<Finished> {
         vec![Finished {
             number,
             name: self.name(run),
@@ -444,7 +444,7 @@
     }
 
     /// The next look at a worker shows that this run ended.
-    pub fn end(&mut self, id: &Life, run: Run, how: How, number: u64) {
+    pub fn end(&mut self, id: &Incarnation, run: Run, how: EndReason, number: u64) {
         for _ in 0..1000 {
             let mut rest = Vec::new();
             let mut looked = false;
@@ -468,9 +468,9 @@
         panic!("{id} was not looked at");
     }
 
-    pub fn name(&self, run: Run) -> Name {
+    pub fn name(&self, run: Run) -> TaskName {
         let job = &self.core.book().jobs[&run.task.job];
-        Name {
+        TaskName {
             job: job.job.id.clone(),
             time: run.task.time,
             step: run.task.step,
--- a/ashtiller/tests/owner/evacuation.rs
+++ b/ashtiller/tests/owner/evacuation.rs
@@ -4,25 +4,25 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::Active;
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::evacuations::Zones;
-use ashtiller::workflow::fact::{Fact, Run, Task};
+use ashtiller::workflow::fact::{LogRecord, Run, Task};
 use ashtiller::workflow::job::{Sharing, Step};
-use ashtiller::workflow::life::Life;
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::terms::Tuning;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Tuning {
+    Tuning {
         evacuation: Some(Duration::from_secs(5)),
-        ..Terms::default()
+        ..Tuning::default()
     }
 }
 
 /// A worker in the zone that is evacuated.
-fn inside(number: u16) -> Listed {
-    Listed {
+fn inside(number: u16) -> ListedWorker {
+    ListedWorker {
         zone: "olten".into(),
         ..listed(number)
     }
@@ -42,7 +42,7 @@
     driver
 }
 
-fn is_inside(id: &Life, inner: u16) -> bool {
+fn is_inside(id: &Incarnation, inner: u16) -> bool {
     (0..inner).any(|number| *id == inside(number).life)
 }
 
@@ -53,7 +53,7 @@
 }
 
 /// Every look shows a run at this percent.
-fn work(driver: &mut Driver, id: &Life, run: Run, percent: u32) {
+fn work(driver: &mut Driver, id: &Incarnation, run: Run, percent: u32) {
     let row = Active {
         name: driver.name(run),
         run: run.number,
@@ -216,8 +216,8 @@
     };
     let run = Run { task, number: 1 };
     let facts = [
-        Fact::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
-        Fact::Placed(run, "w0".into(), Arc::from("")),
+        LogRecord::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
+        LogRecord::Placed(run, "w0".into(), Arc::from("")),
     ];
     for begun in [false, true] {
         let mut driver = Driver::with_terms(&terms(), &facts, 0, policy());
@@ -244,7 +244,7 @@
     };
     driver.submit(job("1", vec![gang]));
     driver.pass(100 * MS);
-    let more = Listed {
+    let more = ListedWorker {
         life: "w2".into(),
         ..listed(2)
     };
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::workflow::agents::{How, Look, Looked, Order, Refusal, Said, Target};
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::agents::{EndReason, Poll, PollReply, Order, Refusal, OrderReply, Target};
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Effect;
 use ashtiller::workflow::fact::Run;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
@@ -37,7 +37,7 @@
     panic!("no such call within 10 s");
 }
 
-fn acknowledges(effect: &Effect) -> Option<(Target, Look)> {
+fn acknowledges(effect: &Effect) -> Option<(Target, Poll)> {
     match effect {
         Effect::Look(target, look) if look.seen > 0 => Some((target.clone(), look.clone())),
         _ => None,
@@ -54,14 +54,14 @@
 }
 
 /// A worker with an end that was acknowledged by a look which is on its way.
-fn begin(listed: Listed) -> (Driver, Target) {
+fn begin(listed: ListedWorker) -> (Driver, Target) {
     let mut driver = Driver::new(0, policy());
     driver.core.list_all(vec![listed], driver.now);
     driver.pass(100 * MS);
     driver.submit(job("1", vec![step(1)]));
     driver.pass(200 * MS);
     let (life, run) = driver.starts()[0].clone();
-    driver.end(&life, run, How::Done, 6);
+    driver.end(&life, run, EndReason::Done, 6);
     let (target, _) = await_call(&mut driver, acknowledges);
     (driver, target)
 }
@@ -108,14 +108,14 @@
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown("look", &look.life, "no answer in time");
     driver.core.take_look(&look.life, Err(nothing), driver.now);
-    let fenced = Ok(Said::Refused(Refusal::Fenced));
+    let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
     core.take_answer(&first.life, run, &order, fenced, driver.now);
     assert!(!driver.core.is_superseded());
     let (again, of, _) = await_call(&mut driver, starts);
     assert_eq!((again.fence > first.fence, of), (true, run));
     driver.pass(4000 * MS);
-    let fenced = Ok(Said::Refused(Refusal::Fenced));
+    let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
     core.take_answer(&again.life, run, &order, fenced, driver.now);
     assert!(
@@ -135,15 +135,15 @@
     core.take_answer(&first.life, run, &order, Err(nothing), driver.now);
     driver
         .core
-        .take_look(&look.life, Ok(Looked::Fenced), driver.now);
+        .take_look(&look.life, Ok(PollReply::Fenced), driver.now);
     assert!(!driver.core.is_superseded());
 }
 
 /// A next life waited for 13 s, until no acknowledgement meant for the one before could come.
 #[test]
 fn a_life_that_has_taken_a_higher_fence_gets_work_at_once() {
-    let born = |at| Listed {
-        life: Life::new("w0", Some(at)),
+    let born = |at| ListedWorker {
+        life: Incarnation::new("w0", Some(at)),
         ..listed(0)
     };
     let (mut driver, look) = begin(born(1000));
@@ -163,8 +163,8 @@
 /// bore the owner's epoch and was refused. Guards against fences that are kept for a life.
 #[test]
 fn all_lives_of_a_worker_are_called_with_one_fence() {
-    let born = |at| Listed {
-        life: Life::new("w0", Some(at)),
+    let born = |at| ListedWorker {
+        life: Incarnation::new("w0", Some(at)),
         ..listed(0)
     };
     let (mut driver, look) = begin(born(1000));
--- a/ashtiller/tests/owner/first_list.rs
+++ b/ashtiller/tests/owner/first_list.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::book::Book;
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::{Core, Now};
-use ashtiller::workflow::fact::{Fact, Run, Task};
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::fact::{LogRecord, Run, Task};
+use ashtiller::workflow::terms::Tuning;
 
 use nix::time::{ClockId, clock_gettime};
 
@@ -27,11 +27,11 @@
 const LIMIT: Duration = Duration::from_millis(250);
 
 fn take_over(now: Now) -> Core {
-    let mut book = Book::default();
+    let mut book = LogState::default();
     let mut place = 0;
     for number in 0..JOBS {
         let job = job(&format!("{number:016x}"), vec![step(TASKS.into())]);
-        let accepted = Fact::Accepted(Box::new(job), policy(), now.wall);
+        let accepted = LogRecord::Accepted(Box::new(job), policy(), now.wall);
         book.apply(&accepted, now.at);
         for index in 0..TASKS {
             let task = Task {
@@ -40,12 +40,12 @@
                 step: 0,
                 index,
             };
-            let placed = Fact::Placed(Run { task, number: 1 }, listed(place).life, Arc::from(""));
+            let placed = LogRecord::Placed(Run { task, number: 1 }, listed(place).life, Arc::from(""));
             book.apply(&placed, now.at);
             place = (place + 1) % WORKERS;
         }
     }
-    Core::new(Terms::default(), 5, book, 1, now)
+    Core::new(Tuning::default(), 5, book, 1, now)
 }
 
 /// Processor time of this thread so far: what others on the machine do is not the owner's.
@@ -61,7 +61,7 @@
         wall: 1_000_000,
     };
     let mut core = take_over(now);
-    let list: Vec<Listed> = (0..WORKERS).map(listed).collect();
+    let list: Vec<ListedWorker> = (0..WORKERS).map(listed).collect();
     let began = processor_time();
     core.list_all(list, now);
     let took = processor_time().saturating_sub(began);
--- a/ashtiller/tests/owner/first_looks.rs
+++ b/ashtiller/tests/owner/first_looks.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::workflow::agents::{LOOK_LIMIT, Looked};
-use ashtiller::workflow::book::Book;
+use ashtiller::workflow::agents::{POLL_TIMEOUT_MIN, PollReply};
+use ashtiller::workflow::book::LogState;
 use ashtiller::workflow::core::{Core, Effect, Now};
-use ashtiller::workflow::life::Life;
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::terms::Tuning;
 
 use crate::driver::{MS, listed};
 
@@ -31,9 +31,9 @@
         wall: 1_000_000,
     };
     let began = now.at;
-    let mut core = Core::new(Terms::default(), 5, Book::default(), 1, now);
+    let mut core = Core::new(Tuning::default(), 5, LogState::default(), 1, now);
     core.list_all((0..workers).map(listed).collect(), now);
-    let says = |life: &Life| {
+    let says = |life: &Incarnation| {
         let number: u16 = life.id()[1..].parse().unwrap();
         silent == 0 || !number.is_multiple_of(silent)
     };
@@ -49,7 +49,7 @@
                 Effect::Append(position, _) => core.note_durable(position, now.at, now),
                 Effect::Look(target, _) if !heard.contains(&target.life) => {
                     looks += 1;
-                    let limit = now.at + LOOK_LIMIT;
+                    let limit = now.at + POLL_TIMEOUT_MIN;
                     if says(&target.life) {
                         free = free.max(now.at) + ANSWER;
                         under_way.push((free, limit, target.life));
@@ -67,7 +67,7 @@
         for (answered, limit, life) in over {
             let looked = if answered <= limit {
                 heard.insert(life.clone());
-                Ok(Looked::Report {
+                Ok(PollReply::Report {
                     clock: 5000,
                     active: Vec::new(),
                     finished: Vec::new(),
@@ -98,7 +98,7 @@
 fn silent_workers_hold_up_a_take_over_for_three_looks_at_most() {
     for silent in [2, 7] {
         let whole = take_over(90, silent);
-        let most = ANSWER * 90 + LOOK_LIMIT * 3;
+        let most = ANSWER * 90 + POLL_TIMEOUT_MIN * 3;
         assert!(whole.took <= most, "{:?}", whole.took);
     }
 }
--- a/ashtiller/tests/owner/freshness.rs
+++ b/ashtiller/tests/owner/freshness.rs
@@ -6,7 +6,7 @@
 use ashtiller::clock::Moment;
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::follow::{self, Seen};
+use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, watch};
@@ -71,8 +71,8 @@
     while told.len() < most {
         let seen = time::timeout(CAP, seen.recv()).await;
         told.push(match seen.expect("something seen").expect("a follower") {
-            Seen::All { items, as_of } => (as_of.since(begin).as_millis(), Some(items[0].revision)),
-            Seen::Changes { changes, as_of } => {
+            StoreUpdate::All { items, as_of } => (as_of.since(begin).as_millis(), Some(items[0].revision)),
+            StoreUpdate::Changes { changes, as_of } => {
                 assert!(changes.is_empty());
                 (as_of.since(begin).as_millis(), None)
             }
--- a/ashtiller/tests/owner/jobs.rs
+++ b/ashtiller/tests/owner/jobs.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::How;
-use ashtiller::workflow::fact::{Fact, Outcome};
+use ashtiller::workflow::agents::EndReason;
+use ashtiller::workflow::fact::{LogRecord, Outcome};
 use ashtiller::workflow::job::{Schedule, Step};
 use ashtiller::workflow::message::{Reply, State};
 
@@ -45,7 +45,7 @@
     let known = driver
         .facts
         .iter()
-        .any(|fact| matches!(fact, Fact::Accepted(..)));
+        .any(|fact| matches!(fact, LogRecord::Accepted(..)));
     assert!(!known, "a refused job is nowhere");
     assert_eq!(driver.core.state("1"), Reply::Missing);
 }
@@ -82,13 +82,13 @@
     let starts = driver.starts();
     assert_eq!(starts.len(), 1);
     let (id, run) = starts[0].clone();
-    driver.end(&id, run, How::Done, 1);
+    driver.end(&id, run, EndReason::Done, 1);
     driver.pass(200 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 2);
     assert_eq!(starts[1].1.task.step, 1);
     let (id, run) = starts[1].clone();
-    driver.end(&id, run, How::Done, 2);
+    driver.end(&id, run, EndReason::Done, 2);
     driver.pass(200 * MS);
     assert_eq!(
         driver.core.state("1"),
@@ -104,7 +104,7 @@
         driver.pass(300 * MS);
         let (id, run) = driver.starts().last().unwrap().clone();
         assert_eq!(run.number, attempt);
-        driver.end(&id, run, How::Failed, u64::from(attempt));
+        driver.end(&id, run, EndReason::Failed, u64::from(attempt));
     }
     driver.pass(200 * MS);
     assert_eq!(
--- a/ashtiller/tests/owner/kept.rs
+++ b/ashtiller/tests/owner/kept.rs
@@ -13,8 +13,8 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::How;
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::agents::EndReason;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::job::{Advice, Policy, Step};
 
 use crate::driver::{Driver, MS, job, listed, policy};
@@ -31,13 +31,13 @@
             return;
         }
         let (worker, run) = starts_of(driver, "small")[number].clone();
-        driver.end(&worker, run, How::Done, number as u64 + 1);
+        driver.end(&worker, run, EndReason::Done, number as u64 + 1);
         driver.pass(200 * MS);
     }
 }
 
 /// Short tasks of one processor fill a worker; another is about to leave.
-fn stream_beside(leaving: Listed, wants: Step) -> Driver {
+fn stream_beside(leaving: ListedWorker, wants: Step) -> Driver {
     let mut driver = Driver::new(1, policy());
     driver.core.list_worker(leaving, driver.now);
     let small = Step {
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_worker_that_may_not_get_runs_is_not_kept_for_a_lasting_task() {
-    let leaving = Listed {
+    let leaving = ListedWorker {
         draining: true,
         remaining: Some(Duration::from_mins(1)),
         ..listed(7)
@@ -70,7 +70,7 @@
 
 /// Room on a worker without the label.
 fn check_label() {
-    let other = Listed {
+    let other = ListedWorker {
         labels: ["b".into()].into(),
         ..listed(7)
     };
--- a/ashtiller/tests/owner/late_ends.rs
+++ b/ashtiller/tests/owner/late_ends.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::How;
+use ashtiller::workflow::agents::EndReason;
 use ashtiller::workflow::fact::{Outcome, Run};
 use ashtiller::workflow::message::{Reply, State};
 
@@ -33,7 +33,7 @@
 }
 
 /// The worker answers again, and lists how the run ended.
-fn answer_with(driver: &mut Driver, run: Run, how: How) {
+fn answer_with(driver: &mut Driver, run: Run, how: EndReason) {
     driver.listed_ends = driver.ends(run, how, 1);
     driver.silent = None;
     driver.pass(1000 * MS);
@@ -42,7 +42,7 @@
 #[test]
 fn work_that_is_done_counts_however_late_it_is_told() {
     let (mut driver, run) = lose_run();
-    answer_with(&mut driver, run, How::Done);
+    answer_with(&mut driver, run, EndReason::Done);
     assert_eq!(driver.starts().len(), 1, "it is not started again");
     let state = driver.core.state("1");
     assert_eq!(state, Reply::State(State::Over(Outcome::Complete)));
@@ -61,14 +61,14 @@
         .iter()
         .find(|(_, it)| it.task == run.task && *it != run);
     let (_, again) = again.cloned().expect("a run elsewhere");
-    answer_with(&mut driver, run, How::Done);
+    answer_with(&mut driver, run, EndReason::Done);
     assert!(driver.stops().contains(&again), "nobody needs it");
 }
 
 #[test]
 fn a_failure_counts_once_however_late_and_often_it_is_told() {
     let (mut driver, run) = lose_run();
-    answer_with(&mut driver, run, How::Failed);
+    answer_with(&mut driver, run, EndReason::Failed);
     let starts = driver.starts();
     assert_eq!(starts.len(), 2, "one failure of two is not the end");
     let failures = |driver: &Driver| {
@@ -80,7 +80,7 @@
     assert_eq!(failures(&driver), 1, "it is told again and again");
     let (id, last) = starts[1].clone();
     driver.listed_ends.clear();
-    driver.end(&id, last, How::Failed, 2);
+    driver.end(&id, last, EndReason::Failed, 2);
     driver.pass(300 * MS);
     let state = driver.core.state("1");
     assert_eq!(state, Reply::State(State::Over(Outcome::Failed)));
@@ -95,7 +95,7 @@
     let (id, run) = driver.starts()[0].clone();
     driver.silent = Some(id);
     driver.pass(SILENCE);
-    answer_with(&mut driver, run, How::Done);
+    answer_with(&mut driver, run, EndReason::Done);
     driver.listed_ends.clear();
     driver.pass(1000 * MS);
     assert_eq!(driver.starts().len(), 2);
--- a/ashtiller/tests/owner/leaving.rs
+++ b/ashtiller/tests/owner/leaving.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::Active;
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::fact::Run;
 use ashtiller::workflow::job::{Sharing, Step};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
 /// A driver on which both tasks of a service are at work, on workers of their own.
-fn serving(away_max: Option<u32>) -> (Driver, Vec<(Life, Run)>) {
+fn serving(away_max: Option<u32>) -> (Driver, Vec<(Incarnation, Run)>) {
     let mut driver = Driver::new(4, policy());
     let service = Step {
         lasting: true,
@@ -83,12 +83,12 @@
 fn the_newer_of_two_lives_stays() {
     let mut driver = Driver::new(1, policy());
     driver.crash(&"w0".into());
-    let newer = Listed {
+    let newer = ListedWorker {
         life: "a-newer-life".into(),
         ..listed(0)
     };
     driver.core.list_all(vec![listed(0), newer], driver.now);
     driver.pass(20 * MS);
-    let lives: Vec<Life> = driver.core.workers().keys().cloned().collect();
+    let lives: Vec<Incarnation> = driver.core.workers().keys().cloned().collect();
     assert_eq!(lives, ["a-newer-life".into()]);
 }
--- a/ashtiller/tests/owner/listing.rs
+++ b/ashtiller/tests/owner/listing.rs
@@ -5,7 +5,7 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::follow::{self, Seen};
+use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use tokio::sync::{mpsc, watch};
 
@@ -52,7 +52,7 @@
     let (_patience, patience) = watch::channel(follow::LONG_WAIT);
     let follow = follow::follow(Arc::new(Pages), "workers/", patience, sender);
     let following = tokio::spawn(follow);
-    let Some(Seen::All { items, .. }) = seen.recv().await else {
+    let Some(StoreUpdate::All { items, .. }) = seen.recv().await else {
         panic!("no list");
     };
     let keys: Vec<&str> = items.iter().map(|item| &*item.key).collect();
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -3,33 +3,33 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::workflow::agents::{How, Order, Said};
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::agents::{EndReason, Order, OrderReply};
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Effect;
-use ashtiller::workflow::fact::{Fact, Run};
+use ashtiller::workflow::fact::{LogRecord, Run};
 use ashtiller::workflow::lease::Lease;
-use ashtiller::workflow::life::Life;
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::terms::Tuning;
 use ashtiller::workflow::worker::LATE_MAX;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-fn born(number: u16, at: u64) -> Listed {
-    Listed {
-        life: Life::new(&format!("w{number}"), Some(at)),
+fn born(number: u16, at: u64) -> ListedWorker {
+    ListedWorker {
+        life: Incarnation::new(&format!("w{number}"), Some(at)),
         ..listed(number)
     }
 }
 
 /// Two workers with births, the first of which is listed alone at first and has a run.
-fn begin() -> (Driver, Life, Run) {
+fn begin() -> (Driver, Incarnation, Run) {
     let mut driver = Driver::new(0, policy());
     driver.core.list_all(vec![born(0, 1000)], driver.now);
     driver.pass(100 * MS);
     driver.submit(job("1", vec![step(1)]));
     driver.pass(200 * MS);
     let (life, run) = driver.starts()[0].clone();
-    assert_eq!(life, Life::new("w0", Some(1000)));
+    assert_eq!(life, Incarnation::new("w0", Some(1000)));
     let both = vec![born(0, 1000), born(1, 1000)];
     driver.core.list_all(both, driver.now);
     driver.pass(100 * MS);
@@ -38,15 +38,15 @@
 
 #[test]
 fn a_life_is_written_as_its_id_and_its_birth() {
-    let life = Life::new("i-1", Some(42));
+    let life = Incarnation::new("i-1", Some(42));
     assert_eq!((life.id(), life.born()), ("i-1", Some(42)));
-    assert_eq!(Life::from(life.as_str()), life);
-    assert_eq!(Life::from("i-1").born(), None);
+    assert_eq!(Incarnation::from(life.as_str()), life);
+    assert_eq!(Incarnation::from("i-1").born(), None);
     // An id that looks like a life names the same life again.
-    let odd = Life::new("i@7", None);
-    assert_eq!(Life::from(odd.as_str()), odd);
-    assert!(life.is_kin(&Life::new("i-1", Some(41))));
-    assert!(!life.is_kin(&Life::new("i-10", Some(42))));
+    let odd = Incarnation::new("i@7", None);
+    assert_eq!(Incarnation::from(odd.as_str()), odd);
+    assert!(life.is_same_worker(&Incarnation::new("i-1", Some(41))));
+    assert!(!life.is_same_worker(&Incarnation::new("i-10", Some(42))));
 }
 
 /// The log and snapshots of before held ids in place of lives.
@@ -54,7 +54,7 @@
 fn lives_of_old_logs_are_their_ids() {
     let old = postcard::to_stdvec("i-0752b0d0f2").unwrap();
     assert_eq!(old, b"\x0ci-0752b0d0f2");
-    let life: Life = postcard::from_bytes(&old).unwrap();
+    let life: Incarnation = postcard::from_bytes(&old).unwrap();
     assert_eq!((life.id(), life.born()), ("i-0752b0d0f2", None));
     assert_eq!(postcard::to_stdvec(&life).unwrap(), old);
 }
@@ -62,13 +62,13 @@
 #[test]
 fn another_birth_in_an_answer_ends_a_life() {
     let (mut driver, life, run) = begin();
-    let next = Life::new("w0", Some(900));
+    let next = Incarnation::new("w0", Some(900));
     driver.reborn.insert(life.clone(), next.clone());
     driver.pass(200 * MS);
     assert!(!driver.core.book().is_live(run), "nothing of it runs");
     assert_eq!(driver.core.counts().restarts, 1);
     let crashed = driver.facts.iter().any(|fact| match fact {
-        Fact::Crashed(of, victims) => *of == life && victims.iter().any(|it| it.run == run),
+        LogRecord::Crashed(of, victims) => *of == life && victims.iter().any(|it| it.run == run),
         _ => false,
     });
     assert!(crashed, "the crash is in the log");
@@ -117,14 +117,14 @@
     let mut driver = Driver::new(0, policy());
     driver.core.list_all(vec![born(0, 1000)], driver.now);
     driver.pass(100 * MS);
-    driver.deaf = Some(Life::new("w0", Some(1000)));
+    driver.deaf = Some(Incarnation::new("w0", Some(1000)));
     driver.submit(job("1", vec![step(1)]));
     driver.pass(100 * MS);
     let run = driver.starts()[0].1;
     let next = born(0, 2000);
     driver
         .reborn
-        .insert(Life::new("w0", Some(1000)), next.life.clone());
+        .insert(Incarnation::new("w0", Some(1000)), next.life.clone());
     driver
         .core
         .list_all(vec![next.clone(), born(1, 1000)], driver.now);
@@ -140,7 +140,7 @@
 #[test]
 fn an_end_is_acknowledged_until_one_look_with_it_was_answered() {
     let (mut driver, life, run) = begin();
-    driver.end(&life, run, How::Done, 7);
+    driver.end(&life, run, EndReason::Done, 7);
     driver.acknowledged.clear();
     driver.pass(Duration::from_secs(2));
     let told = driver.acknowledged.iter().filter(|(of, _)| *of == life);
@@ -199,7 +199,7 @@
 fn an_old_entry_wipes_out_nothing_that_is_known_of_the_next_life() {
     let (mut driver, life, run) = begin();
     driver.core.list_all(vec![born(0, 1000)], driver.now);
-    driver.end(&life, run, How::Done, 7);
+    driver.end(&life, run, EndReason::Done, 7);
     let mut lost = false;
     for _ in 0..200 {
         driver.now.at += 5 * MS;
@@ -225,7 +225,7 @@
     driver.reborn.insert(life, next.life.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.pass(300 * MS);
-    let old = Listed {
+    let old = ListedWorker {
         draining: true,
         ..born(0, 1000)
     };
@@ -251,14 +251,14 @@
     let heard = driver.clock();
     driver.pass(1500 * MS);
     driver.submit(job("1", vec![step(1)]));
-    let mut started: Option<(Life, Duration)> = None;
+    let mut started: Option<(Incarnation, Duration)> = None;
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
         driver.core.note_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match (effect, &started) {
                 (Effect::Order(target, run, order @ Order::Start(_)), None) => {
-                    let said = Ok(Said::Done(heard));
+                    let said = Ok(OrderReply::Done(heard));
                     driver
                         .core
                         .take_answer(&target.life, run, &order, said, driver.now);
@@ -287,7 +287,7 @@
 /// elsewhere while it still ran. Guards against leases of earlier owners that are taken for ours.
 #[test]
 fn a_grant_of_an_earlier_owner_may_last_as_long_as_a_worker_grants() {
-    let terms = Terms::default();
+    let terms = Tuning::default();
     let mut driver = Driver::new(0, policy());
     driver.began = driver.now.at;
     let both = vec![listed(0), listed(1)];
@@ -310,7 +310,7 @@
 #[test]
 fn a_run_in_doubt_may_go_on_at_a_life_that_is_listed_and_says_nothing() {
     let (driver, life, run) = begin();
-    let terms = Terms::default();
+    let terms = Tuning::default();
     let mut heir = Driver::replay(&driver.facts, 0, policy());
     let next = born(0, 2000);
     heir.crashed.extend([life, next.life.clone()]);
@@ -352,6 +352,6 @@
     driver.core.list_worker(next.clone(), driver.now);
     driver.pass(500 * MS);
     let bound = driver.core.workers()[&next.life].lease.bound();
-    let terms = Terms::default();
+    let terms = Tuning::default();
     assert!(bound >= sent + LATE_MAX + terms.hold, "{bound:?}");
 }
--- a/ashtiller/tests/owner/news.rs
+++ b/ashtiller/tests/owner/news.rs
@@ -3,23 +3,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Ticket;
-use ashtiller::workflow::fact::{Fact, Run, Task};
+use ashtiller::workflow::fact::{LogRecord, Run, Task};
 use ashtiller::workflow::job::Step;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
 fn placed(driver: &Driver) -> usize {
     let facts = driver.facts.iter();
     facts
-        .filter(|fact| matches!(fact, Fact::Placed(..)))
+        .filter(|fact| matches!(fact, LogRecord::Placed(..)))
         .count()
 }
 
 /// A driver that has placed one run, whose record waits for the store, and its worker.
-fn recording(workers: u16) -> (Driver, Life) {
+fn recording(workers: u16) -> (Driver, Incarnation) {
     let mut driver = Driver::new(workers, policy());
     driver.store = false;
     driver.submit(job("1", vec![step(1)]));
@@ -29,24 +29,24 @@
 }
 
 /// The worker of the first run that was placed.
-fn placed_on(driver: &Driver) -> Life {
+fn placed_on(driver: &Driver) -> Incarnation {
     let worker = driver.facts.iter().find_map(|fact| match fact {
-        Fact::Placed(_, worker, _) => Some(worker.clone()),
+        LogRecord::Placed(_, worker, _) => Some(worker.clone()),
         _ => None,
     });
     worker.expect("a run was placed")
 }
 
 /// A worker's entry, by which it drains.
-fn drains(id: &Life) -> Listed {
-    Listed {
+fn drains(id: &Incarnation) -> ListedWorker {
+    ListedWorker {
         draining: true,
         remaining: Some(Duration::from_secs(3)),
         ..listed(id.id()[1..].parse().unwrap())
     }
 }
 
-fn starts_at(driver: &Driver, id: &Life) -> usize {
+fn starts_at(driver: &Driver, id: &Incarnation) -> usize {
     let starts = driver.starts();
     starts.iter().filter(|(worker, _)| worker == id).count()
 }
@@ -155,7 +155,7 @@
         driver.store = false;
         driver.submit(job("1", vec![wanted]));
         driver.pass(100 * MS);
-        let rest: Vec<Listed> = (0..2).map(listed).collect();
+        let rest: Vec<ListedWorker> = (0..2).map(listed).collect();
         let worker = placed_on(&driver);
         let rest = rest.into_iter().filter(|other| other.life != worker);
         driver.core.list_all(rest.collect(), driver.now);
@@ -199,8 +199,8 @@
         index: 0,
     };
     let facts = [
-        Fact::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
-        Fact::Placed(Run { task, number: 1 }, "w0".into(), Arc::from("")),
+        LogRecord::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
+        LogRecord::Placed(Run { task, number: 1 }, "w0".into(), Arc::from("")),
     ];
     for offset in 0..8 {
         let mut driver = Driver::replay(&facts, 0, policy());
--- a/ashtiller/tests/owner/parts.rs
+++ b/ashtiller/tests/owner/parts.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::blame::Victim;
-use ashtiller::workflow::book::Book;
+use ashtiller::workflow::blame::LostRun;
+use ashtiller::workflow::book::LogState;
 use ashtiller::workflow::config::{Config, Queue};
-use ashtiller::workflow::fact::{End, Fact, Outcome, Run, Task};
-use ashtiller::workflow::interference::{Beside, Interference};
+use ashtiller::workflow::fact::{End, LogRecord, Outcome, Run, Task};
+use ashtiller::workflow::interference::{NeighborFill, Interference};
 use ashtiller::workflow::job::Step;
 use ashtiller::workflow::lease::{self, Lease};
 use ashtiller::workflow::snapshot;
@@ -74,7 +74,7 @@
         lease.grant(start + 500 * MS, Duration::from_secs(6)),
         Some(56_500)
     );
-    assert_eq!(lease.bound(), start + lease::stretch(6500 * MS));
+    assert_eq!(lease.bound(), start + lease::worst_case_elapsed(6500 * MS));
     // An answer that is overtaken by a later one says nothing.
     lease.hear(49_000, start + Duration::from_secs(1));
     assert_eq!(
@@ -94,7 +94,7 @@
     for round in 0..600u32 {
         // Headrooms swing around the usual one.
         let own = 1.0 + f64::from(round % 7) * 0.1 - 0.3;
-        let beside = |image| [Beside { image, share: 0.3 }];
+        let beside = |image| [NeighborFill { image, share: 0.3 }];
         known.learn(serves, 2.5 * (own - 0.3 * 1.7), None, &beside(heavy));
         known.learn(serves, 2.5 * (own - 0.3 * 0.2), None, &beside(mild));
     }
@@ -125,21 +125,21 @@
     };
     let run = Run { task, number: 1 };
     let facts = [
-        Fact::Accepted(Box::new(job("1", vec![step(2)])), policy(), 7),
-        Fact::Placed(run, "w0".into(), "".into()),
-        Fact::Ended(run, End::Done, "".into()),
-        Fact::Accepted(Box::new(job("2", vec![step(1)])), policy(), 8),
-        Fact::Cancelled(1),
-        Fact::Accepted(Box::new(job("3", vec![step(2)])), policy(), 9),
-        Fact::Crashed("w0".into(), vec![crash_of(2, 0), crash_of(2, 1)]),
-        Fact::Absolved(crash_of(2, 1).run.task),
+        LogRecord::Accepted(Box::new(job("1", vec![step(2)])), policy(), 7),
+        LogRecord::Placed(run, "w0".into(), "".into()),
+        LogRecord::Ended(run, End::Done, "".into()),
+        LogRecord::Accepted(Box::new(job("2", vec![step(1)])), policy(), 8),
+        LogRecord::Cancelled(1),
+        LogRecord::Accepted(Box::new(job("3", vec![step(2)])), policy(), 9),
+        LogRecord::Crashed("w0".into(), vec![crash_of(2, 0), crash_of(2, 1)]),
+        LogRecord::Absolved(crash_of(2, 1).run.task),
     ];
-    let mut whole = Book::default();
+    let mut whole = LogState::default();
     for fact in &facts {
         whole.apply(fact, MS);
     }
     for cut in 0..facts.len() {
-        let mut first = Book::default();
+        let mut first = LogState::default();
         for fact in &facts[..cut] {
             first.apply(fact, MS);
         }
@@ -161,14 +161,14 @@
 }
 
 /// A worker crashed under the first run of a task.
-fn crash_of(job: u32, index: u16) -> Victim {
+fn crash_of(job: u32, index: u16) -> LostRun {
     let task = Task {
         job,
         time: 0,
         step: 0,
         index,
     };
-    Victim {
+    LostRun {
         run: Run { task, number: 1 },
         age: 40,
         weight: 2,
@@ -178,9 +178,9 @@
 
 #[test]
 fn a_snapshot_from_before_there_were_suspects_reads() {
-    let mut book = Book::default();
+    let mut book = LogState::default();
     book.apply(
-        &Fact::Accepted(Box::new(job("1", vec![step(2)])), policy(), 7),
+        &LogRecord::Accepted(Box::new(job("1", vec![step(2)])), policy(), 7),
         MS,
     );
     let bytes = postcard::to_stdvec(&book).unwrap();
@@ -203,13 +203,13 @@
         index: 17,
     };
     let run = Run { task, number: 2 };
-    let facts: Vec<Fact> = postcard::from_bytes(&BYTES).unwrap();
+    let facts: Vec<LogRecord> = postcard::from_bytes(&BYTES).unwrap();
     let expected = [
-        Fact::Placed(run, "w0".into(), "c7".into()),
-        Fact::Ended(run, End::Lost, "c8".into()),
-        Fact::Failed(3),
-        Fact::Upkept(5, "m1".into()),
-        Fact::Cleared(9),
+        LogRecord::Placed(run, "w0".into(), "c7".into()),
+        LogRecord::Ended(run, End::Lost, "c8".into()),
+        LogRecord::Failed(3),
+        LogRecord::Upkept(5, "m1".into()),
+        LogRecord::Cleared(9),
     ];
     assert_eq!(facts, expected);
 }
--- a/ashtiller/tests/owner/placing.rs
+++ b/ashtiller/tests/owner/placing.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{How, Order};
+use ashtiller::workflow::agents::{EndReason, Order};
 use ashtiller::workflow::core::advice::Question;
 use ashtiller::workflow::job::{Advice, Policy, Sharing, Step};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Advisor, Driver, MS, job, policy, step};
 
@@ -17,7 +17,7 @@
     driver.submit(job("1", vec![step(1)]));
     driver.pass(200 * MS);
     let (first, run) = driver.starts()[0].clone();
-    driver.end(&first, run, How::Failed, 1);
+    driver.end(&first, run, EndReason::Failed, 1);
     driver.pass(200 * MS);
     assert_ne!(driver.starts()[1].0, first);
 }
@@ -64,7 +64,7 @@
     };
     driver.submit(job("1", vec![spread]));
     driver.pass(300 * MS);
-    let workers: BTreeSet<Life> = driver.starts().into_iter().map(|(id, _)| id).collect();
+    let workers: BTreeSet<Incarnation> = driver.starts().into_iter().map(|(id, _)| id).collect();
     assert_eq!(workers.len(), 4);
     let labelled = Step {
         label: Some("r1".into()),
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::workflow::agents::ORDER_LIMIT;
+use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
 use ashtiller::workflow::core::Effect;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 use ashtiller::workflow::message::Reply;
 
 use crate::driver::{Driver, MS, job, policy, step};
@@ -30,7 +30,7 @@
 fn workers_that_are_silent_make_nobody_wait_longer_for_the_others() {
     let mut driver = Driver::new(40, policy());
     driver.pass(500 * MS);
-    let mut late: Vec<(Duration, Life)> = Vec::new();
+    let mut late: Vec<(Duration, Incarnation)> = Vec::new();
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
         driver.core.note_listing(driver.now.at);
@@ -40,20 +40,20 @@
                 Effect::Look(target, look)
                     if !target.life.id().ends_with('0') && target.life.id().len() > 2 =>
                 {
-                    late.push((driver.now.at + look.wait + target.patience, target.life));
+                    late.push((driver.now.at + look.wait + target.timeout, target.life));
                 }
                 other => driver.carry_out(other),
             }
         }
         let (due, rest) = late.into_iter().partition(|(at, _)| *at <= driver.now.at);
         late = rest;
-        let due: Vec<(Duration, Life)> = due;
+        let due: Vec<(Duration, Incarnation)> = due;
         for (_, id) in due {
             let nothing = Failure::unknown("look", &id, "no answer");
             driver.core.take_look(&id, Err(nothing), driver.now);
         }
     }
     let pressure = driver.core.pressure();
-    assert!(!pressure.is_queued(), "{:?}", pressure.usual());
-    assert_eq!(pressure.patience(ORDER_LIMIT, 800 * MS), ORDER_LIMIT);
+    assert!(!pressure.is_congested(), "{:?}", pressure.usual());
+    assert_eq!(pressure.timeout(ORDER_TIMEOUT_MIN, 800 * MS), ORDER_TIMEOUT_MIN);
 }
--- a/ashtiller/tests/owner/refill.rs
+++ b/ashtiller/tests/owner/refill.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::{How, Order};
+use ashtiller::workflow::agents::{EndReason, Order};
 use ashtiller::workflow::job::Step;
 
 use crate::driver::{Driver, MS, job, policy, step};
@@ -39,7 +39,7 @@
     for (number, moment) in (1..=4u64).zip([0, 35, 70, 105]) {
         driver.pass(500 * MS + moment * MS);
         let (life, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
-        driver.end(&life, run, How::Stopped, number);
+        driver.end(&life, run, EndReason::Stopped, number);
         let ended = driver.now.at;
         let known = driver.starts().len();
         while driver.starts().len() == known {
@@ -68,7 +68,7 @@
     for (number, moment) in (1..=4u64).zip([0, 10, 20, 30]) {
         driver.pass(500 * MS + moment * MS);
         let (life, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
-        driver.end(&life, run, How::Stopped, number);
+        driver.end(&life, run, EndReason::Stopped, number);
         let known = driver.starts().len();
         driver.pass(15 * MS);
         assert_eq!(driver.starts().len(), known + 1, "room left at {moment} ms");
--- a/ashtiller/tests/owner/room.rs
+++ b/ashtiller/tests/owner/room.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::How;
+use ashtiller::workflow::agents::EndReason;
 use ashtiller::workflow::fact::Run;
 use ashtiller::workflow::job::Step;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Driver, MS, job, policy, step};
 
@@ -32,7 +32,7 @@
 }
 
 /// The newest start, with the id of its job.
-fn newest(driver: &Driver) -> (Life, Run, Arc<str>) {
+fn newest(driver: &Driver) -> (Incarnation, Run, Arc<str>) {
     let (id, run) = driver.starts().last().expect("a start").clone();
     let job = driver.core.book().jobs[&run.task.job].job.id.clone();
     (id, run, job)
@@ -50,7 +50,7 @@
     driver.pass(100 * MS);
     driver.submit(job("short", vec![whole_worker()]));
     driver.pass(100 * MS);
-    driver.end(&id, run, How::Done, 1);
+    driver.end(&id, run, EndReason::Done, 1);
     driver.pass(300 * MS);
     assert_eq!(&*newest(&driver).2, "short");
 }
@@ -65,7 +65,7 @@
     driver.submit(job("lasts", vec![lasting()]));
     // Three times its objective of 1.25 s has passed.
     driver.pass(3900 * MS);
-    driver.end(&id, run, How::Done, 1);
+    driver.end(&id, run, EndReason::Done, 1);
     driver.pass(300 * MS);
     assert_eq!(&*newest(&driver).2, "short");
 }
@@ -84,7 +84,7 @@
             break;
         }
         driver.submit(job(&format!("short-{number}"), vec![whole_worker()]));
-        driver.end(&id, run, How::Done, number);
+        driver.end(&id, run, EndReason::Done, number);
         driver.pass(200 * MS);
     }
     assert_eq!(&*newest(&driver).2, "lasts");
@@ -111,7 +111,7 @@
         // One after the other ends, so that no more than one processor is free at a time.
         let (id, run) = driver.starts()[ended].clone();
         ended += 1;
-        driver.end(&id, run, How::Done, ended as u64);
+        driver.end(&id, run, EndReason::Done, ended as u64);
         driver.pass(200 * MS);
     }
     assert_eq!(&*newest(&driver).2, "lasts");
@@ -125,10 +125,10 @@
     let (id, run, _) = newest(&driver);
     driver.submit(job("second", vec![whole_worker()]));
     driver.pass(SECOND);
-    driver.end(&id, run, How::Done, 1);
+    driver.end(&id, run, EndReason::Done, 1);
     driver.pass(300 * MS);
     let (id, run, _) = newest(&driver);
-    driver.end(&id, run, How::Done, 2);
+    driver.end(&id, run, EndReason::Done, 2);
     driver.pass(300 * MS);
     let times = driver.core.take_times();
     assert_eq!(times.len(), 2);
@@ -162,7 +162,7 @@
             driver.pass(150 * MS);
             let starts = driver.starts();
             for (id, run) in &starts[ended..] {
-                driver.end(id, *run, How::Done, run.task.job.into());
+                driver.end(id, *run, EndReason::Done, run.task.job.into());
             }
             ended = starts.len();
         }
--- a/ashtiller/tests/owner/selective.rs
+++ b/ashtiller/tests/owner/selective.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::How;
+use ashtiller::workflow::agents::EndReason;
 use ashtiller::workflow::job::Step;
 
 use crate::driver::{Driver, MS, job, policy, step};
@@ -79,7 +79,7 @@
     driver.submit(job("3", vec![short(1000)]));
     driver.pass(200 * MS);
     assert_eq!(driver.starts().len(), 2, "it waits");
-    driver.end(&other, taken, How::Done, 1);
+    driver.end(&other, taken, EndReason::Done, 1);
     driver.pass(300 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 3);
--- a/ashtiller/tests/owner/sharing.rs
+++ b/ashtiller/tests/owner/sharing.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Active, How, Order};
-use ashtiller::workflow::fact::{Fact, Run};
+use ashtiller::workflow::agents::{Active, EndReason, Order};
+use ashtiller::workflow::fact::{LogRecord, Run};
 use ashtiller::workflow::job::{Sharing, Step};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Driver, MS, job, policy, step};
 
@@ -42,7 +42,7 @@
 }
 
 /// The services that run report this tail from now on.
-pub fn set_tails(driver: &mut Driver, services: &[(Life, Run)], tail: u64) {
+pub fn set_tails(driver: &mut Driver, services: &[(Incarnation, Run)], tail: u64) {
     driver.at_work = services
         .iter()
         .map(|(id, run)| {
@@ -97,7 +97,7 @@
     assert_eq!(driver.starts()[2].0, services[0].0);
     // The service is over its target, which the fill may be the cause of.
     set_tails(&mut driver, &services, 55);
-    driver.end(&other, taken, How::Done, 1);
+    driver.end(&other, taken, EndReason::Done, 1);
     driver.pass(5 * SECOND);
     let starts = driver.starts();
     assert_eq!(starts.len(), 4, "{starts:?}");
@@ -201,11 +201,11 @@
             driver.pass(20 * MS);
         }
         let (id, run) = driver.starts().last().expect("a start").clone();
-        driver.end(&id, run, How::Done, number + 1);
+        driver.end(&id, run, EndReason::Done, number + 1);
         driver.pass(300 * MS);
     }
     let lessons = driver.facts.iter().rev().find_map(|fact| match fact {
-        Fact::Learned(lessons) => Some(lessons.clone()),
+        LogRecord::Learned(lessons) => Some(lessons.clone()),
         _ => None,
     });
     let lessons = lessons.expect("lessons");
--- a/ashtiller/tests/owner/shrinking.rs
+++ b/ashtiller/tests/owner/shrinking.rs
@@ -2,23 +2,23 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::How;
-use ashtiller::workflow::config::Listed;
-use ashtiller::workflow::fact::{Fact, Run};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::agents::EndReason;
+use ashtiller::workflow::config::ListedWorker;
+use ashtiller::workflow::fact::{LogRecord, Run};
+use ashtiller::workflow::life::Incarnation;
 use ashtiller::workflow::message::{Reply, State};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
 /// A worker with this many processors, of four that it had.
-fn shrunk(number: u16, processors: u64) -> Listed {
+fn shrunk(number: u16, processors: u64) -> ListedWorker {
     let mut entry = listed(number);
     entry.capacity.processors = 1000 * processors;
     entry
 }
 
 /// Runs on one worker that were told to start and not to stop.
-fn kept(driver: &Driver, id: &Life) -> Vec<Run> {
+fn kept(driver: &Driver, id: &Incarnation) -> Vec<Run> {
     let stops = driver.stops();
     let starts = driver.starts().into_iter();
     let kept = starts.filter(|(at, run)| at == id && !stops.contains(run));
@@ -70,11 +70,11 @@
     driver.pass(500 * MS);
     assert!(driver.stops().is_empty());
     let (id, run) = starts[0].clone();
-    driver.end(&id, run, How::Done, 1);
+    driver.end(&id, run, EndReason::Done, 1);
     driver.pass(300 * MS);
     assert_eq!(driver.starts().len(), 3, "two are left, and fill it");
     let (id, run) = starts[1].clone();
-    driver.end(&id, run, How::Done, 2);
+    driver.end(&id, run, EndReason::Done, 2);
     driver.pass(300 * MS);
     assert_eq!(driver.starts().len(), 4);
 }
@@ -86,7 +86,7 @@
     first.submit(job("1", vec![step(4)]));
     first.pass(200 * MS);
     assert_eq!(first.starts().len(), 4);
-    let facts: Vec<Fact> = first.facts;
+    let facts: Vec<LogRecord> = first.facts;
     let mut driver = Driver::replay(&facts, 0, policy());
     driver.core.list_worker(shrunk(0, 2), driver.now);
     driver.submit(job("2", vec![step(1)]));
@@ -107,6 +107,6 @@
     assert_eq!(driver.core.state("1"), Reply::State(State::Queued));
     driver.core.list_worker(listed(1), driver.now);
     driver.pass(300 * MS);
-    let starts: Vec<Life> = driver.starts().into_iter().map(|(id, _)| id).collect();
+    let starts: Vec<Incarnation> = driver.starts().into_iter().map(|(id, _)| id).collect();
     assert_eq!(starts, ["w1".into()]);
 }
--- a/ashtiller/tests/owner/slow.rs
+++ b/ashtiller/tests/owner/slow.rs
@@ -7,10 +7,10 @@
 use ashtiller::clock::Moment;
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::agents::ORDER_LIMIT;
-use ashtiller::workflow::follow::{self, Seen};
+use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
+use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::terms::Tuning;
 use tokio::sync::{mpsc, watch};
 use tokio::time;
 
@@ -120,14 +120,14 @@
 }
 
 /// Follows workers as the owner of a log does.
-fn follow(store: Arc<dyn Store>) -> (watch::Sender<Duration>, mpsc::Receiver<Seen>) {
-    follow_for(store, follow::short_wait(Terms::default().drain))
+fn follow(store: Arc<dyn Store>) -> (watch::Sender<Duration>, mpsc::Receiver<StoreUpdate>) {
+    follow_for(store, follow::short_wait(Tuning::default().drain))
 }
 
 fn follow_for(
     store: Arc<dyn Store>,
     wait: Duration,
-) -> (watch::Sender<Duration>, mpsc::Receiver<Seen>) {
+) -> (watch::Sender<Duration>, mpsc::Receiver<StoreUpdate>) {
     let (sender, seen) = mpsc::channel(16);
     let patience = watch::Sender::new(wait);
     let told = patience.subscribe();
@@ -135,9 +135,9 @@
     (patience, seen)
 }
 
-fn as_of(seen: &Seen) -> Moment {
+fn as_of(seen: &StoreUpdate) -> Moment {
     match seen {
-        Seen::All { as_of, .. } | Seen::Changes { as_of, .. } => *as_of,
+        StoreUpdate::All { as_of, .. } | StoreUpdate::Changes { as_of, .. } => *as_of,
     }
 }
 
@@ -151,7 +151,7 @@
             listed = listed.max(as_of(&seen));
         }
         total += 1;
-        held += u32::from(listed.elapsed() + ORDER_LIMIT >= Terms::default().drain);
+        held += u32::from(listed.elapsed() + ORDER_TIMEOUT_MIN >= Tuning::default().drain);
         time::sleep(5 * MS).await;
     }
     held * 1000 / total
--- a/ashtiller/tests/owner/strangers.rs
+++ b/ashtiller/tests/owner/strangers.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::fact::Run;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
 /// An entry that names the machine and the address of another worker.
-fn stranger(number: u16) -> Listed {
-    Listed {
+fn stranger(number: u16) -> ListedWorker {
+    ListedWorker {
         life: "stranger".into(),
         ..listed(number)
     }
 }
 
 /// Two workers, one of which has a run.
-fn begin() -> (Driver, Life, Run, u16) {
+fn begin() -> (Driver, Incarnation, Run, u16) {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1)]));
     driver.pass(200 * MS);
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::fact::{End, Fact, Run, Task};
+use ashtiller::workflow::fact::{End, LogRecord, Run, Task};
 use ashtiller::workflow::job::Step;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
@@ -22,21 +22,21 @@
 const FORMER: u64 = 4;
 
 /// A new owner that finds a lasting task on a worker that is gone.
-fn replace_owner(known: &[Fact]) -> Driver {
+fn replace_owner(known: &[LogRecord]) -> Driver {
     let lasting = Step {
         lasting: true,
         ..step(1)
     };
     let mut facts = known.to_vec();
     facts.extend([
-        Fact::Accepted(Box::new(job("1", vec![lasting])), policy(), 1_000_000),
+        LogRecord::Accepted(Box::new(job("1", vec![lasting])), policy(), 1_000_000),
         placed(1, "gone"),
     ]);
     Driver::replay(&facts, 1, policy())
 }
 
-fn placed(number: u32, worker: &str) -> Fact {
-    Fact::Placed(run(number), worker.into(), Arc::from(""))
+fn placed(number: u32, worker: &str) -> LogRecord {
+    LogRecord::Placed(run(number), worker.into(), Arc::from(""))
 }
 
 /// The former owner placed a copy that it never started, or started in vain, and then
@@ -48,10 +48,10 @@
         ..step(2)
     };
     let facts = [
-        Fact::Accepted(Box::new(job("1", vec![copied])), policy(), 1_000_000),
+        LogRecord::Accepted(Box::new(job("1", vec![copied])), policy(), 1_000_000),
         placed(1, "w0"),
         placed(2, "w1"),
-        Fact::Ended(run(1), End::Done, Arc::from("")),
+        LogRecord::Ended(run(1), End::Done, Arc::from("")),
     ];
     let mut driver = Driver::replay(&facts, 2, policy());
     driver.pass(1000 * MS);
@@ -70,7 +70,7 @@
 #[test]
 fn a_start_that_waits_for_proof_of_ownership_goes_out_with_it() {
     let facts = [
-        Fact::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
+        LogRecord::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
         placed(1, "w0"),
     ];
     let mut driver = Driver::replay(&facts, 0, policy());
@@ -98,20 +98,20 @@
 /// owners before it: starting within 9 s without it would let a task run twice.
 #[test]
 fn a_task_on_a_worker_that_is_gone_starts_soon_after_a_change_of_owner() {
-    let mut driver = replace_owner(&[Fact::Cleared(FORMER)]);
+    let mut driver = replace_owner(&[LogRecord::Cleared(FORMER)]);
     driver.core.clear_former(FORMER, driver.now);
     // The longest lease, and what the platform leaves beyond it.
     driver.pass(9000 * MS);
     assert_eq!(driver.starts().len(), 1);
     assert!(
-        driver.facts.contains(&Fact::Cleared(5)),
+        driver.facts.contains(&LogRecord::Cleared(5)),
         "for a later owner"
     );
 }
 
 #[test]
 fn without_word_of_the_former_owner_a_task_waits_for_all_that_it_may_have_granted() {
-    let mut driver = replace_owner(&[Fact::Cleared(FORMER)]);
+    let mut driver = replace_owner(&[LogRecord::Cleared(FORMER)]);
     driver.pass(17_000 * MS);
     assert!(driver.starts().is_empty(), "the former owner may go on");
     driver.pass(1000 * MS);
@@ -120,7 +120,7 @@
 
 #[test]
 fn that_the_former_owner_has_ended_says_nothing_of_those_before_it() {
-    let mut driver = replace_owner(&[Fact::Cleared(FORMER - 1)]);
+    let mut driver = replace_owner(&[LogRecord::Cleared(FORMER - 1)]);
     driver.core.clear_former(FORMER, driver.now);
     driver.pass(17_000 * MS);
     assert!(driver.starts().is_empty(), "an earlier owner may go on");
--- a/ashtiller/tests/owner/trial.rs
+++ b/ashtiller/tests/owner/trial.rs
@@ -16,10 +16,10 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Active, How};
+use ashtiller::workflow::agents::{Active, EndReason};
 use ashtiller::workflow::fact::Run;
 use ashtiller::workflow::job::{Policy, Step};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 
 use crate::driver::{Driver, MS, job, policy, step};
 
@@ -46,7 +46,7 @@
     }
 }
 
-pub fn starts_of(driver: &Driver, id: &str) -> Vec<(Life, Run)> {
+pub fn starts_of(driver: &Driver, id: &str) -> Vec<(Incarnation, Run)> {
     let book = driver.core.book();
     let mut starts = driver.starts();
     starts.retain(|(_, run)| {
@@ -69,7 +69,7 @@
 }
 
 /// The looks that follow show that a run ended, beside all that goes on there.
-fn end(driver: &mut Driver, run: Run, how: How, number: u64) {
+fn end(driver: &mut Driver, run: Run, how: EndReason, number: u64) {
     driver.listed_ends = driver.ends(run, how, number);
     driver.pass(200 * MS);
     driver.listed_ends.clear();
@@ -91,7 +91,7 @@
         driver.submit(job(&id, vec![short(1000)]));
         driver.pass(200 * MS);
         let run = starts_of(&driver, &id)[0].1;
-        end(&mut driver, run, How::Failed, number);
+        end(&mut driver, run, EndReason::Failed, number);
     }
     // The first time aside is 1.5 s.
     driver.pass(2 * SECOND);
@@ -114,7 +114,7 @@
     driver.pass(SECOND);
     let run = starts_of(&driver, "trial")[0].1;
     assert!(starts_of(&driver, "behind").is_empty(), "beside the trial");
-    end(&mut driver, run, How::Done, 3);
+    end(&mut driver, run, EndReason::Done, 3);
     driver.pass(SECOND);
     assert_eq!(starts_of(&driver, "behind").len(), 1);
 }
--- a/ashtiller/tests/owner/upkeep.rs
+++ b/ashtiller/tests/owner/upkeep.rs
@@ -24,10 +24,10 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::Active;
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::fact::Run;
 use ashtiller::workflow::job::Step;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 use ashtiller::workflow::machines::{Done, Wave};
 
 use crate::driver::{Driver, job, listed, policy};
@@ -96,8 +96,8 @@
     ask_wave(&mut driver, 2);
     driver.pass(FIRST_ORDER);
     assert!(!driver.duties.is_empty());
-    let fresh: Life = "w9".into();
-    let back = Listed {
+    let fresh: Incarnation = "w9".into();
+    let back = ListedWorker {
         life: fresh.clone(),
         ..listed(0)
     };
@@ -133,7 +133,7 @@
     driver.core.list_worker(listed(0), driver.now);
     driver.pass(10 * SECOND);
     assert_eq!(driver.duties.len(), 1, "no more than one at once");
-    let back = Listed {
+    let back = ListedWorker {
         life: "w9".into(),
         ..listed(0)
     };
@@ -157,7 +157,7 @@
     driver.pass(SECOND);
 }
 
-fn put_at_work(driver: &mut Driver, started: (Life, Run)) {
+fn put_at_work(driver: &mut Driver, started: (Incarnation, Run)) {
     let (id, run) = started;
     let row = Active {
         name: driver.name(run),
--- a/ashtiller/tests/owner/watching.rs
+++ b/ashtiller/tests/owner/watching.rs
@@ -6,7 +6,7 @@
 use ashtiller::clock::Moment;
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::follow::{self, Seen};
+use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Change, Committed, Item, Page, Store, Txn, Watched};
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, watch};
@@ -87,7 +87,7 @@
 
 struct Following {
     patience: watch::Sender<Duration>,
-    seen: mpsc::Receiver<Seen>,
+    seen: mpsc::Receiver<StoreUpdate>,
 }
 
 impl Following {
@@ -99,13 +99,13 @@
         Self { patience, seen }
     }
 
-    async fn next(&mut self) -> Seen {
+    async fn next(&mut self) -> StoreUpdate {
         let seen = time::timeout(CAP, self.seen.recv()).await;
         seen.expect("something seen").expect("a follower")
     }
 
     async fn list(&mut self) {
-        assert!(matches!(self.next().await, Seen::All { .. }), "a list");
+        assert!(matches!(self.next().await, StoreUpdate::All { .. }), "a list");
     }
 }
 
@@ -164,11 +164,11 @@
     let began = Moment::now();
     let mut following = Following::open(Told::open(&fates), WAIT);
     following.list().await;
-    let Seen::Changes { changes, as_of } = following.next().await else {
+    let StoreUpdate::Changes { changes, as_of } = following.next().await else {
         panic!("no change");
     };
     assert_eq!((changes.len(), as_of), (1, began));
-    let Seen::Changes { changes, as_of } = following.next().await else {
+    let StoreUpdate::Changes { changes, as_of } = following.next().await else {
         panic!("no answer");
     };
     assert_eq!((changes.len(), as_of), (0, began.plus(WAIT)));
--- a/ashtiller/tests/owner/workers.rs
+++ b/ashtiller/tests/owner/workers.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::{Active, How, Order};
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::agents::{Active, EndReason, Order};
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::fact::Run;
 use ashtiller::workflow::job::{Policy, Sharing, Step};
-use ashtiller::workflow::machines::{Duty, Wave};
+use ashtiller::workflow::machines::{MachineOrder, Wave};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
@@ -18,7 +18,7 @@
     let (id, _) = driver.starts()[0].clone();
     let number: u16 = id.id()[1..].parse().unwrap();
     // The same machine under another id: the former life is over.
-    let back = Listed {
+    let back = ListedWorker {
         life: "w9".into(),
         ..listed(number)
     };
@@ -42,7 +42,7 @@
     let (id, run) = driver.starts()[0].clone();
     let number: u16 = id.id()[1..].parse().unwrap();
     driver.core.list_worker(
-        Listed {
+        ListedWorker {
             draining: true,
             remaining: Some(Duration::from_secs(3)),
             ..listed(number)
@@ -55,7 +55,7 @@
         .iter()
         .any(|(_, at, order)| *at == run && matches!(order, Order::Stop(..)));
     assert!(stopped);
-    driver.end(&id, run, How::Stopped, 1);
+    driver.end(&id, run, EndReason::Stopped, 1);
     driver.pass(300 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 2);
@@ -78,9 +78,9 @@
     assert_eq!(driver.duties.len(), 1);
     for round in 1..4u16 {
         let (machine, duty) = driver.duties.last().unwrap().clone();
-        assert_eq!(duty, Duty::Upkeep(3));
+        assert_eq!(duty, MachineOrder::Upkeep(3));
         let number: u16 = machine[1..].parse().unwrap();
-        let back = Listed {
+        let back = ListedWorker {
             life: format!("w{}", 100 + round).into(),
             ..listed(number)
         };
@@ -103,7 +103,7 @@
     driver.pass(200 * MS);
     let starts = driver.starts();
     for (number, (id, run)) in (1..).zip(starts) {
-        driver.end(&id, run, How::Failed, number);
+        driver.end(&id, run, EndReason::Failed, number);
     }
     // The worker is put aside, then tried with one run.
     let lasting = Step {
@@ -138,8 +138,8 @@
     let (id, run) = driver.starts()[0].clone();
     driver.store = false;
     let before = driver.core.counts().looks;
-    driver.end(&id, run, How::Done, 1);
-    driver.listed_ends = driver.ends(run, How::Done, 1);
+    driver.end(&id, run, EndReason::Done, 1);
+    driver.listed_ends = driver.ends(run, EndReason::Done, 1);
     driver.pass(3000 * MS);
     let looks = driver.core.counts().looks - before;
     assert!((6..=14).contains(&looks), "{looks} looks in 3 s");
--- a/ashtiller/tests/pressure.rs
+++ b/ashtiller/tests/pressure.rs
@@ -4,9 +4,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use ashtiller::workflow::agents::ORDER_LIMIT;
-use ashtiller::workflow::life::Life;
-use ashtiller::workflow::pressure::Pressure;
+use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
+use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::pressure::Congestion;
 
 const MS: Duration = Duration::from_millis(1);
 /// Workers that orders go to in turn.
@@ -18,7 +18,7 @@
 
 /// Orders on a link that carries one at a time.
 struct Link {
-    pressure: Pressure,
+    pressure: Congestion,
     now: Duration,
     /// Orders that wait in the program.
     waiting: f64,
@@ -34,7 +34,7 @@
 impl Link {
     fn new() -> Self {
         Self {
-            pressure: Pressure::default(),
+            pressure: Congestion::default(),
             now: Duration::from_secs(1),
             waiting: 0.0,
             queue: VecDeque::new(),
@@ -44,7 +44,7 @@
         }
     }
 
-    fn worker(&mut self) -> Life {
+    fn worker(&mut self) -> Incarnation {
         self.next = (self.next + 1) % WORKERS;
         format!("w{}", self.next).into()
     }
@@ -53,10 +53,10 @@
     fn step(&mut self, offered: f64, carried: f64) {
         self.now += MS;
         self.waiting += offered / 1000.0;
-        while self.waiting >= 1.0 && self.pressure.free() > 0 {
+        while self.waiting >= 1.0 && self.pressure.available_slots() > 0 {
             self.waiting -= 1.0;
             self.pressure.note_sent();
-            let patience = self.pressure.patience(ORDER_LIMIT, MOST);
+            let patience = self.pressure.timeout(ORDER_TIMEOUT_MIN, MOST);
             self.queue.push_back((self.now, self.now + patience));
         }
         self.served = (self.served + carried / 1000.0).min(8.0);
@@ -137,32 +137,32 @@
 
 #[test]
 fn a_few_silent_workers_change_neither_window_nor_patience() {
-    let mut pressure = Pressure::default();
+    let mut pressure = Congestion::default();
     let mut now = Duration::from_secs(1);
     for round in 0..2000u32 {
         now += 5 * MS;
         let silent = round % 3 == 0;
         let worker = if silent { round % 9 } else { 9 + round % 135 };
         pressure.note_sent();
-        let took = if silent { ORDER_LIMIT } else { WAY };
+        let took = if silent { ORDER_TIMEOUT_MIN } else { WAY };
         pressure.note_order(&format!("w{worker}").into(), took, now);
     }
-    assert!(!pressure.is_queued());
-    assert_eq!(pressure.patience(ORDER_LIMIT, MOST), ORDER_LIMIT);
+    assert!(!pressure.is_congested());
+    assert_eq!(pressure.timeout(ORDER_TIMEOUT_MIN, MOST), ORDER_TIMEOUT_MIN);
 }
 
 #[test]
 fn slowness_that_most_workers_share_is_waited_out() {
-    let mut pressure = Pressure::default();
+    let mut pressure = Congestion::default();
     let mut now = Duration::from_secs(1);
-    for (count, took) in [(100, WAY), (100, ORDER_LIMIT)] {
+    for (count, took) in [(100, WAY), (100, ORDER_TIMEOUT_MIN)] {
         for round in 0..count {
             now += 5 * MS;
             pressure.note_sent();
             pressure.note_order(&format!("w{round}").into(), took, now);
         }
     }
-    assert!(pressure.is_queued());
-    assert_eq!(pressure.patience(ORDER_LIMIT, MOST), 4 * ORDER_LIMIT);
-    assert_eq!(pressure.patience(ORDER_LIMIT, 800 * MS), 800 * MS);
+    assert!(pressure.is_congested());
+    assert_eq!(pressure.timeout(ORDER_TIMEOUT_MIN, MOST), 4 * ORDER_TIMEOUT_MIN);
+    assert_eq!(pressure.timeout(ORDER_TIMEOUT_MIN, 800 * MS), 800 * MS);
 }
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -23,12 +23,12 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Look, Looked, Name, Order, Target};
-use ashtiller::workflow::book::Book;
-use ashtiller::workflow::config::{Config, Listed, Queue};
+use ashtiller::workflow::agents::{Poll, PollReply, TaskName, Order, Target};
+use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::job::{Job, Policy, Step};
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::terms::Tuning;
 
 use worker::{Weakness, Worker};
 
@@ -47,8 +47,8 @@
     }
 }
 
-fn listed(number: u16) -> Listed {
-    Listed {
+fn listed(number: u16) -> ListedWorker {
+    ListedWorker {
         life: format!("w{number}").into(),
         machine: Some(format!("m{number}").into()),
         service: "fleet".into(),
@@ -80,7 +80,7 @@
 /// A look that has come to its worker.
 struct Waiting {
     to: Target,
-    look: Look,
+    look: Poll,
     until: Duration,
 }
 
@@ -91,12 +91,12 @@
     workers: BTreeMap<SocketAddr, Worker>,
     looks: Vec<Waiting>,
     /// Answers on their way.
-    answers: Vec<(Duration, Target, Looked)>,
+    answers: Vec<(Duration, Target, PollReply)>,
     /// Tasks that ended done at a worker that is still up.
-    done: BTreeSet<Name>,
-    begun: BTreeSet<(Name, u32)>,
+    done: BTreeSet<TaskName>,
+    begun: BTreeSet<(TaskName, u32)>,
     /// Tasks that began again after they were done.
-    twice: Vec<Name>,
+    twice: Vec<TaskName>,
     tickets: u64,
 }
 
@@ -107,7 +107,7 @@
             at: now,
             wall: 60_000,
         };
-        let mut core = Core::new(Terms::default(), 5, Book::default(), 1, at);
+        let mut core = Core::new(Tuning::default(), 5, LogState::default(), 1, at);
         core.set_config(Arc::new(Config {
             version: 1,
             queues: vec![Queue {
@@ -222,7 +222,7 @@
         }
         let looked = worker.look(to.fence, look, self.now);
         look.seen = 0;
-        let news = !matches!(&looked, Looked::Report { finished, .. } if finished.is_empty());
+        let news = !matches!(&looked, PollReply::Report { finished, .. } if finished.is_empty());
         if news || self.now >= *until + WAY {
             self.answers.push((self.now + WAY, waiting.to, looked));
         } else {
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -13,15 +13,15 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Look, Looked, Name, ORDER_LIMIT, Order, Said, Target};
-use ashtiller::workflow::book::Book;
-use ashtiller::workflow::config::{Config, Listed, Queue};
+use ashtiller::workflow::agents::{Poll, PollReply, TaskName, ORDER_TIMEOUT_MIN, Order, OrderReply, Target};
+use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
-use ashtiller::workflow::fact::{End, Fact, Run};
+use ashtiller::workflow::fact::{End, LogRecord, Run};
 use ashtiller::workflow::job::{Job, Policy};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 use ashtiller::workflow::message::{Reply, State};
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::terms::Tuning;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -86,14 +86,14 @@
 
 /// Something that happens at a time.
 enum Event {
-    Append(u64, u64, Vec<Fact>),
+    Append(u64, u64, Vec<LogRecord>),
     Durable(usize, u64, Duration),
     Carry(usize, Duration, Target, Run, Order, bool),
-    Ordered(usize, Life, Run, Order, Result<Said, Failure>),
-    See(usize, Target, Look),
+    Ordered(usize, Incarnation, Run, Order, Result<OrderReply, Failure>),
+    See(usize, Target, Poll),
     /// A look that was given up comes to its worker.
-    Late(Target, Look),
-    Looked(usize, Life, Result<Looked, Failure>),
+    Late(Target, Poll),
+    Looked(usize, Incarnation, Result<PollReply, Failure>),
     /// A worker that ended starts again under its id.
     Again(Arc<str>),
     /// A worker that started again says so.
@@ -113,7 +113,7 @@
     events: BTreeMap<(Duration, u64), Event>,
     order: BinaryHeap<Reverse<(Duration, u64)>>,
     number: u64,
-    entries: Vec<Vec<Fact>>,
+    entries: Vec<Vec<LogRecord>>,
     /// Revision of the store, which rises with each entry and each owner.
     revision: u64,
     epoch: u64,
@@ -131,26 +131,26 @@
     cut: BTreeSet<Arc<str>>,
     lengths: BTreeMap<Arc<str>, Vec<Duration>>,
     jobs: BTreeMap<Arc<str>, Job>,
-    done: BTreeSet<Name>,
+    done: BTreeSet<TaskName>,
     /// Jobs by their number in the log.
     numbers: Vec<Arc<str>>,
     /// Tasks whose end is in the log, since when.
-    recorded: BTreeMap<Name, Duration>,
+    recorded: BTreeMap<TaskName, Duration>,
     accepted: BTreeSet<Arc<str>>,
     tickets: BTreeMap<u64, Arc<str>>,
     config: Arc<Config>,
     /// Jobs whose first task crashes each worker that starts it, some time after its start.
     bad: BTreeMap<Arc<str>, Duration>,
     /// Crashes under such a task, and its starts since there were enough.
-    crashes: BTreeMap<Name, (u32, u32)>,
+    crashes: BTreeMap<TaskName, (u32, u32)>,
     /// Workers that were gone under each task, by job.
-    under: BTreeMap<Arc<str>, BTreeMap<Name, u32>>,
+    under: BTreeMap<Arc<str>, BTreeMap<TaskName, u32>>,
     /// Machines by worker.
     machines: BTreeMap<Arc<str>, Arc<str>>,
     /// Rooms of workers before they changed, and when that was.
     roomy: BTreeMap<Arc<str>, Vec<(Resources, Duration)>>,
     /// Runs that began by an order meant for an earlier life of their worker.
-    crossed: BTreeSet<(Name, u32)>,
+    crossed: BTreeSet<(TaskName, u32)>,
     /// Workers that crashed.
     pub crashed: u64,
     /// Workers that started again under their ids.
@@ -253,10 +253,10 @@
     }
 
     /// A new life of a worker; a clock of the time of day may go back between two.
-    fn bear(&mut self, id: &str) -> Life {
+    fn bear(&mut self, id: &str) -> Incarnation {
         let born = self.births.random_range(1..u64::MAX / 2);
         let births = self.faults.restarts.is_none_or(|it| it.births);
-        Life::new(id, births.then_some(born))
+        Incarnation::new(id, births.then_some(born))
     }
 
     /// A worker's process ends, and starts again under its id.
@@ -378,7 +378,7 @@
         self.epochs.push(self.epoch);
         self.takeovers += 1;
         tracing::trace!(epoch = self.epoch, "world: new owner");
-        let mut book = Book::default();
+        let mut book = LogState::default();
         for facts in &self.entries {
             for fact in facts {
                 book.apply(fact, self.now);
@@ -386,9 +386,9 @@
         }
         let next = self.entries.len() as u64 + 1;
         let now = self.clock();
-        let terms = Terms {
+        let terms = Tuning {
             evacuation: (self.faults.evacuations > 0).then_some(EVACUATION),
-            ..Terms::default()
+            ..Tuning::default()
         };
         let mut core = Core::new(terms, self.epoch, book, next, now);
         core.set_config(self.config.clone());
@@ -624,7 +624,7 @@
             Effect::Order(target, run, order) => self.send_order(place, target, run, order),
             Effect::Look(target, look) => {
                 if self.percent(self.faults.lost / 2) {
-                    let wait = look.wait + ORDER_LIMIT;
+                    let wait = look.wait + ORDER_TIMEOUT_MIN;
                     let nothing = Failure::unknown("look", &target.life, "no answer in time");
                     let looked = Event::Looked(place, target.life.clone(), Err(nothing));
                     self.at(wait, looked);
@@ -659,7 +659,7 @@
             let life = target.life.clone();
             let nothing = Err(Failure::unknown("order", &life, "no answer in time"));
             self.at(
-                ORDER_LIMIT,
+                ORDER_TIMEOUT_MIN,
                 Event::Ordered(place, life, run, order.clone(), nothing),
             );
         }
@@ -711,7 +711,7 @@
                 if answers {
                     let silent = said.is_none() && there;
                     let answer = self.millis(1, 4);
-                    let delay = if silent { ORDER_LIMIT } else { answer };
+                    let delay = if silent { ORDER_TIMEOUT_MIN } else { answer };
                     let said = said.ok_or(failure);
                     self.at(delay, Event::Ordered(place, target.life, run, order, said));
                 }
@@ -726,7 +726,7 @@
                 let id = target.life.id().into();
                 let (there, failure) = (self.is_there(&id), self.failure("look", &id));
                 let delay = if looked.is_none() && there {
-                    ORDER_LIMIT
+                    ORDER_TIMEOUT_MIN
                 } else {
                     self.millis(1, 4)
                 };
@@ -763,7 +763,7 @@
         }
     }
 
-    fn see(&mut self, target: &Target, look: &Look) -> Option<Looked> {
+    fn see(&mut self, target: &Target, look: &Poll) -> Option<PollReply> {
         let id = target.life.id();
         if self.cut.contains(id) {
             return None;
@@ -775,12 +775,12 @@
         let unread: Vec<String> = unread.collect();
         let looked = worker.look(target.fence, look, self.now);
         tracing::trace!(worker = %worker.life, fence = target.fence, ?look, ?looked, "world: look");
-        if matches!(looked, Looked::Report { .. }) {
+        if matches!(looked, PollReply::Report { .. }) {
             self.broken.extend(unread);
         }
         // What answers says when it was born.
-        if worker.life != target.life && matches!(looked, Looked::Report { .. }) {
-            return Some(Looked::OtherLife(Some(worker.life.clone())));
+        if worker.life != target.life && matches!(looked, PollReply::Report { .. }) {
+            return Some(PollReply::OtherIncarnation(Some(worker.life.clone())));
         }
         Some(looked)
     }
@@ -791,7 +791,7 @@
         sent: Duration,
         order: &Order,
         prompt: bool,
-    ) -> Option<Said> {
+    ) -> Option<OrderReply> {
         let id: &Arc<str> = &target.life.id().into();
         if self.cut.contains(id) {
             return None;
@@ -842,12 +842,12 @@
     }
 
     /// Takes note of the tasks that the log says are done.
-    fn note_ends(&mut self, facts: &[Fact]) {
+    fn note_ends(&mut self, facts: &[LogRecord]) {
         for fact in facts {
             match fact {
-                Fact::Accepted(job, ..) => self.numbers.push(job.id.clone()),
-                Fact::Ended(run, End::Done, _) => {
-                    let name = Name {
+                LogRecord::Accepted(job, ..) => self.numbers.push(job.id.clone()),
+                LogRecord::Ended(run, End::Done, _) => {
+                    let name = TaskName {
                         job: self.numbers[run.task.job as usize].clone(),
                         time: run.task.time,
                         step: run.task.step,
@@ -861,7 +861,7 @@
     }
 
     /// A start must fit into the worker's room, as it was a moment ago if it has shrunk.
-    fn check_room(&mut self, id: &Arc<str>, name: &Name, prompt: bool) {
+    fn check_room(&mut self, id: &Arc<str>, name: &TaskName, prompt: bool) {
         let worker = &self.workers[id];
         let mut before = self.roomy.get(id).into_iter().flatten();
         let roomy = before.any(|(room, at)| self.now < *at + SHRUNK && worker.used().fits(room));
@@ -872,7 +872,7 @@
     }
 
     /// A task that crashes its workers must not be started again and again.
-    fn start_bad(&mut self, id: &Arc<str>, name: &Name, prompt: bool) {
+    fn start_bad(&mut self, id: &Arc<str>, name: &TaskName, prompt: bool) {
         let Some(delay) = self.bad.get(&name.job).copied() else {
             return;
         };
@@ -895,7 +895,7 @@
 
     /// A start must come after what its step depends on, and no prompt one when the task
     /// has been done for a while.
-    fn check_start(&mut self, name: &Name, prompt: bool) {
+    fn check_start(&mut self, name: &TaskName, prompt: bool) {
         let since = self.recorded.get(name).copied();
         if prompt && since.is_some_and(|since| self.now > since + AFTER_END) {
             self.broken
@@ -906,7 +906,7 @@
         for earlier in &step.after {
             let count = job.steps[usize::from(*earlier)].count;
             for index in 0..u16::try_from(count).unwrap() {
-                let task = Name {
+                let task = TaskName {
                     step: *earlier,
                     index,
                     ..name.clone()
@@ -923,7 +923,7 @@
     /// acknowledged is in the log.
     fn check(&mut self) {
         let now = self.now;
-        let mut seen: BTreeMap<Name, (Arc<str>, &str)> = BTreeMap::new();
+        let mut seen: BTreeMap<TaskName, (Arc<str>, &str)> = BTreeMap::new();
         let mut broken = Vec::new();
         for worker in self.workers.values_mut() {
             for (name, run) in worker.advance(now) {
@@ -1013,11 +1013,11 @@
     }
 }
 
-fn listing(life: &Life, machine: &Arc<str>, capacity: Resources) -> Listed {
+fn listing(life: &Incarnation, machine: &Arc<str>, capacity: Resources) -> ListedWorker {
     let number: u16 = life.id()[1..]
         .parse::<u64>()
         .map_or(0, |number| u16::try_from(number % 50_000).unwrap());
-    Listed {
+    ListedWorker {
         life: life.clone(),
         machine: Some(machine.clone()),
         service: "fleet".into(),
--- a/ashtiller/tests/world/news.rs
+++ b/ashtiller/tests/world/news.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::config::Listed;
+use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::{Core, Now};
 
 /// Time after its word that it drains for which a worker still takes starts.
@@ -13,14 +13,14 @@
 /// Changes of workers' entries, in order.
 #[derive(Default)]
 pub struct News {
-    entries: BTreeMap<Arc<str>, Listed>,
+    entries: BTreeMap<Arc<str>, ListedWorker>,
     changes: Vec<Change>,
     /// Since when workers drain.
     drained: BTreeMap<Arc<str>, Duration>,
 }
 
 enum Change {
-    Put(Listed),
+    Put(ListedWorker),
     Gone(Arc<str>),
 }
 
@@ -36,18 +36,18 @@
 }
 
 impl News {
-    pub fn put(&mut self, listed: Listed) {
+    pub fn put(&mut self, listed: ListedWorker) {
         self.entries.insert(listed.life.id().into(), listed.clone());
         self.changes.push(Change::Put(listed));
     }
 
     /// A worker says something else of itself, but that it drains.
-    pub fn change(&mut self, listed: Listed) {
+    pub fn change(&mut self, listed: ListedWorker) {
         let Some(entry) = self.entries.get(listed.life.id()) else {
             return;
         };
         let (draining, remaining) = (entry.draining, entry.remaining);
-        self.put(Listed {
+        self.put(ListedWorker {
             draining,
             remaining,
             ..listed
@@ -64,7 +64,7 @@
         let Some(entry) = self.entries.get(id).filter(|entry| !entry.draining) else {
             return false;
         };
-        let listed = Listed {
+        let listed = ListedWorker {
             draining: true,
             remaining: Some(DRAIN),
             ..entry.clone()
@@ -75,7 +75,7 @@
     }
 
     /// A worker has started again and does not drain any more.
-    pub fn restart(&mut self, listed: Listed) {
+    pub fn restart(&mut self, listed: ListedWorker) {
         self.drained.remove(listed.life.id());
         self.put(listed);
     }
--- a/bench/src/crashes.rs
+++ b/bench/src/crashes.rs
@@ -7,15 +7,15 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Look, Looked, Order, Said};
-use ashtiller::workflow::book::Book;
-use ashtiller::workflow::config::{Config, Listed, Queue};
+use ashtiller::workflow::agents::{Poll, PollReply, Order, OrderReply};
+use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::fact::{Outcome, Run};
 use ashtiller::workflow::job::{Job, Policy, Step};
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 use ashtiller::workflow::message::{Reply, State};
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::terms::Tuning;
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -78,11 +78,11 @@
 
 enum Event {
     Durable(u64, Duration),
-    Answer(Life, Run, Order, Result<Said, Failure>),
-    Looked(Life, Result<Looked, Failure>),
-    See(Life, Look),
-    Crash(Life, bool),
-    Lapse(Life),
+    Answer(Incarnation, Run, Order, Result<OrderReply, Failure>),
+    Looked(Incarnation, Result<PollReply, Failure>),
+    See(Incarnation, Poll),
+    Crash(Incarnation, bool),
+    Lapse(Incarnation),
     Back(u16),
 }
 
@@ -92,8 +92,8 @@
     scene: Scene,
     events: BTreeMap<(Duration, u64), Event>,
     number: u64,
-    workers: BTreeMap<Life, Worker>,
-    places: BTreeMap<Life, u16>,
+    workers: BTreeMap<Incarnation, Worker>,
+    places: BTreeMap<Incarnation, u16>,
     flaky: BTreeSet<u16>,
     /// Harmless jobs that are not over, and when they came.
     open: BTreeMap<Arc<str>, Duration>,
@@ -189,8 +189,8 @@
     }
 }
 
-fn listed(id: &Life, place: u16) -> Listed {
-    Listed {
+fn listed(id: &Incarnation, place: u16) -> ListedWorker {
+    ListedWorker {
         life: id.clone(),
         machine: Some(format!("m{place}").into()),
         service: "fleet".into(),
@@ -209,7 +209,7 @@
             at: Duration::from_mins(1),
             wall: 60_000,
         };
-        let mut core = Core::new(Terms::default(), 5, Book::default(), 1, now);
+        let mut core = Core::new(Tuning::default(), 5, LogState::default(), 1, now);
         core.set_config(Arc::new(Config {
             version: 1,
             queues: vec![Queue {
@@ -264,7 +264,7 @@
 
     fn begin_life(&mut self, place: u16) {
         self.number += 1;
-        let id: Life = format!("i-{place}-{}", self.number).into();
+        let id: Incarnation = format!("i-{place}-{}", self.number).into();
         let worker = Worker::new(id.clone(), capacity(), 100, Weakness::default());
         self.workers.insert(id.clone(), worker);
         self.places.insert(id.clone(), place);
@@ -381,7 +381,7 @@
         }
     }
 
-    fn obey(&mut self, id: Life, fence: u64, run: Run, order: Order) {
+    fn obey(&mut self, id: Incarnation, fence: u64, run: Run, order: Order) {
         let now = self.now;
         let length = if let Order::Start(start) = &order {
             self.note_start(&id, &start.name.job, start.name.index);
@@ -401,7 +401,7 @@
         self.at(4 * MS, Event::Answer(id, run, order, said));
     }
 
-    fn note_start(&mut self, id: &Life, job: &Arc<str>, index: u16) {
+    fn note_start(&mut self, id: &Incarnation, job: &Arc<str>, index: u16) {
         if !job.starts_with("bad") || index >= self.scene.tasks || !self.workers.contains_key(id) {
             return;
         }
@@ -417,7 +417,7 @@
         self.at(self.scene.delay, Event::Crash(id.clone(), true));
     }
 
-    fn crash(&mut self, id: &Life, taken: bool) {
+    fn crash(&mut self, id: &Incarnation, taken: bool) {
         let Some(worker) = self.workers.remove(id) else {
             return;
         };
@@ -448,7 +448,7 @@
     }
 
     /// A look is answered at once; the workers of the platform would wait for an end.
-    fn see(&mut self, id: Life, look: &Look) {
+    fn see(&mut self, id: Incarnation, look: &Poll) {
         let fence = self.core.epoch();
         let looked = match self.workers.get_mut(&id) {
             Some(worker) => Ok(worker.look(fence, look, self.now)),
--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Active, Finished, How, Look, Looked, Name, Order, Said};
-use ashtiller::workflow::book::Book;
-use ashtiller::workflow::config::{Config, Listed, Queue};
+use ashtiller::workflow::agents::{Active, Finished, EndReason, Poll, PollReply, TaskName, Order, OrderReply};
+use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::fact::Run;
 use ashtiller::workflow::job::{Job, Policy, Sharing, Step};
-use ashtiller::workflow::life::Life;
-use ashtiller::workflow::terms::Terms;
+use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::terms::Tuning;
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -31,14 +31,14 @@
 
 enum Event {
     Durable(u64),
-    Answer(Life, Run, Order),
-    Look(Life),
-    End(Life, Name, u32),
+    Answer(Incarnation, Run, Order),
+    Look(Incarnation),
+    End(Incarnation, TaskName, u32),
 }
 
 #[derive(Default)]
 struct Worker {
-    active: BTreeMap<(Name, u32), Duration>,
+    active: BTreeMap<(TaskName, u32), Duration>,
     ends: Vec<Finished>,
     next: u64,
     /// Which look waits, and until when.
@@ -51,7 +51,7 @@
     events: BTreeMap<(Duration, u64), Event>,
     order: BinaryHeap<Reverse<(Duration, u64)>>,
     number: u64,
-    workers: HashMap<Life, Worker>,
+    workers: HashMap<Incarnation, Worker>,
     rng: Pcg64,
     spent: Duration,
     starts: u64,
@@ -91,7 +91,7 @@
             at: Duration::from_mins(1),
             wall: 60_000,
         };
-        let mut core = Core::new(Terms::default(), 5, Book::default(), 1, now);
+        let mut core = Core::new(Tuning::default(), 5, LogState::default(), 1, now);
         let queues = ["short", "fill", "last"].map(|name| Queue {
             host: "jobs".into(),
             prefix: format!("/{name}/").into(),
@@ -189,7 +189,7 @@
         }
     }
 
-    fn obey(&mut self, id: &Life, order: &Order) {
+    fn obey(&mut self, id: &Incarnation, order: &Order) {
         let now = self.now;
         match order {
             Order::Start(start) => {
@@ -205,12 +205,12 @@
                         .insert((start.name.clone(), start.run), now + length);
                 }
             }
-            Order::Stop(name, run) => self.finish(id, name, *run, How::Stopped),
+            Order::Stop(name, run) => self.finish(id, name, *run, EndReason::Stopped),
             Order::Pace(..) => {}
         }
     }
 
-    fn finish(&mut self, id: &Life, name: &Name, run: u32, how: How) {
+    fn finish(&mut self, id: &Incarnation, name: &TaskName, run: u32, how: EndReason) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -230,7 +230,7 @@
         }
     }
 
-    fn look(&mut self, id: &Life, look: &Look) {
+    fn look(&mut self, id: &Incarnation, look: &Poll) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -253,7 +253,7 @@
                 self.spent += began.elapsed();
             }
             Event::Answer(id, run, order) => {
-                let said = Ok(Said::Done(now.wall));
+                let said = Ok(OrderReply::Done(now.wall));
                 let began = Instant::now();
                 self.core.take_answer(&id, run, &order, said, now);
                 self.spent += began.elapsed();
@@ -261,16 +261,16 @@
             Event::Look(id) => self.answer_look(&id, now),
             Event::End(id, name, run) => {
                 let how = if name.job.starts_with("last") {
-                    How::Failed
+                    EndReason::Failed
                 } else {
-                    How::Done
+                    EndReason::Done
                 };
                 self.finish(&id, &name, run, how);
             }
         }
     }
 
-    fn answer_look(&mut self, id: &Life, now: Now) {
+    fn answer_look(&mut self, id: &Incarnation, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -287,7 +287,7 @@
             percent: progress(*end, self.now, &name.job),
             figure: Some(rng.random_range(20..60)),
         });
-        let looked = Looked::Report {
+        let looked = PollReply::Report {
             clock: now.wall,
             active: active.collect(),
             finished: worker.ends.clone(),
@@ -349,8 +349,8 @@
     }
 }
 
-fn listed(number: u16) -> Listed {
-    Listed {
+fn listed(number: u16) -> ListedWorker {
+    ListedWorker {
         life: format!("i-{number:04x}").into(),
         machine: Some(format!("m{number}").into()),
         service: "fleet".into(),
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::agents::Name;
-use ashtiller::workflow::fact::Lead;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::agents::TaskName;
+use ashtiller::workflow::fact::LogOwner;
+use ashtiller::workflow::life::Incarnation;
 use hyper::{Method, StatusCode};
 use parking_lot::Mutex;
 use tokio::task::JoinSet;
@@ -64,7 +64,7 @@
     owners: BTreeMap<u64, usize>,
     /// Runs that were found to have begun too late on a worker that leaves, or in a zone that
     /// is evacuated.
-    late: BTreeSet<(Name, u32)>,
+    late: BTreeSet<(TaskName, u32)>,
 }
 
 impl Seen {
@@ -138,7 +138,7 @@
     #[must_use]
     pub fn find_owner(&self) -> Option<(u64, usize)> {
         let (fence, value) = self.store.read(LEAD)?;
-        let lead: Lead = postcard::from_bytes(&value).ok()?;
+        let lead: LogOwner = postcard::from_bytes(&value).ok()?;
         let number = lead.name.strip_prefix("entry-")?.parse().ok()?;
         Some((fence, number))
     }
@@ -152,7 +152,7 @@
     /// No task may run twice at once, no worker hold more than it has, and none that
     /// leaves be given more.
     fn check_workers(&self) {
-        let mut running: BTreeMap<Name, Life> = BTreeMap::new();
+        let mut running: BTreeMap<TaskName, Incarnation> = BTreeMap::new();
         let mut seen = self.seen.lock();
         for member in self.fleet.lock().values() {
             let mut worker = member.agent.worker.lock();
--- a/soak/src/shaky.rs
+++ b/soak/src/shaky.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tokio::task::JoinHandle;
@@ -37,7 +37,7 @@
 ];
 
 /// Workers that crashed, with their machine and when they come back.
-pub type Gone = Arc<parking_lot::Mutex<Vec<(Life, usize, Duration)>>>;
+pub type Gone = Arc<parking_lot::Mutex<Vec<(Incarnation, usize, Duration)>>>;
 
 /// What is drawn here.
 pub struct Draws(Pcg64);
@@ -123,7 +123,7 @@
         } else if let Some(member) = self.checks.fleet.lock().get(&worker) {
             let address = member.link.address;
             store.put_worker(
-                &Life::new(&id, None),
+                &Incarnation::new(&id, None),
                 worker,
                 address,
                 false,
@@ -139,7 +139,7 @@
     /// A worker cannot be started.
     pub async fn bring_back(&mut self) -> anyhow::Result<()> {
         let now = self.now();
-        let due: Vec<(Life, usize, Duration)> = {
+        let due: Vec<(Incarnation, usize, Duration)> = {
             let mut gone = self.gone.lock();
             let (due, rest) = gone.drain(..).partition(|(_, _, back)| *back <= now);
             *gone = rest;
@@ -176,7 +176,7 @@
 }
 
 fn crash_due(fleet: &Fleet, troubles: &Troubles, gone: &Gone, now: Duration) {
-    let due: Vec<Life> = {
+    let due: Vec<Incarnation> = {
         let troubles = troubles.lock();
         let due = troubles.due.iter().filter(|(_, at)| **at <= now);
         due.map(|(id, _)| id.clone()).collect()
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Context;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::life::Life;
+use ashtiller::workflow::life::Incarnation;
 use hyper::{Method, StatusCode};
 use nix::sys::signal::Signal;
 use parking_lot::Mutex;
@@ -221,7 +221,7 @@
         self.lives += 1;
         // Births need only differ, and may go back.
         let born = 1_767_225_600_000 + (self.lives as u64 * 7919) % 1000;
-        let life = Life::new(id, Some(born));
+        let life = Incarnation::new(id, Some(born));
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let start = self.checks.start;
         let (shapes, troubles) = (self.shapes.clone(), self.troubles.clone());
