--- a/ashtiller/src/workflow/agents.rs
+++ b/ashtiller/src/workflow/agents.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
     /// The worker's life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// The caller's fence: a worker ignores callers with a lower one.
@@ -36,7 +36,7 @@
     /// Id of the job.
     pub job: Arc<str>,
     /// Which time of a repeated job.
-    pub time: u32,
+    pub occurrence: u32,
     /// Step.
     pub step: u16,
     /// Number within the step.
@@ -55,7 +55,7 @@
     /// End of the worker's lease, in milliseconds of its clock.
     pub until: u64,
     /// Checkpoint to begin from; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
     /// Ticket of the advisor.
     pub ticket: Option<Arc<str>>,
 }
@@ -119,7 +119,7 @@
     /// End of the lease, in milliseconds of the worker's clock.
     pub until: Option<u64>,
     /// Ends up to this number are recorded and may be forgotten.
-    pub seen: u64,
+    pub ends_recorded: u64,
     /// How long the answer may wait for an end.
     pub wait: Duration,
 }
@@ -132,7 +132,7 @@
     /// Number of the run.
     pub run: u32,
     /// Newest checkpoint; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
     /// How far its work has come, in percent.
     pub percent: u32,
     /// Tail latency in milliseconds for a task that serves, else processors in use.
@@ -168,7 +168,7 @@
     /// How it ended.
     pub how: EndReason,
     /// Newest checkpoint; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
 }
 
 /// What a worker said to a look.
--- a/ashtiller/src/workflow/book.rs
+++ b/ashtiller/src/workflow/book.rs
@@ -121,7 +121,7 @@
         let Some((job, task)) = self.task(run.task) else {
             return false;
         };
-        let lasting = job.step(run.task).is_none_or(|step| step.lasting);
+        let lasting = job.step(run.task).is_none_or(|step| step.long_running);
         let placed = run.number <= task.last && !self.is_live(run);
         let news = match end {
             End::Done => !task.done,
@@ -192,8 +192,8 @@
             job: Arc::new(job.clone()),
             policy: policy.clone(),
             accepted: wall,
-            rounds: BTreeMap::new(),
-            next_round: 0,
+            occurrences: BTreeMap::new(),
+            next_occurrence: 0,
             begun: false,
             live: 0,
             outcome: None,
@@ -212,10 +212,10 @@
         let Some(job) = self.jobs.get_mut(&run.task.job) else {
             return;
         };
-        if job.next_round <= run.task.time {
-            job.open_round(run.task.time);
+        if job.next_occurrence <= run.task.occurrence {
+            job.open_round(run.task.occurrence);
         }
-        let Some(round) = job.rounds.get_mut(&run.task.time) else {
+        let Some(round) = job.occurrences.get_mut(&run.task.occurrence) else {
             return;
         };
         let step = &mut round.steps[usize::from(run.task.step)];
@@ -223,7 +223,7 @@
         step.waiting -= u32::from(task.waits());
         task.last = task.last.max(run.number);
         if !saved.is_empty() {
-            task.saved = saved.clone();
+            task.checkpoint = saved.clone();
         }
         task.live.push(PlacedRun {
             number: run.number,
@@ -242,7 +242,7 @@
             return Effect::None;
         };
         let gang = job.step(run.task).is_some_and(|step| step.gang);
-        let Some(round) = job.rounds.get_mut(&run.task.time) else {
+        let Some(round) = job.occurrences.get_mut(&run.task.occurrence) else {
             return Effect::None;
         };
         let step = &mut round.steps[usize::from(run.task.step)];
@@ -256,7 +256,7 @@
             None => None,
         };
         if !saved.is_empty() {
-            task.saved = saved.clone();
+            task.checkpoint = saved.clone();
         }
         match end {
             End::Done if !task.done => {
@@ -289,11 +289,11 @@
             let live = round.steps.iter().flat_map(|step| &step.tasks);
             let quiet = live.into_iter().all(|task| task.live.is_empty());
             if quiet {
-                job.rounds.remove(&run.task.time);
+                job.occurrences.remove(&run.task.occurrence);
             }
         }
-        let open = job.rounds.values().any(|round| !round.is_done());
-        if !over && !open && job.next_round >= job.job.times() {
+        let open = job.occurrences.values().any(|round| !round.is_done());
+        if !over && !open && job.next_occurrence >= job.job.times() {
             return self.close(number, Outcome::Complete, now);
         }
         self.settle(number);
@@ -323,7 +323,7 @@
         if job.outcome.is_none() || job.live > 0 {
             return;
         }
-        job.rounds.clear();
+        job.occurrences.clear();
         let Job { id, queue, .. } = &*job.job;
         job.job = Arc::new(Job {
             id: id.clone(),
@@ -354,7 +354,7 @@
             step.left -= 1;
         }
         if !saved.is_empty() {
-            task.saved = saved.clone();
+            task.checkpoint = saved.clone();
         }
     }
 }
--- a/ashtiller/src/workflow/config.rs
+++ b/ashtiller/src/workflow/config.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedWorker {
     /// This life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Machine that it is a life of, if the platform says.
     pub machine: Option<Arc<str>>,
     /// Service.
--- a/ashtiller/src/workflow/core/adopt.rs
+++ b/ashtiller/src/workflow/core/adopt.rs
@@ -66,7 +66,7 @@
             let (share, processors) = share_of(&mut self.interference, &step);
             self.adopted.add(&worker, run);
             let mut live = LiveRun::new(worker, Stage::Starting, share, processors, now.at);
-            live.saved = saved;
+            live.checkpoint = saved;
             if let Some(reason) = over {
                 live.want_stop(reason);
             }
@@ -83,12 +83,12 @@
 /// The runs of a job that have no recorded end.
 fn find_runs(number: u32, job: &JobState) -> Vec<Found> {
     let mut found = Vec::new();
-    for (time, round) in &job.rounds {
+    for (time, round) in &job.occurrences {
         for (step, state) in (0..).zip(&round.steps) {
             for (index, task) in (0..).zip(&state.tasks) {
                 let place = Task {
                     job: number,
-                    time: *time,
+                    occurrence: *time,
                     step,
                     index,
                 };
@@ -105,7 +105,7 @@
                         number: live.number,
                     },
                     worker: live.worker.clone(),
-                    saved: task.saved.clone(),
+                    saved: task.checkpoint.clone(),
                     over,
                 }));
             }
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -67,7 +67,7 @@
 impl Core {
     /// Tickets that hold for a step.
     pub(super) fn tickets(&self, task: Task, now: Now) -> BTreeMap<Incarnation, Arc<str>> {
-        let Some(advised) = self.advised.get(&(task.job, task.time, task.step)) else {
+        let Some(advised) = self.advised.get(&(task.job, task.occurrence, task.step)) else {
             return BTreeMap::new();
         };
         let holds = advised
@@ -99,7 +99,7 @@
             .values()
             .filter(|advised| !advised.asked.is_empty())
             .count();
-        let key = (task.job, task.time, task.step);
+        let key = (task.job, task.occurrence, task.step);
         let advised = self.advised.entry(key).or_default();
         if !advised.asked.is_empty() || asking >= ASKED_MAX || now.at < advised.retry {
             return;
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -48,7 +48,7 @@
 }
 
 fn step_of(run: Run) -> StepKey {
-    (run.task.job, run.task.time, run.task.step)
+    (run.task.job, run.task.occurrence, run.task.step)
 }
 
 fn millis(age: Duration) -> u32 {
@@ -73,7 +73,7 @@
         let live = runs.filter_map(|run| Some((*run, self.runs.get(run)?)));
         let live = live.filter(|(_, live)| live.sent > 0);
         // What another life has begun was not there.
-        let live = live.filter(|(_, live)| !live.astray || live.began.is_some());
+        let live = live.filter(|(_, live)| !live.misdelivered || live.began.is_some());
         let victims: Vec<LostRun> = live
             .map(|(run, live)| self.charge(run, live, worker, &others, now))
             .collect();
@@ -177,7 +177,7 @@
             together += 1;
             untried += usize::from(!crash.tried);
         }
-        let silent = self.workers.values().filter(|worker| *worker.life() != *id);
+        let silent = self.workers.values().filter(|worker| *worker.incarnation() != *id);
         let mut silent = silent.filter(|it| it.missed.is_some_and(|missed| is_near(missed, at)));
         while untried < MANY
             && let Some(worker) = silent.next()
@@ -201,7 +201,7 @@
         let silent = |live: &LiveRun| {
             let other = self.workers.get(&live.worker)?;
             let missed = other.missed.filter(|missed| is_near(*missed, others.at))?;
-            (other.life() != worker.life() && live.placed + JUST_BEGUN >= missed)
+            (other.incarnation() != worker.incarnation() && live.placed + JUST_BEGUN >= missed)
                 .then(|| live.worker.clone())
         };
         let runs = self.runs_of_step(step);
--- a/ashtiller/src/workflow/core/dump.rs
+++ b/ashtiller/src/workflow/core/dump.rs
@@ -13,7 +13,7 @@
         let jobs = open.map(|number| {
             let job = &self.book.jobs[number];
             let waiting: u32 = job
-                .rounds
+                .occurrences
                 .values()
                 .flat_map(|round| &round.steps)
                 .map(|step| step.waiting)
@@ -25,7 +25,7 @@
         });
         let workers = self.workers.values().map(|worker| {
             serde_json::json!({
-                "id": worker.life().id(), "born": worker.life().born(), "runs": worker.runs.len(), "answers": worker.answers,
+                "id": worker.incarnation().id(), "born": worker.incarnation().born(), "runs": worker.runs.len(), "answers": worker.answers,
                 "silent_ms": u64::try_from(now.at.saturating_sub(worker.heard).as_millis()).unwrap_or(u64::MAX),
                 "draining": worker.draining.is_some(), "listed": worker.absent.is_none(),
                 "gate": self.gate(worker, now).name(),
--- a/ashtiller/src/workflow/core/entries.rs
+++ b/ashtiller/src/workflow/core/entries.rs
@@ -67,10 +67,10 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.seen = worker.seen.max(number);
-        if worker.seen == worker.noted && worker.answers {
+        worker.ends_recorded = worker.ends_recorded.max(number);
+        if worker.ends_recorded == worker.ends_reported && worker.answers {
             let next = now.at.max(worker.heard + pause);
-            worker.next_look = worker.next_look.min(next);
+            worker.next_poll = worker.next_poll.min(next);
         }
     }
 
--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -151,7 +151,7 @@
             .filter(|worker| self.is_open(worker, now));
         let fleet = open.map(|worker| {
             let known = summaries
-                .entry(worker.life().clone())
+                .entry(worker.incarnation().clone())
                 .or_insert_with(|| self.sum_up(worker));
             known.clone()
         });
@@ -185,7 +185,7 @@
 
     fn sum_up(&self, worker: &Worker) -> Candidate {
         let mut candidate = Candidate {
-            id: worker.life().clone(),
+            id: worker.incarnation().clone(),
             service: worker.listed.service.clone(),
             free: worker.pool.free(),
             whole: *worker.pool.whole(),
@@ -458,7 +458,7 @@
     let Some((job, _)) = core.book.task(task) else {
         return counts;
     };
-    let Some(round) = job.rounds.get(&task.time) else {
+    let Some(round) = job.occurrences.get(&task.occurrence) else {
         return counts;
     };
     let tasks = &round.steps[usize::from(task.step)].tasks;
--- a/ashtiller/src/workflow/core/gate.rs
+++ b/ashtiller/src/workflow/core/gate.rs
@@ -73,7 +73,7 @@
 impl Core {
     /// Whether a worker may get runs now.
     pub(super) fn gate(&self, worker: &Worker, now: Now) -> Gate {
-        let aside = worker.aside.is_some_and(|until| until > now.at);
+        let aside = worker.quarantined_until.is_some_and(|until| until > now.at);
         match () {
             () if !worker.fenced => Gate::Unfenced,
             () if !worker.answers => Gate::Silent,
@@ -104,7 +104,7 @@
             .book
             .task(run.task)
             .and_then(|(job, _)| job.step(run.task));
-        step.is_some_and(|step| !step.lasting)
+        step.is_some_and(|step| !step.long_running)
     }
 
     /// Workers of one service, or of all, by gate.
--- a/ashtiller/src/workflow/core/intake.rs
+++ b/ashtiller/src/workflow/core/intake.rs
@@ -146,7 +146,7 @@
     /// Whether a start of a job has come through, or a run of it has ended. Starts may wait
     /// for others, or get no answer.
     fn has_started(&self, number: u32, job: &JobState) -> bool {
-        let steps = || job.rounds.values().flat_map(|round| &round.steps);
+        let steps = || job.occurrences.values().flat_map(|round| &round.steps);
         let ended = job.live == 0 || steps().any(|step| step.tasks.iter().any(|task| task.done));
         let started = |run: &Run| {
             let live = self.runs.get(run);
@@ -167,7 +167,7 @@
                 Sharing::Serves(_) => " serves",
                 Sharing::Fills => " fills",
             };
-            let lasting = if step.lasting { " lasting" } else { "" };
+            let lasting = if step.long_running { " lasting" } else { "" };
             write!(
                 f,
                 "[{}x{}m/{}MiB {}ms{kind}{lasting}{} after {:?}]",
--- a/ashtiller/src/workflow/core/line.rs
+++ b/ashtiller/src/workflow/core/line.rs
@@ -43,14 +43,14 @@
             |worker: &&Worker| worker.fenced && !worker.runs.is_empty() && is_ready(worker, now);
         let waiting = self.workers.values().filter(waits);
         if waiting.clone().count() <= free {
-            self.line = waiting.map(|worker| worker.life().clone()).collect();
+            self.line = waiting.map(|worker| worker.incarnation().clone()).collect();
             return;
         }
         self.pressure.note_limit(now.at);
         // Ranked anew each time, 26,000 runs that waited took more of an owner's processor
         // time than it had: 20 to 30 ms each 20 ms.
         let stale = waiting.filter(|worker| worker.rank(now.at).is_none());
-        let stale: Vec<Incarnation> = stale.map(|worker| worker.life().clone()).collect();
+        let stale: Vec<Incarnation> = stale.map(|worker| worker.incarnation().clone()).collect();
         for life in stale {
             let (rank, until) = self.rank_worker(&life, now);
             if let Some(worker) = self.workers.get_mut(&life) {
@@ -59,7 +59,7 @@
         }
         let ranked = self.workers.values().filter(waits);
         let mut ranked: Vec<(Rank, &Incarnation)> = ranked
-            .filter_map(|worker| Some((worker.rank(now.at)?, worker.life())))
+            .filter_map(|worker| Some((worker.rank(now.at)?, worker.incarnation())))
             .collect();
         // More than may go out, since some turn out to have nothing.
         let first = (free * 2).min(ranked.len());
@@ -99,7 +99,7 @@
                     .book
                     .task(run.task)
                     .and_then(|(job, _)| job.step(run.task));
-                if step.is_some_and(|step| step.lasting) {
+                if step.is_some_and(|step| step.long_running) {
                     OrderClass::StartLongRunning
                 } else {
                     OrderClass::Start
--- a/ashtiller/src/workflow/core/lives.rs
+++ b/ashtiller/src/workflow/core/lives.rs
@@ -37,8 +37,8 @@
     /// Whether an entry lacks the birth that its worker has. Another writer may have put it in
     /// the place of the worker's own, so it says nothing new of it.
     pub(super) fn lacks_birth(&self, listed: &ListedWorker) -> bool {
-        let kin = || self.kin_of(listed.life.id());
-        listed.life.born().is_none() && kin().iter().any(|life| life.born().is_some())
+        let kin = || self.kin_of(listed.incarnation.id());
+        listed.incarnation.born().is_none() && kin().iter().any(|life| life.born().is_some())
     }
 
     /// The platform does not list any life of the worker with this id any more.
@@ -57,17 +57,17 @@
             })
         };
         let there = self.places.find(listed).filter(is_there).cloned();
-        let mut former: Vec<Incarnation> = there.chain(self.kin_of(listed.life.id())).collect();
+        let mut former: Vec<Incarnation> = there.chain(self.kin_of(listed.incarnation.id())).collect();
         former.sort_unstable();
         former.dedup();
-        former.retain(|life| *life != listed.life);
+        former.retain(|life| *life != listed.incarnation);
         former
     }
 
     /// Begins to know a life of a worker.
     pub(super) fn add_worker(&mut self, worker: Worker) {
         self.places.note(&worker.listed);
-        self.workers.insert(worker.life().clone(), worker);
+        self.workers.insert(worker.incarnation().clone(), worker);
     }
 
     /// Ceases to know a life of a worker.
@@ -83,8 +83,8 @@
     pub(super) fn doubt_former_lives(&mut self, listed: &ListedWorker, now: Now) {
         for life in self.find_former_lives(listed) {
             if let Some(worker) = self.workers.get_mut(&life) {
-                worker.next_look = worker.next_look.min(now.at);
-                worker.replaced |= life.is_same_worker(&listed.life);
+                worker.next_poll = worker.next_poll.min(now.at);
+                worker.replaced |= life.is_same_worker(&listed.incarnation);
             }
         }
     }
@@ -92,12 +92,12 @@
     /// Runs of an earlier owner may be on a former life of a worker that is listed, which was
     /// over before this owner heard of it. A look tells.
     pub(super) fn list_former_lives(&mut self, listed: &ListedWorker, now: Now) {
-        for life in self.adopted.find_kin(listed.life.id()) {
+        for life in self.adopted.find_kin(listed.incarnation.id()) {
             if self.workers.contains_key(&life) {
                 continue;
             }
             let known = ListedWorker {
-                life: life.clone(),
+                incarnation: life.clone(),
                 ..listed.clone()
             };
             let mut worker = Worker::new(known, self.first_bound());
@@ -110,7 +110,7 @@
 
     /// Whether an entry names a life that was not found where it says, a moment ago.
     pub(super) fn is_stranger(&self, listed: &ListedWorker, now: Now) -> bool {
-        let known = self.strangers.get(&listed.life);
+        let known = self.strangers.get(&listed.incarnation);
         known.is_some_and(|(entry, until)| entry == listed && now.at < *until)
     }
 
@@ -144,7 +144,7 @@
         };
         if !self.workers.contains_key(&next) {
             let listed = ListedWorker {
-                life: next.clone(),
+                incarnation: next.clone(),
                 draining: false,
                 remaining: None,
                 ..worker.listed.clone()
@@ -210,7 +210,7 @@
         let (moved, lost): (Vec<Run>, Vec<Run>) = runs
             .into_iter()
             .partition(|run| learned || self.may_still_begin(*run, now));
-        let acknowledged = worker.seen;
+        let acknowledged = worker.ends_recorded;
         let guilty = if learned {
             None
         } else {
--- a/ashtiller/src/workflow/core/looks.rs
+++ b/ashtiller/src/workflow/core/looks.rs
@@ -48,13 +48,13 @@
     /// as may be under way, those that have waited longest.
     fn collect_looks(&self, now: Now) -> Vec<Incarnation> {
         let due = self.workers.values();
-        let due = due.filter(|worker| worker.looking.is_none() && now.at >= worker.next_poll_due());
+        let due = due.filter(|worker| worker.pending_poll.is_none() && now.at >= worker.next_poll_due());
         let mut due: Vec<&Worker> = due.collect();
         let first = due.iter().filter(|worker| !worker.fenced).count();
         let most = (self.workers.len() / FIRST_SHARE).max(FIRST_MIN);
         if first > 0 {
             let under_way = self.workers.values();
-            let under_way = under_way.filter(|worker| !worker.fenced && worker.looking.is_some());
+            let under_way = under_way.filter(|worker| !worker.fenced && worker.pending_poll.is_some());
             let free = most.saturating_sub(under_way.count());
             if first > free {
                 due.sort_by_key(|worker| (!worker.fenced, worker.next_poll_due()));
@@ -62,7 +62,7 @@
             }
         }
         due.into_iter()
-            .map(|worker| worker.life().clone())
+            .map(|worker| worker.incarnation().clone())
             .collect()
     }
 
@@ -103,19 +103,19 @@
         // An acknowledgement that is not needed could only be taken by a later life, and one to
         // a worker that was silent, or whose clock lagged, may be: it would forget ends that
         // nobody has read, and their tasks would be done again.
-        let seen = if worker.answers && worker.seen > worker.told {
-            worker.seen
+        let seen = if worker.answers && worker.ends_recorded > worker.ends_acknowledged {
+            worker.ends_recorded
         } else {
             0
         };
-        worker.looking = Some(PendingPoll {
+        worker.pending_poll = Some(PendingPoll {
             sent: now.at,
             wait,
-            seen,
+            ends_recorded: seen,
             fence,
             renews: until.is_some(),
         });
-        Some(Poll { until, seen, wait })
+        Some(Poll { until, ends_recorded: seen, wait })
     }
 
     /// A look was not answered; `broke` when its connection was refused or broke.
@@ -130,6 +130,6 @@
             worker.broke.get_or_insert(now.at);
         }
         let silent = now.at.saturating_sub(worker.heard) > SILENT;
-        worker.next_look = now.at + LOOK_RETRY[usize::from(silent)];
+        worker.next_poll = now.at + LOOK_RETRY[usize::from(silent)];
     }
 }
--- a/ashtiller/src/workflow/core/moves.rs
+++ b/ashtiller/src/workflow/core/moves.rs
@@ -29,7 +29,7 @@
             self.book.task(run.task).is_some_and(|(job, task)| {
                 let copies = job
                     .step(run.task)
-                    .is_some_and(|step| step.copies && !step.gang);
+                    .is_some_and(|step| step.speculative && !step.gang);
                 let alone = !task.done && task.live.len() == 1;
                 copies && job.outcome.is_none() && alone && !self.is_suspect(run.task)
             })
@@ -103,7 +103,7 @@
         if !step.checkpoints && live.percent > LOSS_MAX {
             return;
         }
-        let selective = self.selectivity((run.task.job, run.task.time, run.task.step), now);
+        let selective = self.selectivity((run.task.job, run.task.occurrence, run.task.step), now);
         let demand = Demand {
             service: service.clone(),
             share: live.share,
--- a/ashtiller/src/workflow/core/order.rs
+++ b/ashtiller/src/workflow/core/order.rs
@@ -57,7 +57,7 @@
             if job.outcome.is_some() {
                 continue;
             }
-            for (time, round) in &job.rounds {
+            for (time, round) in &job.occurrences {
                 collect_round(&mut found, *number, *time, job, round, now);
             }
         }
@@ -66,12 +66,12 @@
 
     pub(super) fn waiting_tasks(&self, entry: Waiting) -> Vec<Task> {
         let job = &self.book.jobs[&entry.job];
-        let state = &job.rounds[&entry.time].steps[usize::from(entry.step)];
+        let state = &job.occurrences[&entry.time].steps[usize::from(entry.step)];
         let tasks = (0..).zip(&state.tasks).filter(|(_, task)| task.waits());
         tasks
             .map(|(index, _)| Task {
                 job: entry.job,
-                time: entry.time,
+                occurrence: entry.time,
                 step: entry.step,
                 index,
             })
@@ -83,7 +83,7 @@
         let Some(job) = self.book.jobs.get(&task.job) else {
             return 0;
         };
-        let (due, objective) = objective_of(job, task.time);
+        let (due, objective) = objective_of(job, task.occurrence);
         lateness(due, objective, Duration::ZERO, now).0
     }
 }
@@ -118,9 +118,9 @@
         }
         let (late, slack) = lateness(due, objective, *chain, now);
         let urgency = Urgency {
-            late: if asked.lasting { TOO_LATE } else { late },
+            late: if asked.long_running { TOO_LATE } else { late },
             priority: job.policy.priority,
-            slack: if asked.lasting { i64::MAX } else { slack },
+            slack: if asked.long_running { i64::MAX } else { slack },
         };
         found.push(Waiting {
             urgency,
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -36,7 +36,7 @@
         let job = self.book.jobs.get(&run.task.job)?;
         Some(TaskName {
             job: job.job.id.clone(),
-            time: run.task.time,
+            occurrence: run.task.occurrence,
             step: run.task.step,
             index: run.task.index,
         })
@@ -138,7 +138,7 @@
         let name = self.name_of(run)?;
         let (job, task) = self.book.task(run.task)?;
         let payload = job.job.payload.clone();
-        let saved = task.saved.clone();
+        let saved = task.checkpoint.clone();
         let ticket = self.runs.get(&run).and_then(|live| live.ticket.clone());
         let list_age = self.list_age(now);
         // It may have left since the run was placed, or since a start that got no answer.
@@ -169,7 +169,7 @@
             run: run.number,
             payload,
             until,
-            saved,
+            checkpoint: saved,
             ticket,
         }))
     }
@@ -190,7 +190,7 @@
             worker.wake();
             let took = now.at.saturating_sub(worker.ordered);
             if worker.answers {
-                self.pressure.note_order(worker.life(), took, now.at);
+                self.pressure.note_order(worker.incarnation(), took, now.at);
             } else {
                 self.pressure.note_end();
             }
@@ -213,7 +213,7 @@
         }
         live.ordering = false;
         if lags {
-            live.astray = true;
+            live.misdelivered = true;
             live.in_doubt = Some(now.at + LATE_MAX);
             live.retry = now.at + RETRY;
             return;
@@ -246,7 +246,7 @@
         // runs, and the task would start elsewhere.
         worker.lease.note_lag(clock, now.at, self.terms.hold);
         worker.answers = false;
-        worker.next_look = worker.next_look.min(now.at);
+        worker.next_poll = worker.next_poll.min(now.at);
         self.raise_fence(id, now);
         if behind && id.born().is_none() {
             self.restart_in_place(id, now);
@@ -326,7 +326,7 @@
             return;
         };
         if worker.note_failure(now.at) {
-            tracing::warn!(worker = %worker.life(), "worker put aside: it refuses what it is to start");
+            tracing::warn!(worker = %worker.incarnation(), "worker put aside: it refuses what it is to start");
         }
     }
 
@@ -343,7 +343,7 @@
                 live.stop = Stop::Confirmed(now.at);
                 let id = live.worker.clone();
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.next_look = worker.next_look.min(now.at);
+                    worker.next_poll = worker.next_poll.min(now.at);
                 }
             }
             Ok(OrderReply::Refused(Refusal::Fenced)) => {
@@ -403,7 +403,7 @@
             && let Some(worker) = self.workers.get(&live.worker)
         {
             tracing::warn!(task = %run.task, run = run.number, worker = %live.worker,
-                percent = live.percent, told = worker.noted, acknowledged = worker.seen,
+                percent = live.percent, told = worker.ends_reported, acknowledged = worker.ends_recorded,
                 clock_ms = worker.lease.clock().unwrap_or(0),
                 "worker lists a run neither as going on nor as ended");
         }
--- a/ashtiller/src/workflow/core/place.rs
+++ b/ashtiller/src/workflow/core/place.rs
@@ -116,13 +116,13 @@
         let Some(step) = job.step(run.task) else {
             return;
         };
-        let saved = task.saved.clone();
+        let saved = task.checkpoint.clone();
         let (share, processors) = share_of(&mut self.interference, step);
         self.counts.placed += 1;
         self.time_place(run, now.at);
         let stage = Stage::Recorded(self.position);
         let mut live = LiveRun::new(id.clone(), stage, share, processors, now.at);
-        live.saved = saved.clone();
+        live.checkpoint = saved.clone();
         live.ticket = ticket;
         self.record(LogRecord::Placed(run, id.clone(), saved), now);
         self.runs.insert(run, live);
--- a/ashtiller/src/workflow/core/places.rs
+++ b/ashtiller/src/workflow/core/places.rs
@@ -23,12 +23,12 @@
         if let Some(machine) = &listed.machine {
             insert(
                 self.machines.entry(machine.clone()).or_default(),
-                &listed.life,
+                &listed.incarnation,
             );
         }
         insert(
             self.addresses.entry(listed.address).or_default(),
-            &listed.life,
+            &listed.incarnation,
         );
     }
 
@@ -37,13 +37,13 @@
         if let Some(machine) = &listed.machine
             && let Some(lives) = self.machines.get_mut(machine)
         {
-            lives.retain(|life| *life != listed.life);
+            lives.retain(|life| *life != listed.incarnation);
             if lives.is_empty() {
                 self.machines.remove(machine);
             }
         }
         if let Some(lives) = self.addresses.get_mut(&listed.address) {
-            lives.retain(|life| *life != listed.life);
+            lives.retain(|life| *life != listed.incarnation);
             if lives.is_empty() {
                 self.addresses.remove(&listed.address);
             }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -185,7 +185,7 @@
             barred: placing
                 .reserved
                 .clone()
-                .filter(|_| !step.lasting && !step.fills() && !rescued),
+                .filter(|_| !step.long_running && !step.fills() && !rescued),
             suspect: tasks.iter().any(|task| self.is_suspect(*task)),
             selective: demand.selective,
         };
@@ -309,7 +309,7 @@
                     number,
                 };
                 if let Some(live) = self.runs.get_mut(&run) {
-                    live.tried = true;
+                    live.isolated = true;
                 }
             }
             for (place, _) in chosen.iter().zip(&apart).filter(|(_, apart)| **apart) {
--- a/ashtiller/src/workflow/core/refill.rs
+++ b/ashtiller/src/workflow/core/refill.rs
@@ -48,7 +48,7 @@
     fn find_waiting(&self, key: StepKey) -> Option<Waiting> {
         let (job, time, step) = key;
         let state = self.book.jobs.get(&job)?;
-        let round = state.rounds.get(&time)?;
+        let round = state.occurrences.get(&time)?;
         let waits = round.steps.get(usize::from(step))?.waiting > 0;
         if state.outcome.is_some() || !waits {
             return None;
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -35,7 +35,7 @@
         let job = self.book.find(&name.job)?;
         let task = Task {
             job,
-            time: name.time,
+            occurrence: name.occurrence,
             step: name.step,
             index: name.index,
         };
@@ -47,7 +47,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let Some(asked) = worker.looking.take() else {
+        let Some(asked) = worker.pending_poll.take() else {
             return;
         };
         let begun = asked.sent;
@@ -55,7 +55,7 @@
         // One that was answered before its wait was over tells nothing of delays, nor does a
         // worker that was silent before: if most of a fleet were, all others would wait.
         if let Some(late) = took.checked_sub(asked.wait).filter(|_| worker.answers) {
-            self.pressure.note_delay(worker.life(), late, now.at);
+            self.pressure.note_delay(worker.incarnation(), late, now.at);
         }
         match looked {
             Ok(PollReply::Report {
@@ -63,7 +63,7 @@
                 active,
                 finished,
             }) => {
-                worker.told = worker.told.max(asked.seen);
+                worker.ends_acknowledged = worker.ends_acknowledged.max(asked.ends_recorded);
                 if self.is_other_life(id, clock, begun, &active, &finished) {
                     self.restart_in_place(id, now);
                 }
@@ -154,7 +154,7 @@
                     clock_ms = clock,
                     last_clock_ms = last,
                     silent_ms = now.at.saturating_sub(worker.heard).as_millis(),
-                    acknowledged = worker.seen,
+                    acknowledged = worker.ends_recorded,
                     "worker answers again"
                 );
             }
@@ -169,7 +169,7 @@
         worker.missed = None;
         worker.broke = None;
         // The first answer tells the clock; the lease comes with the next look.
-        worker.next_look = if again {
+        worker.next_poll = if again {
             now.at
         } else {
             // Of several ends in a queue, one answer tells.
@@ -198,23 +198,23 @@
                 Some(live) if live.worker == *id => {}
                 Some(_) => continue,
                 None => {
-                    self.take_late_end(id, run, how, &end.saved, now);
+                    self.take_late_end(id, run, how, &end.checkpoint, now);
                     continue;
                 }
             }
             self.note_health(id, run, how, now);
-            self.end_run(run, how, &end.saved, now);
+            self.end_run(run, how, &end.checkpoint, now);
         }
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if highest > worker.seen {
+        if highest > worker.ends_recorded {
             // It would list these ends again at once; the next look acknowledges them.
-            worker.next_look = worker.next_look.max(now.at + UNNOTED);
+            worker.next_poll = worker.next_poll.max(now.at + UNNOTED);
         }
-        if highest > worker.noted {
-            worker.noted = highest;
-            let worker = worker.life().clone();
+        if highest > worker.ends_reported {
+            worker.ends_reported = highest;
+            let worker = worker.incarnation().clone();
             self.defer(self.position, Then::Acknowledge(worker, highest), now);
         }
     }
@@ -256,7 +256,7 @@
             End::Failed if first && worker.note_failure(now.at) => {
                 tracing::warn!(
                     worker = %id,
-                    until_ms = worker.aside.map_or(0, |it| it.as_millis()),
+                    until_ms = worker.quarantined_until.map_or(0, |it| it.as_millis()),
                     now_ms = now.at.as_millis(),
                     "worker put aside: it fails what it starts"
                 );
@@ -297,7 +297,7 @@
         let run = Run {
             task: Task {
                 job: u32::MAX,
-                time: row.name.time,
+                occurrence: row.name.occurrence,
                 step: row.name.step,
                 index: row.name.index,
             },
@@ -317,15 +317,15 @@
             return;
         };
         let (serves, fills) = (step.target().is_some(), step.fills());
-        let lasting = step.lasting;
+        let lasting = step.long_running;
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
         if !matches!(live.stage, Stage::Started(_)) {
             live.stage = Stage::Started(now.at);
         }
-        if !row.saved.is_empty() {
-            live.saved = row.saved.clone();
+        if !row.checkpoint.is_empty() {
+            live.checkpoint = row.checkpoint.clone();
         }
         if serves {
             live.tail = row.figure;
@@ -359,7 +359,7 @@
             let id = live.worker.clone();
             self.want_stop(run, StopReason::Stalled);
             if let Some(worker) = self.workers.get_mut(&id)
-                && worker.aside.is_none_or(|until| until < now.at)
+                && worker.quarantined_until.is_none_or(|until| until < now.at)
             {
                 worker.quarantine(now.at);
             }
--- a/ashtiller/src/workflow/core/room.rs
+++ b/ashtiller/src/workflow/core/room.rs
@@ -199,12 +199,12 @@
                     .book
                     .task(run.task)
                     .and_then(|(job, _)| job.step(run.task));
-                if let Some(step) = step.filter(|step| !step.lasting && !step.fills()) {
+                if let Some(step) = step.filter(|step| !step.long_running && !step.fills()) {
                     free = free.plus(&step.room());
                     short += 1;
                 }
             }
-            room.fits(&free).then_some((short, worker.life()))
+            room.fits(&free).then_some((short, worker.incarnation()))
         });
         emptying.min().map(|(_, id)| id.clone())
     }
@@ -233,7 +233,7 @@
     }
 
     pub(super) fn is_lasting(&self, entry: &Waiting) -> bool {
-        self.book.jobs[&entry.job].job.steps[usize::from(entry.step)].lasting
+        self.book.jobs[&entry.job].job.steps[usize::from(entry.step)].long_running
     }
 
     /// Runs of a waiting step on each worker, where that is bounded.
@@ -245,7 +245,7 @@
         let (job, time, step) = entry.key();
         let first = Task {
             job,
-            time,
+            occurrence: time,
             step,
             index: 0,
         };
--- a/ashtiller/src/workflow/core/roster.rs
+++ b/ashtiller/src/workflow/core/roster.rs
@@ -42,7 +42,7 @@
         }
         self.dirty = true;
         self.doubt_former_lives(&listed, now);
-        let life = listed.life.clone();
+        let life = listed.incarnation.clone();
         let bound = self.first_bound();
         let draining = listed.draining;
         self.summaries.remove(&life);
@@ -77,7 +77,7 @@
     /// several times a second, and to look for former lives of each among all others took a
     /// quarter of the processor time of an owner of 890 workers.
     fn is_known(&self, listed: &ListedWorker) -> bool {
-        self.workers.get(&listed.life).is_some_and(|worker| {
+        self.workers.get(&listed.incarnation).is_some_and(|worker| {
             worker.absent.is_none() && !listed.draining && worker.listed == *listed
         })
     }
@@ -143,11 +143,11 @@
     /// The platform lists exactly these workers, and some whose entries cannot be read: of
     /// them nothing new is known.
     pub fn list_read(&mut self, listed: Vec<ListedWorker>, unread: &[Arc<str>], now: Now) {
-        let named: BTreeSet<&Incarnation> = listed.iter().map(|worker| &worker.life).collect();
+        let named: BTreeSet<&Incarnation> = listed.iter().map(|worker| &worker.incarnation).collect();
         let unread: BTreeSet<&str> = unread.iter().map(|id| &**id).collect();
         // An entry without a birth says nothing new of a worker that has one.
         let lacking = listed.iter().filter(|worker| self.lacks_birth(worker));
-        let lacking: BTreeSet<&str> = lacking.map(|worker| worker.life.id()).collect();
+        let lacking: BTreeSet<&str> = lacking.map(|worker| worker.incarnation.id()).collect();
         let silent = |life: &Incarnation| unread.contains(life.id()) || lacking.contains(life.id());
         let gone = self.workers.keys();
         let gone = gone.filter(|life| !named.contains(life) && !silent(life));
@@ -197,7 +197,7 @@
         let over = self.workers.values().filter(|worker| {
             !worker.runs.is_empty() && !worker.answers && worker.lease.bound() < now.at
         });
-        let over: Vec<Incarnation> = over.map(|worker| worker.life().clone()).collect();
+        let over: Vec<Incarnation> = over.map(|worker| worker.incarnation().clone()).collect();
         for id in over {
             let worker = &self.workers[&id];
             let over = |run: &Run| !(worker.replaced && self.may_outlast(*run, now));
@@ -227,7 +227,7 @@
             let absent = worker.absent;
             worker.runs.is_empty() && absent.is_some_and(|since| now.at > since + FORGET)
         });
-        let gone: Vec<Incarnation> = gone.map(|worker| worker.life().clone()).collect();
+        let gone: Vec<Incarnation> = gone.map(|worker| worker.incarnation().clone()).collect();
         for id in gone {
             self.remove_worker(&id);
         }
@@ -295,7 +295,7 @@
         let Some(step) = job.step(run.task) else {
             return false;
         };
-        if step.lasting || !self.has_begun(run) {
+        if step.long_running || !self.has_begun(run) {
             return true;
         }
         if left > DRAIN_MARGIN * 2 && step.checkpoints {
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -14,7 +14,7 @@
         let from = Run {
             task: Task {
                 job: number,
-                time: 0,
+                occurrence: 0,
                 step: 0,
                 index: 0,
             },
@@ -32,7 +32,7 @@
         let (job, time, step) = step;
         let first = Task {
             job,
-            time,
+            occurrence: time,
             step,
             index: 0,
         };
@@ -76,7 +76,7 @@
             End::Stopped => self.counts.stopped += 1,
             End::Lost => self.counts.lost += 1,
         }
-        let saved = if saved.is_empty() { &live.saved } else { saved };
+        let saved = if saved.is_empty() { &live.checkpoint } else { saved };
         let age = now.at.saturating_sub(live.placed).as_millis();
         if end != End::Done
             && let Some(job) = self.book.jobs.get(&run.task.job)
@@ -107,13 +107,13 @@
         };
         let gang = job.step(run.task).is_some_and(|step| step.gang);
         let failures = if gang {
-            let round = &job.rounds[&run.task.time];
+            let round = &job.occurrences[&run.task.occurrence];
             let tasks = &round.steps[usize::from(run.task.step)].tasks;
             tasks.iter().map(TaskState::failures).sum()
         } else {
             task.failures()
         };
-        let lasting = job.step(run.task).is_some_and(|step| step.lasting);
+        let lasting = job.step(run.task).is_some_and(|step| step.long_running);
         if failures >= job.policy.attempts && !lasting && job.outcome.is_none() {
             tracing::info!(job = %job.job.id, task = %run.task, failures, "job given up");
             self.record(LogRecord::Failed(run.task.job), now);
@@ -135,7 +135,7 @@
     }
 
     pub(super) fn stop_gang(&mut self, run: Run) {
-        let step = |run: Run| (run.task.time, run.task.step, run.number);
+        let step = |run: Run| (run.task.occurrence, run.task.step, run.number);
         for other in self.runs_of(run.task.job) {
             if step(other) == step(run) {
                 self.want_stop(other, StopReason::Over);
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -85,7 +85,7 @@
 }
 
 fn step_of(run: Run) -> StepKey {
-    (run.task.job, run.task.time, run.task.step)
+    (run.task.job, run.task.occurrence, run.task.step)
 }
 
 impl Core {
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -112,7 +112,7 @@
         trials: &Trials,
         now: Now,
     ) -> bool {
-        let impatient = self.is_impatient((task.job, task.time, task.step), now);
+        let impatient = self.is_impatient((task.job, task.occurrence, task.step), now);
         let share = if impatient {
             IMPATIENT_SHARE
         } else {
@@ -127,7 +127,7 @@
     /// Whether a run is tried now.
     fn is_tried_run(&self, run: Run, now: Now) -> bool {
         let live = self.runs.get(&run);
-        let tried = live.is_some_and(|live| live.tried && now.at < live.placed + TRIED_MAX);
+        let tried = live.is_some_and(|live| live.isolated && now.at < live.placed + TRIED_MAX);
         tried && self.is_strong(run.task)
     }
 
@@ -197,7 +197,7 @@
         if !self.may_try(task, wish.service, &placing.trials, now) {
             return false;
         }
-        let key = (task.job, task.time, task.step);
+        let key = (task.job, task.occurrence, task.step);
         let Some(place) = self.choose_trial(placing, wish, key, now) else {
             return false;
         };
@@ -211,7 +211,7 @@
         let run = Run { task, number };
         self.place(run, &id, ticket, now);
         if let Some(live) = self.runs.get_mut(&run) {
-            live.tried = true;
+            live.isolated = true;
         }
         true
     }
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -151,7 +151,7 @@
         let mut lives = self.workers.values().filter(|worker| {
             worker.listed.machine.as_deref() == Some(machine) && worker.absent.is_none()
         });
-        lives.next().map(|worker| worker.life().clone())
+        lives.next().map(|worker| worker.incarnation().clone())
     }
 
     /// Whether a worker gets nothing as its machine has its turn in a wave. This follows from
@@ -318,7 +318,7 @@
                 continue;
             };
             let step = job.step(run.task);
-            let lasting = step.is_some_and(|step| step.lasting);
+            let lasting = step.is_some_and(|step| step.long_running);
             if (lasting || urge) && self.may_be_away(*run, now) {
                 self.want_stop(*run, StopReason::Upkeep);
             }
@@ -337,7 +337,7 @@
         runs.any(|run| {
             let task = self.book.task(run.task);
             let step = task.and_then(|(job, _)| job.step(run.task));
-            step.is_some_and(|step| step.lasting) && !self.may_be_away(*run, now)
+            step.is_some_and(|step| step.long_running) && !self.may_be_away(*run, now)
         })
     }
 
@@ -353,7 +353,7 @@
         let Some((job, _)) = self.book.task(run.task) else {
             return 0;
         };
-        let Some(round) = job.rounds.get(&run.task.time) else {
+        let Some(round) = job.occurrences.get(&run.task.occurrence) else {
             return 0;
         };
         let tasks = &round.steps[usize::from(run.task.step)].tasks;
--- a/ashtiller/src/workflow/fact.rs
+++ b/ashtiller/src/workflow/fact.rs
@@ -16,7 +16,7 @@
     /// Number of the job in its log.
     pub job: u32,
     /// Which time of a repeated job.
-    pub time: u32,
+    pub occurrence: u32,
     /// Step.
     pub step: u16,
     /// Number within the step.
@@ -27,7 +27,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             job,
-            time,
+            occurrence: time,
             step,
             index,
         } = self;
@@ -103,7 +103,7 @@
     /// Where its peers reached it.
     pub address: std::net::SocketAddr,
     /// Random number of the process's life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its epoch.
     pub epoch: u64,
 }
@@ -116,7 +116,7 @@
     /// Where its peers reach it.
     pub address: std::net::SocketAddr,
     /// Random number of the process's life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Processors of the largest instance that it knew, in thousandths.
     pub largest: u64,
     /// The owner that it replaced; none for the first owner of a log.
@@ -132,7 +132,7 @@
     pub fn as_former(&self) -> PreviousOwner {
         PreviousOwner {
             address: self.address,
-            life: self.life,
+            incarnation: self.incarnation,
             epoch: self.epoch,
         }
     }
--- a/ashtiller/src/workflow/job.rs
+++ b/ashtiller/src/workflow/job.rs
@@ -54,9 +54,9 @@
     /// Most tasks of the step on one worker; 0 for no bound.
     pub spread: u32,
     /// Whether copies of a task may run side by side.
-    pub copies: bool,
+    pub speculative: bool,
     /// Whether its tasks run until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// What its tasks run; tasks of one image behave alike.
     pub image: Option<Arc<str>>,
     /// How its tasks share a worker.
--- a/ashtiller/src/workflow/live.rs
+++ b/ashtiller/src/workflow/live.rs
@@ -78,7 +78,7 @@
     /// Whether an order about it is under way.
     pub ordering: bool,
     /// Whether it is tried: nothing is started beside it while its task is strongly suspected.
-    pub tried: bool,
+    pub isolated: bool,
     /// When the next order about it may go out.
     pub retry: Duration,
     /// Starts that were not answered.
@@ -86,7 +86,7 @@
     /// Until when a start that was not answered may still be carried out.
     pub in_doubt: Option<Duration>,
     /// Whether another life than the one that was meant answered a start.
-    pub astray: bool,
+    pub misdelivered: bool,
     /// Starts that were sent, less those that certainly did not come to the worker; an
     /// earlier owner's counts as one.
     pub sent: u32,
@@ -99,7 +99,7 @@
     /// When the progress last rose.
     pub moved: Duration,
     /// Newest checkpoint that the worker told.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
     /// Tail latency of a run that serves, in milliseconds.
     pub tail: Option<u64>,
     /// Processors in use by a run that does not serve, as last reported.
@@ -139,14 +139,14 @@
             retry: Duration::ZERO,
             unanswered: 0,
             in_doubt: None,
-            astray: false,
-            tried: false,
+            misdelivered: false,
+            isolated: false,
             sent: u32::from(stage == Stage::Starting),
             placed: now,
             began: None,
             percent: 0,
             moved: now,
-            saved: Arc::from(""),
+            checkpoint: Arc::from(""),
             tail: None,
             used: None,
             headroom: None,
--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -157,7 +157,7 @@
                     return Ok(Seized::Theirs(None));
                 };
                 let lead = decode_lead(&key, &item.value, item.revision);
-                if lead.life == mine.life {
+                if lead.incarnation == mine.incarnation {
                     return Ok(Seized::Mine(item.revision));
                 }
                 Ok(Seized::Theirs(Some(lead)))
@@ -324,7 +324,7 @@
         LogOwner {
             name: "".into(),
             address: NOWHERE,
-            life: 0,
+            incarnation: 0,
             largest: 0,
             former: None,
             epoch: 0,
--- a/ashtiller/src/workflow/membership/campaign.rs
+++ b/ashtiller/src/workflow/membership/campaign.rs
@@ -57,7 +57,7 @@
             continue;
         }
         match node.lead() {
-            Some(lead) if lead.life != node.life => {
+            Some(lead) if lead.incarnation != node.life => {
                 let loss = follow(&node, &lead).await;
                 if loss != Loss::Replaced {
                     tracing::warn!(owner = %lead.name, epoch = lead.epoch, ?loss, "owner lost");
@@ -117,7 +117,7 @@
                 node.note_position(welcome.position);
                 if welcome.epoch == lead.epoch {
                     patience = Instant::now();
-                } else if welcome.life != lead.life || Instant::now() >= patience {
+                } else if welcome.incarnation != lead.incarnation || Instant::now() >= patience {
                     return Loss::Ended;
                 }
                 if let Some(config) = welcome.config {
--- a/ashtiller/src/workflow/message.rs
+++ b/ashtiller/src/workflow/message.rs
@@ -75,7 +75,7 @@
     /// Whether the answering process owns the log at this epoch; 0 if it does not.
     pub epoch: u64,
     /// Life of the answering process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Configuration, where the asker's is older.
     pub config: Option<Box<Config>>,
     /// Version of the answering process's configuration.
--- a/ashtiller/src/workflow/node/answer.rs
+++ b/ashtiller/src/workflow/node/answer.rs
@@ -37,7 +37,7 @@
             } else {
                 0
             },
-            life: self.life,
+            incarnation: self.life,
             version: config.version,
             config: newer.then(|| Box::new((*config).clone())),
             members,
@@ -58,7 +58,7 @@
                     Reply::Noted
                 }
                 // One that begins late finds the log replaced before it does anything.
-                PeerRequest::HasEnded(former) => Reply::Ended(former.life != self.life || !self.owns()),
+                PeerRequest::HasEnded(former) => Reply::Ended(former.incarnation != self.life || !self.owns()),
                 PeerRequest::Config(config) => {
                     self.adopt_config(&Arc::new(*config));
                     Reply::Noted
--- a/ashtiller/src/workflow/node/ask.rs
+++ b/ashtiller/src/workflow/node/ask.rs
@@ -37,7 +37,7 @@
                 }
             }
             if Instant::now() + AGAIN >= deadline {
-                let retry = self.settings.terms.retry.as_millis();
+                let retry = self.settings.tuning.retry.as_millis();
                 return if doubt.is_some() {
                     Reply::Unknown
                 } else {
@@ -54,7 +54,7 @@
         if self.owns() {
             return Ok(self.ask_here(ask.clone(), left).await);
         }
-        let Some(lead) = self.lead().filter(|lead| lead.life != self.life) else {
+        let Some(lead) = self.lead().filter(|lead| lead.incarnation != self.life) else {
             return Ok(Reply::NotOwner);
         };
         self.links
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -269,7 +269,7 @@
             former,
             name: self.settings.instance.name.clone(),
             address: self.settings.entry.peers,
-            life: self.life,
+            incarnation: self.life,
             largest: self.largest(),
             epoch: 0,
         }
@@ -355,7 +355,7 @@
     /// the log nobody else brings it news, so its watches wait for a short time only.
     pub fn set_owner(&self, owner: Option<mpsc::Sender<Asked>>) {
         self.patience.send_replace(match owner {
-            Some(_) => self.settings.terms.watch_wait(),
+            Some(_) => self.settings.tuning.watch_wait(),
             None => follow::LONG_WAIT,
         });
         *self.owner.borrow_mut() = owner;
--- a/ashtiller/src/workflow/owner/carry.rs
+++ b/ashtiller/src/workflow/owner/carry.rs
@@ -29,7 +29,7 @@
                     let said = node.calls.order(&target, &order).await;
                     node.metrics.note_order(order.kind(), began.elapsed());
                     let _ = sender
-                        .send(Input::Answered(target.life, run, order, said))
+                        .send(Input::Answered(target.incarnation, run, order, said))
                         .await;
                 });
             }
@@ -70,7 +70,7 @@
                 let (calls, sender) = (self.node.calls.clone(), self.sender.clone());
                 task::spawn_local(async move {
                     let looked = calls.look(&target, &look).await;
-                    let _ = sender.send(Input::Looked(target.life, looked)).await;
+                    let _ = sender.send(Input::Looked(target.incarnation, looked)).await;
                 });
             }
         }
--- a/ashtiller/src/workflow/owner/former.rs
+++ b/ashtiller/src/workflow/owner/former.rs
@@ -44,7 +44,7 @@
 /// Whether an owner is known to have ended: its process says so, another process answers at
 /// its address, or nobody listens there any more.
 async fn has_ended(node: &std::rc::Rc<Node>, former: &PreviousOwner) -> bool {
-    if former.life == node.life {
+    if former.incarnation == node.life {
         return true;
     }
     let ask = PeerRequest::HasEnded(*former);
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -111,7 +111,7 @@
     let (sender, inputs) = mpsc::channel(RESULTS);
     let now = now_since(start);
     let core = Core::new(
-        node.settings.terms,
+        node.settings.tuning,
         lead.epoch,
         replayed.book,
         replayed.next,
--- a/ashtiller/src/workflow/relay/sender.rs
+++ b/ashtiller/src/workflow/relay/sender.rs
@@ -155,14 +155,14 @@
     fn note_direct(&self, to: &Target, answered: bool) {
         if answered {
             let mut routes = self.routes.borrow_mut();
-            routes.note_direct(to.life.id(), Instant::now());
+            routes.note_direct(to.incarnation.id(), Instant::now());
         }
     }
 
     fn find(&self, to: &Target) -> Option<SocketAddr> {
         self.routes
             .borrow()
-            .find(&to.zone, to.life.id(), Instant::now())
+            .find(&to.zone, to.incarnation.id(), Instant::now())
     }
 
     async fn call(
@@ -192,7 +192,7 @@
         match outcome {
             Ok(Ok(outcome)) => {
                 match &outcome {
-                    Outcome::Failed(..) => routes.note_failure(relay, to.life.id(), Instant::now()),
+                    Outcome::Failed(..) => routes.note_failure(relay, to.incarnation.id(), Instant::now()),
                     Outcome::Unknown => self.renew(relay),
                     Outcome::Said(_) | Outcome::Looked(_) => routes.note_answer(relay),
                 }
@@ -204,7 +204,7 @@
                 "the relay was lost, no answer in time",
             )),
             Err(_) => {
-                routes.note_failure(relay, to.life.id(), Instant::now());
+                routes.note_failure(relay, to.incarnation.id(), Instant::now());
                 Err(Failure::unknown(
                     step,
                     to.address,
--- a/ashtiller/src/workflow/settings.rs
+++ b/ashtiller/src/workflow/settings.rs
@@ -64,7 +64,7 @@
     /// How to reach the platform.
     pub platform: Platform,
     /// Times and limits towards workers.
-    pub terms: Tuning,
+    pub tuning: Tuning,
 }
 
 impl Settings {
@@ -78,7 +78,7 @@
             instance: settings::read_instance(&mut document),
             entry: read_entry(&mut document),
             platform: read_platform(&mut document),
-            terms: read_terms(&mut document),
+            tuning: read_terms(&mut document),
         };
         document.finish(&SECTIONS)?;
         Ok(read)
--- a/ashtiller/src/workflow/state.rs
+++ b/ashtiller/src/workflow/state.rs
@@ -30,7 +30,7 @@
     /// Whether its work is done.
     pub done: bool,
     /// Newest checkpoint; empty for none.
-    pub saved: Arc<str>,
+    pub checkpoint: Arc<str>,
     /// Workers on which it failed.
     pub failed_on: BTreeSet<Incarnation>,
 }
@@ -102,9 +102,9 @@
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub accepted: u64,
     /// Times that have begun or may begin, and are not done.
-    pub rounds: BTreeMap<u32, Occurrence>,
+    pub occurrences: BTreeMap<u32, Occurrence>,
     /// Times not in `rounds`: the next that was not opened yet.
-    pub next_round: u32,
+    pub next_occurrence: u32,
     /// Whether a task has begun.
     pub begun: bool,
     /// Runs that may be going on.
@@ -117,7 +117,7 @@
     /// One task.
     #[must_use]
     pub fn task(&self, task: Task) -> Option<&TaskState> {
-        let round = self.rounds.get(&task.time)?;
+        let round = self.occurrences.get(&task.occurrence)?;
         let step = round.steps.get(usize::from(task.step))?;
         step.tasks.get(usize::from(task.index))
     }
@@ -131,21 +131,21 @@
     /// Opens the times that are due at `wall` milliseconds since the Unix epoch.
     pub fn open_due_occurrences(&mut self, wall: u64) -> bool {
         let mut opened = false;
-        while self.next_round < self.job.times() && self.outcome.is_none() {
-            let due = self.job.schedule.map_or(0, |it| it.due(self.next_round));
+        while self.next_occurrence < self.job.times() && self.outcome.is_none() {
+            let due = self.job.schedule.map_or(0, |it| it.due(self.next_occurrence));
             if due > wall {
                 break;
             }
-            self.open_round(self.next_round);
+            self.open_round(self.next_occurrence);
             opened = true;
         }
         opened
     }
 
     pub(super) fn open_round(&mut self, number: u32) {
-        while self.next_round <= number {
-            self.rounds.insert(self.next_round, Occurrence::new(&self.job));
-            self.next_round += 1;
+        while self.next_occurrence <= number {
+            self.occurrences.insert(self.next_occurrence, Occurrence::new(&self.job));
+            self.next_occurrence += 1;
         }
     }
 }
--- a/ashtiller/src/workflow/worker.rs
+++ b/ashtiller/src/workflow/worker.rs
@@ -68,7 +68,7 @@
     /// For how long it may wait for an end.
     pub wait: Duration,
     /// Number up to which it acknowledges ends.
-    pub seen: u64,
+    pub ends_recorded: u64,
     /// Its fence.
     pub fence: u64,
     /// Whether it extends the lease.
@@ -108,9 +108,9 @@
     /// the network says so.
     pub broke: Option<Duration>,
     /// The look that is under way.
-    pub looking: Option<PendingPoll>,
+    pub pending_poll: Option<PendingPoll>,
     /// When the next look is due.
-    pub next_look: Duration,
+    pub next_poll: Duration,
     /// Orders under way.
     pub ordering: u32,
     /// When the last order went out.
@@ -124,11 +124,11 @@
     /// Runs that may be going on there.
     pub runs: BTreeSet<Run>,
     /// Ends up to this number were reported.
-    pub noted: u64,
+    pub ends_reported: u64,
     /// Ends up to this number are recorded.
-    pub seen: u64,
+    pub ends_recorded: u64,
     /// The worker has heard that ends up to this number are recorded.
-    pub told: u64,
+    pub ends_acknowledged: u64,
     /// Until when a call that was not answered may still extend its lease.
     pub renewing: Option<Duration>,
     /// Until when a look that was not answered, by this life or one before, may still acknowledge
@@ -157,7 +157,7 @@
     /// later shows that it lives on.
     pub doubted: Option<Duration>,
     /// Until when it gets no runs because it fails, stalls or is slow.
-    pub aside: Option<Duration>,
+    pub quarantined_until: Option<Duration>,
     failures: u32,
     quarantines: u32,
     /// When it was last put aside.
@@ -183,16 +183,16 @@
             heard: Duration::ZERO,
             missed: None,
             broke: None,
-            looking: None,
-            next_look: Duration::ZERO,
+            pending_poll: None,
+            next_poll: Duration::ZERO,
             ordering: 0,
             ordered: Duration::ZERO,
             work: Duration::ZERO,
             rank: None,
             runs: BTreeSet::new(),
-            noted: 0,
-            seen: 0,
-            told: 0,
+            ends_reported: 0,
+            ends_recorded: 0,
+            ends_acknowledged: 0,
             renewing: None,
             acknowledging: None,
             forgetful: None,
@@ -205,7 +205,7 @@
             calm: Duration::ZERO,
             settled: Duration::ZERO,
             doubted: None,
-            aside: None,
+            quarantined_until: None,
             failures: 0,
             quarantines: 0,
             shut: Duration::ZERO,
@@ -223,7 +223,7 @@
     #[must_use]
     pub fn target(&self, fence: u64, patience: Duration) -> Target {
         Target {
-            life: self.listed.life.clone(),
+            incarnation: self.listed.incarnation.clone(),
             address: self.listed.address,
             fence,
             timeout: patience,
@@ -264,7 +264,7 @@
     /// When the next look at it is due.
     #[must_use]
     pub fn next_poll_due(&self) -> Duration {
-        self.next_look.max(self.doubted.unwrap_or_default())
+        self.next_poll.max(self.doubted.unwrap_or_default())
     }
 
     /// Whether it has this label.
@@ -284,9 +284,9 @@
     pub fn take_over_from(&mut self, former: &mut Self, hold: Duration) {
         self.failures = self.failures.max(former.failures);
         self.quarantines = self.quarantines.max(former.quarantines);
-        self.aside = self.aside.max(former.aside);
+        self.quarantined_until = self.quarantined_until.max(former.quarantined_until);
         self.shut = self.shut.max(former.shut);
-        if let Some(look) = former.looking {
+        if let Some(look) = former.pending_poll {
             former.note_unanswered(&look);
         }
         self.late.append(&mut former.late);
@@ -306,7 +306,7 @@
         if look.renews {
             self.renewing = self.renewing.max(Some(until));
         }
-        if look.seen > 0 {
+        if look.ends_recorded > 0 {
             self.acknowledging = self.acknowledging.max(Some(until));
             self.outdated = self.outdated.max(look.fence);
         }
@@ -320,7 +320,7 @@
     /// Counts a run that failed; true when the worker is put aside for it.
     pub fn note_failure(&mut self, now: Duration) -> bool {
         self.failures += 1;
-        if self.failures < FAILURES || self.aside.is_some_and(|until| until > now) {
+        if self.failures < FAILURES || self.quarantined_until.is_some_and(|until| until > now) {
             return false;
         }
         self.quarantine(now);
@@ -330,7 +330,7 @@
     /// Gives it nothing for a while, longer each time until something succeeds there.
     pub fn quarantine(&mut self, now: Duration) {
         let doubled = QUARANTINE_FIRST * 2u32.pow(self.quarantines.min(4));
-        self.aside = Some(now + doubled.min(QUARANTINE_MAX));
+        self.quarantined_until = Some(now + doubled.min(QUARANTINE_MAX));
         self.quarantines += 1;
         self.shut = now;
     }
@@ -339,7 +339,7 @@
     pub fn note_success(&mut self) {
         self.failures = 0;
         self.quarantines = 0;
-        self.aside = None;
+        self.quarantined_until = None;
     }
 
     /// Failures since the last success.
@@ -366,7 +366,7 @@
 
     /// Its life.
     #[must_use]
-    pub fn life(&self) -> &Incarnation {
-        &self.listed.life
+    pub fn incarnation(&self) -> &Incarnation {
+        &self.listed.incarnation
     }
 }
--- a/ashtiller/tests/held.rs
+++ b/ashtiller/tests/held.rs
@@ -68,7 +68,7 @@
         driver.news = false;
         driver.pass(Duration::from_secs(3));
         let lasting = Step {
-            lasting: true,
+            long_running: true,
             ..step(1)
         };
         driver.submit(job("lasts", vec![lasting]));
--- a/ashtiller/tests/links/entries.rs
+++ b/ashtiller/tests/links/entries.rs
@@ -38,10 +38,10 @@
         let text = with(r#""ready""#, &format!(r#""ready","born":{born}"#));
         dialect::open().worker(&key(), text.as_bytes())
     };
-    let life = read("1767225600123").unwrap().life;
+    let life = read("1767225600123").unwrap().incarnation;
     assert_eq!((life.id(), life.born()), ("i-1", Some(1_767_225_600_123)));
-    assert_ne!(life, read("1767225600124").unwrap().life);
-    assert_eq!(read("null").unwrap().life.born(), None);
+    assert_ne!(life, read("1767225600124").unwrap().incarnation);
+    assert_eq!(read("null").unwrap().incarnation.born(), None);
     for strange in ["1.5", "-4", r#""now""#, "[1]", "{}"] {
         assert!(read(strange).is_err(), "{strange}");
     }
@@ -50,7 +50,7 @@
 #[test]
 fn a_worker_reads_as_it_says() {
     let listed = dialect::open().worker(&key(), WORKER.as_bytes()).unwrap();
-    assert_eq!(listed.life, "i-1".into());
+    assert_eq!(listed.incarnation, "i-1".into());
     assert_eq!(listed.machine.as_deref(), Some("m1"));
     assert_eq!(listed.capacity.processors, 16_000);
     assert!(!listed.draining);
--- a/ashtiller/tests/links/follower.rs
+++ b/ashtiller/tests/links/follower.rs
@@ -108,11 +108,11 @@
 
 impl WorkerClient for Nobody {
     fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> Called<'a, OrderReply> {
-        Box::pin(async move { Err(Failure::none("order", &to.life, "there are no workers")) })
+        Box::pin(async move { Err(Failure::none("order", &to.incarnation, "there are no workers")) })
     }
 
     fn poll<'a>(&'a self, to: &'a Target, _: &'a Poll) -> Called<'a, PollReply> {
-        Box::pin(async move { Err(Failure::none("look", &to.life, "there are no workers")) })
+        Box::pin(async move { Err(Failure::none("look", &to.incarnation, "there are no workers")) })
     }
 }
 
--- a/ashtiller/tests/links/peer.rs
+++ b/ashtiller/tests/links/peer.rs
@@ -38,7 +38,7 @@
         LogOwner {
             name: "owner".into(),
             address: ADDRESS,
-            life: 7,
+            incarnation: 7,
             largest: 1000,
             former: None,
             epoch: 1,
@@ -50,7 +50,7 @@
         let lead = Self::as_lead();
         Reply::Welcome(Box::new(HeartbeatReply {
             epoch: lead.epoch,
-            life: lead.life,
+            incarnation: lead.incarnation,
             version: 1,
             ..HeartbeatReply::default()
         }))
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -179,7 +179,7 @@
 
 fn target(worker: u16) -> Target {
     Target {
-        life: format!("w{worker}").into(),
+        incarnation: format!("w{worker}").into(),
         address: address(9000 + worker),
         fence: 5,
         timeout: LIMIT,
@@ -191,14 +191,14 @@
     Start {
         name: TaskName {
             job: "job".into(),
-            time: 0,
+            occurrence: 0,
             step: 0,
             index,
         },
         run: 1,
         payload: "what the tasks get".into(),
         until: 6007,
-        saved: "".into(),
+        checkpoint: "".into(),
         ticket: None,
     }
 }
@@ -320,7 +320,7 @@
         let scene = Scene::open(RELAYED_MIN);
         let look = Poll {
             until: Some(6007),
-            seen: 3,
+            ends_recorded: 3,
             wait: Duration::from_secs(2),
         };
         let began = time::Instant::now();
--- a/ashtiller/tests/owner/asleep.rs
+++ b/ashtiller/tests/owner/asleep.rs
@@ -100,7 +100,7 @@
     for spans in [[3000, 3000], [9000, 200], [30_000, 30_000]] {
         let mut driver = Driver::new(2, policy());
         let lasting = Step {
-            lasting: true,
+            long_running: true,
             ..step(2)
         };
         driver.submit(job("1", vec![lasting]));
--- a/ashtiller/tests/owner/blame.rs
+++ b/ashtiller/tests/owner/blame.rs
@@ -14,7 +14,7 @@
 fn run(index: u16, number: u32) -> Run {
     let task = Task {
         job: 1,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index,
     };
--- a/ashtiller/tests/owner/compaction.rs
+++ b/ashtiller/tests/owner/compaction.rs
@@ -129,7 +129,7 @@
     LogOwner {
         name: "a".into(),
         address: ([10, 0, 0, 1], 7720).into(),
-        life: 1,
+        incarnation: 1,
         largest: 120,
         former: None,
         epoch: 0,
--- a/ashtiller/tests/owner/crash_wave.rs
+++ b/ashtiller/tests/owner/crash_wave.rs
@@ -19,7 +19,7 @@
 
 fn born(number: u16, at: u64) -> ListedWorker {
     ListedWorker {
-        life: Incarnation::new(&format!("w{number}"), Some(at)),
+        incarnation: Incarnation::new(&format!("w{number}"), Some(at)),
         ..listed(number)
     }
 }
@@ -44,16 +44,16 @@
     driver.pass(300 * MS);
     for number in 0..workers {
         // They report what has begun there.
-        driver.report(&born(number, 1000).life, Vec::new(), Vec::new());
+        driver.report(&born(number, 1000).incarnation, Vec::new(), Vec::new());
     }
     let began = processor_time();
     driver.pass(500 * MS);
     let calm = processor_time().saturating_sub(began);
     let began = processor_time();
     for number in (0..workers).step_by(SPACING.into()) {
-        let former = born(number, 1000).life;
+        let former = born(number, 1000).incarnation;
         // The look that is under way there is answered by the next life.
-        let next = PollReply::OtherIncarnation(Some(born(number, 1001).life));
+        let next = PollReply::OtherIncarnation(Some(born(number, 1001).incarnation));
         driver.core.take_look(&former, Ok(next), driver.now);
     }
     driver.pass(500 * MS);
--- a/ashtiller/tests/owner/crashes.rs
+++ b/ashtiller/tests/owner/crashes.rs
@@ -85,9 +85,9 @@
 
     /// The worker is listed under another id.
     pub fn come_back(&mut self, id: &Incarnation) {
-        let life = self.lives.iter_mut().find(|life| life.life == *id);
+        let life = self.lives.iter_mut().find(|life| life.incarnation == *id);
         let life = life.expect("a worker that was listed");
-        life.life = format!("{id}x").into();
+        life.incarnation = format!("{id}x").into();
         let life = life.clone();
         self.driver.come_back_as(id, life);
     }
@@ -160,7 +160,7 @@
     let mut world = Crashing::new(6);
     for number in 0..12 {
         let lasting = Step {
-            lasting: true,
+            long_running: true,
             ..step(1)
         };
         world
@@ -190,12 +190,12 @@
 #[test]
 fn trials_leave_room_to_tasks_that_are_not_suspected() {
     let lasting = |count| Step {
-        lasting: true,
+        long_running: true,
         ..step(count)
     };
     let task = |index| Task {
         job: 0,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index,
     };
@@ -247,7 +247,7 @@
         let row = Active {
             name: driver.name(run),
             run: run.number,
-            saved: "".into(),
+            checkpoint: "".into(),
             percent: 4,
             figure: None,
         };
@@ -260,7 +260,7 @@
         driver.pass(200 * MS);
         let machine = driver.core.workers()[&life].listed.clone();
         let next = ListedWorker {
-            life: "next".into(),
+            incarnation: "next".into(),
             ..machine
         };
         driver.come_back_as(&life, next);
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -59,7 +59,7 @@
 
 pub fn listed(number: u16) -> ListedWorker {
     ListedWorker {
-        life: format!("w{number}").into(),
+        incarnation: format!("w{number}").into(),
         machine: Some(format!("m{number}").into()),
         service: "fleet".into(),
         address: ([10, 0, 0, 1], number + 1).into(),
@@ -255,31 +255,31 @@
 
     pub fn carry_out(&mut self, effect: Effect) {
         if let Effect::Look(target, look) = &effect {
-            self.acknowledged.push((target.life.clone(), look.seen));
-            *self.looked.entry(target.life.clone()).or_insert(0) += 1;
+            self.acknowledged.push((target.incarnation.clone(), look.ends_recorded));
+            *self.looked.entry(target.incarnation.clone()).or_insert(0) += 1;
         }
         match effect {
-            Effect::Look(target, _) if self.reborn.contains_key(&target.life) => {
-                let next = self.reborn[&target.life].clone();
+            Effect::Look(target, _) if self.reborn.contains_key(&target.incarnation) => {
+                let next = self.reborn[&target.incarnation].clone();
                 let looked = PollReply::OtherIncarnation(Some(next));
-                self.core.take_look(&target.life, Ok(looked), self.now);
+                self.core.take_look(&target.incarnation, Ok(looked), self.now);
             }
-            Effect::Look(target, _) if self.strangers.contains(&target.life) => {
+            Effect::Look(target, _) if self.strangers.contains(&target.incarnation) => {
                 self.core
-                    .take_look(&target.life, Ok(PollReply::OtherIncarnation(None)), self.now);
+                    .take_look(&target.incarnation, Ok(PollReply::OtherIncarnation(None)), self.now);
             }
-            Effect::Order(target, run, order) if self.crashed.contains(&target.life) => {
-                let nothing = Failure::unknown("order", &target.life, "connection refused");
+            Effect::Order(target, run, order) if self.crashed.contains(&target.incarnation) => {
+                let nothing = Failure::unknown("order", &target.incarnation, "connection refused");
                 self.core
-                    .take_answer(&target.life, run, &order, Err(nothing), self.now);
+                    .take_answer(&target.incarnation, run, &order, Err(nothing), self.now);
             }
-            Effect::Look(target, _) if Some(&target.life) == self.mute.as_ref() => {
-                let nothing = Failure::unknown("look", &target.life, "no answer in time");
-                self.core.take_look(&target.life, Err(nothing), self.now);
+            Effect::Look(target, _) if Some(&target.incarnation) == self.mute.as_ref() => {
+                let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
+                self.core.take_look(&target.incarnation, Err(nothing), self.now);
             }
-            Effect::Look(target, _) if self.crashed.contains(&target.life) => {
-                let nothing = Failure::unknown("look", &target.life, "connection refused");
-                self.core.take_look(&target.life, Err(nothing), self.now);
+            Effect::Look(target, _) if self.crashed.contains(&target.incarnation) => {
+                let nothing = Failure::unknown("look", &target.incarnation, "connection refused");
+                self.core.take_look(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Append(position, facts) => {
                 self.facts.extend(facts);
@@ -289,36 +289,36 @@
                     self.waiting = Some(position);
                 }
             }
-            Effect::Order(target, run, order) if Some(&target.life) == self.deaf.as_ref() => {
-                let nothing = Failure::unknown("order", &target.life, "no answer");
+            Effect::Order(target, run, order) if Some(&target.incarnation) == self.deaf.as_ref() => {
+                let nothing = Failure::unknown("order", &target.incarnation, "no answer");
                 self.core
-                    .take_answer(&target.life, run, &order, Err(nothing), self.now);
-                self.orders.push((target.life, run, order));
+                    .take_answer(&target.incarnation, run, &order, Err(nothing), self.now);
+                self.orders.push((target.incarnation, run, order));
             }
             Effect::Order(target, run, order) if self.refusal(&target, &order).is_some() => {
                 let refusal = self.refusal(&target, &order).expect("a refusal");
                 let said = Ok(OrderReply::Refused(refusal));
                 self.core
-                    .take_answer(&target.life, run, &order, said, self.now);
-                self.refused.push((target.life, run));
+                    .take_answer(&target.incarnation, run, &order, said, self.now);
+                self.refused.push((target.incarnation, run));
             }
             Effect::Order(target, run, order) => {
                 let said = Ok(OrderReply::Done(self.clock()));
                 self.core
-                    .take_answer(&target.life, run, &order, said, self.now);
+                    .take_answer(&target.incarnation, run, &order, said, self.now);
                 if let Order::Stop(name, _) = &order {
                     self.at_work.retain(|(_, row)| row.name != *name);
                 }
-                self.orders.push((target.life, run, order));
+                self.orders.push((target.incarnation, run, order));
             }
-            Effect::Look(target, _) if Some(&target.life) == self.silent.as_ref() => {
-                let nothing = Failure::unknown("look", &target.life, "no answer");
-                self.core.take_look(&target.life, Err(nothing), self.now);
+            Effect::Look(target, _) if Some(&target.incarnation) == self.silent.as_ref() => {
+                let nothing = Failure::unknown("look", &target.incarnation, "no answer");
+                self.core.take_look(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Look(target, look) if self.patient => {
-                self.looks.push((self.now.at + look.wait, target.life));
+                self.looks.push((self.now.at + look.wait, target.incarnation));
             }
-            Effect::Look(target, _) => self.show(&target.life),
+            Effect::Look(target, _) => self.show(&target.incarnation),
             Effect::Answer(ticket, reply) => self.answers.push((ticket, reply)),
             Effect::Advise(question) if self.advisor == Advisor::Works => {
                 self.asked.push(question);
@@ -368,7 +368,7 @@
     fn refusal(&self, target: &Target, order: &Order) -> Option<Refusal> {
         let (id, refusal) = self.refuses.as_ref()?;
         let starts = matches!(order, Order::Start(_));
-        (starts && target.life == *id).then_some(*refusal)
+        (starts && target.incarnation == *id).then_some(*refusal)
     }
 
     pub fn clock(&self) -> u64 {
@@ -391,7 +391,7 @@
                 active.push(Active {
                     name: start.name.clone(),
                     run: start.run,
-                    saved: "".into(),
+                    checkpoint: "".into(),
                     percent: u32::try_from(self.now.at.as_millis() % 100).unwrap(),
                     figure: None,
                 });
@@ -439,7 +439,7 @@
             name: self.name(run),
             run: run.number,
             how,
-            saved: "".into(),
+            checkpoint: "".into(),
         }]
     }
 
@@ -450,7 +450,7 @@
             let mut looked = false;
             for effect in self.poll() {
                 match effect {
-                    Effect::Look(target, _) if target.life == *id => looked = true,
+                    Effect::Look(target, _) if target.incarnation == *id => looked = true,
                     other => rest.push(other),
                 }
             }
@@ -472,7 +472,7 @@
         let job = &self.core.book().jobs[&run.task.job];
         TaskName {
             job: job.job.id.clone(),
-            time: run.task.time,
+            occurrence: run.task.occurrence,
             step: run.task.step,
             index: run.task.index,
         }
--- a/ashtiller/tests/owner/evacuation.rs
+++ b/ashtiller/tests/owner/evacuation.rs
@@ -43,7 +43,7 @@
 }
 
 fn is_inside(id: &Incarnation, inner: u16) -> bool {
-    (0..inner).any(|number| *id == inside(number).life)
+    (0..inner).any(|number| *id == inside(number).incarnation)
 }
 
 /// Starts in the zone that is evacuated.
@@ -57,7 +57,7 @@
     let row = Active {
         name: driver.name(run),
         run: run.number,
-        saved: "".into(),
+        checkpoint: "".into(),
         percent,
         figure: None,
     };
@@ -100,7 +100,7 @@
 fn what_runs_in_an_evacuated_zone_goes_on() {
     let mut driver = open(2, 2);
     let service = Step {
-        lasting: true,
+        long_running: true,
         sharing: Sharing::Serves(50 * MS),
         spread: 1,
         away_max: Some(0),
@@ -210,7 +210,7 @@
 fn a_new_owner_withdraws_only_what_has_not_begun() {
     let task = Task {
         job: 0,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index: 0,
     };
@@ -245,7 +245,7 @@
     driver.submit(job("1", vec![gang]));
     driver.pass(100 * MS);
     let more = ListedWorker {
-        life: "w2".into(),
+        incarnation: "w2".into(),
         ..listed(2)
     };
     driver.core.list_worker(more, driver.now);
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -39,7 +39,7 @@
 
 fn acknowledges(effect: &Effect) -> Option<(Target, Poll)> {
     match effect {
-        Effect::Look(target, look) if look.seen > 0 => Some((target.clone(), look.clone())),
+        Effect::Look(target, look) if look.ends_recorded > 0 => Some((target.clone(), look.clone())),
         _ => None,
     }
 }
@@ -78,9 +78,9 @@
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     assert_eq!(first.fence, look.fence);
-    let refused = Failure::none("order", &first.life, "connection refused");
+    let refused = Failure::none("order", &first.incarnation, "connection refused");
     let core = &mut driver.core;
-    core.take_answer(&first.life, run, &order, Err(refused), driver.now);
+    core.take_answer(&first.incarnation, run, &order, Err(refused), driver.now);
     let (again, ..) = await_call(&mut driver, starts);
     assert!(again.fence > look.fence, "the look comes after this start");
 }
@@ -89,8 +89,8 @@
 fn a_later_owner_has_a_higher_fence_than_any_of_before() {
     let (mut driver, look) = begin(listed(0));
     see_entry(&mut driver, 9);
-    let nothing = Failure::unknown("look", &look.life, "no answer in time");
-    driver.core.take_look(&look.life, Err(nothing), driver.now);
+    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
     let (target, ..) = await_call(&mut driver, |effect| match effect {
         Effect::Look(target, look) => Some((target.clone(), look.clone())),
         _ => None,
@@ -106,18 +106,18 @@
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("look", &look.life, "no answer in time");
-    driver.core.take_look(&look.life, Err(nothing), driver.now);
+    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
-    core.take_answer(&first.life, run, &order, fenced, driver.now);
+    core.take_answer(&first.incarnation, run, &order, fenced, driver.now);
     assert!(!driver.core.is_superseded());
     let (again, of, _) = await_call(&mut driver, starts);
     assert_eq!((again.fence > first.fence, of), (true, run));
     driver.pass(4000 * MS);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
-    core.take_answer(&again.life, run, &order, fenced, driver.now);
+    core.take_answer(&again.incarnation, run, &order, fenced, driver.now);
     assert!(
         driver.core.is_superseded(),
         "nothing of before is under way"
@@ -130,12 +130,12 @@
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("order", &first.life, "no answer in time");
+    let nothing = Failure::unknown("order", &first.incarnation, "no answer in time");
     let core = &mut driver.core;
-    core.take_answer(&first.life, run, &order, Err(nothing), driver.now);
+    core.take_answer(&first.incarnation, run, &order, Err(nothing), driver.now);
     driver
         .core
-        .take_look(&look.life, Ok(PollReply::Fenced), driver.now);
+        .take_look(&look.incarnation, Ok(PollReply::Fenced), driver.now);
     assert!(!driver.core.is_superseded());
 }
 
@@ -143,19 +143,19 @@
 #[test]
 fn a_life_that_has_taken_a_higher_fence_gets_work_at_once() {
     let born = |at| ListedWorker {
-        life: Incarnation::new("w0", Some(at)),
+        incarnation: Incarnation::new("w0", Some(at)),
         ..listed(0)
     };
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("look", &look.life, "no answer in time");
-    driver.core.take_look(&look.life, Err(nothing), driver.now);
+    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
-    driver.reborn.insert(look.life, next.life.clone());
+    driver.reborn.insert(look.incarnation, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(Duration::from_secs(1));
-    assert!(driver.starts().iter().any(|(at, _)| *at == next.life));
+    assert!(driver.starts().iter().any(|(at, _)| *at == next.incarnation));
 }
 
 /// Symptom: an owner gave the log up without another one. A call to the former life had been taken
@@ -164,17 +164,17 @@
 #[test]
 fn all_lives_of_a_worker_are_called_with_one_fence() {
     let born = |at| ListedWorker {
-        life: Incarnation::new("w0", Some(at)),
+        incarnation: Incarnation::new("w0", Some(at)),
         ..listed(0)
     };
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("look", &look.life, "no answer in time");
-    driver.core.take_look(&look.life, Err(nothing), driver.now);
+    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
     driver.core.list_worker(next.clone(), driver.now);
     let (target, _) = await_call(&mut driver, |effect| match effect {
-        Effect::Look(target, look) if target.life == next.life => {
+        Effect::Look(target, look) if target.incarnation == next.incarnation => {
             Some((target.clone(), look.clone()))
         }
         _ => None,
--- a/ashtiller/tests/owner/first_list.rs
+++ b/ashtiller/tests/owner/first_list.rs
@@ -36,11 +36,11 @@
         for index in 0..TASKS {
             let task = Task {
                 job: number,
-                time: 0,
+                occurrence: 0,
                 step: 0,
                 index,
             };
-            let placed = LogRecord::Placed(Run { task, number: 1 }, listed(place).life, Arc::from(""));
+            let placed = LogRecord::Placed(Run { task, number: 1 }, listed(place).incarnation, Arc::from(""));
             book.apply(&placed, now.at);
             place = (place + 1) % WORKERS;
         }
--- a/ashtiller/tests/owner/first_looks.rs
+++ b/ashtiller/tests/owner/first_looks.rs
@@ -47,14 +47,14 @@
         for effect in core.poll(now) {
             match effect {
                 Effect::Append(position, _) => core.note_durable(position, now.at, now),
-                Effect::Look(target, _) if !heard.contains(&target.life) => {
+                Effect::Look(target, _) if !heard.contains(&target.incarnation) => {
                     looks += 1;
                     let limit = now.at + POLL_TIMEOUT_MIN;
-                    if says(&target.life) {
+                    if says(&target.incarnation) {
                         free = free.max(now.at) + ANSWER;
-                        under_way.push((free, limit, target.life));
+                        under_way.push((free, limit, target.incarnation));
                     } else {
-                        under_way.push((Duration::MAX, limit, target.life));
+                        under_way.push((Duration::MAX, limit, target.incarnation));
                     }
                 }
                 _ => {}
--- a/ashtiller/tests/owner/jobs.rs
+++ b/ashtiller/tests/owner/jobs.rs
@@ -132,7 +132,7 @@
     let times: Vec<u32> = driver
         .starts()
         .iter()
-        .map(|(_, run)| run.task.time)
+        .map(|(_, run)| run.task.occurrence)
         .collect();
     assert_eq!(times, [0, 1]);
 }
--- a/ashtiller/tests/owner/leaving.rs
+++ b/ashtiller/tests/owner/leaving.rs
@@ -14,7 +14,7 @@
 fn serving(away_max: Option<u32>) -> (Driver, Vec<(Incarnation, Run)>) {
     let mut driver = Driver::new(4, policy());
     let service = Step {
-        lasting: true,
+        long_running: true,
         sharing: Sharing::Serves(50 * MS),
         spread: 1,
         away_max,
@@ -27,7 +27,7 @@
         let at_work = Active {
             name: driver.name(*run),
             run: run.number,
-            saved: "".into(),
+            checkpoint: "".into(),
             percent: 100,
             figure: None,
         };
@@ -84,7 +84,7 @@
     let mut driver = Driver::new(1, policy());
     driver.crash(&"w0".into());
     let newer = ListedWorker {
-        life: "a-newer-life".into(),
+        incarnation: "a-newer-life".into(),
         ..listed(0)
     };
     driver.core.list_all(vec![listed(0), newer], driver.now);
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -16,7 +16,7 @@
 
 fn born(number: u16, at: u64) -> ListedWorker {
     ListedWorker {
-        life: Incarnation::new(&format!("w{number}"), Some(at)),
+        incarnation: Incarnation::new(&format!("w{number}"), Some(at)),
         ..listed(number)
     }
 }
@@ -81,12 +81,12 @@
 fn a_life_gets_work_when_its_entry_is_there() {
     let (mut driver, life, _) = begin();
     let next = born(0, 900);
-    driver.reborn.insert(life, next.life.clone());
+    driver.reborn.insert(life, next.incarnation.clone());
     driver.core.list_all(vec![next.clone()], driver.now);
     driver.pass(200 * MS);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(200 * MS);
-    assert!(driver.starts().iter().any(|(at, _)| *at == next.life));
+    assert!(driver.starts().iter().any(|(at, _)| *at == next.incarnation));
 }
 
 /// An entry of the former life is read again and again; it ends nothing and costs few looks.
@@ -94,7 +94,7 @@
 fn an_entry_of_a_life_that_is_over_brings_nothing_back() {
     let (mut driver, life, _) = begin();
     let next = born(0, 2000);
-    driver.reborn.insert(life.clone(), next.life.clone());
+    driver.reborn.insert(life.clone(), next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.pass(200 * MS);
     let looks = driver.looked[&life];
@@ -108,7 +108,7 @@
         driver.looked[&life] - looks
     );
     assert_eq!(driver.core.counts().restarts, 1);
-    assert!(driver.core.workers().contains_key(&next.life));
+    assert!(driver.core.workers().contains_key(&next.incarnation));
 }
 
 /// The start was not answered and may still be carried out, by the next life.
@@ -124,13 +124,13 @@
     let next = born(0, 2000);
     driver
         .reborn
-        .insert(Incarnation::new("w0", Some(1000)), next.life.clone());
+        .insert(Incarnation::new("w0", Some(1000)), next.incarnation.clone());
     driver
         .core
         .list_all(vec![next.clone(), born(1, 1000)], driver.now);
     driver.pass(Duration::from_secs(1));
     let orders = driver.orders.iter();
-    let orders = orders.filter(|(at, ..)| at.id() == "w1" || *at == next.life);
+    let orders = orders.filter(|(at, ..)| at.id() == "w1" || *at == next.incarnation);
     let mut kinds = orders.map(|(at, of, order)| (at.id(), *of == run, order.kind()));
     assert_eq!(kinds.next(), Some(("w0", true, "stop")));
     assert!(matches!(kinds.next(), Some((_, false, "start"))));
@@ -168,11 +168,11 @@
     let (driver, life, run) = begin();
     let mut heir = Driver::replay(&driver.facts, 0, policy());
     let next = born(0, 2000);
-    heir.reborn.insert(life, next.life.clone());
+    heir.reborn.insert(life, next.incarnation.clone());
     heir.core.list_all(vec![next.clone()], heir.now);
     heir.pass(Duration::from_secs(1));
     assert!(!heir.core.book().is_live(run));
-    let first = heir.orders.iter().find(|(at, ..)| *at == next.life);
+    let first = heir.orders.iter().find(|(at, ..)| *at == next.incarnation);
     let (_, of, order) = first.expect("an order");
     assert_eq!((*of, matches!(order, Order::Stop(..))), (run, true));
 }
@@ -206,11 +206,11 @@
         driver.core.note_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match effect {
-                Effect::Look(target, look) if look.seen > 0 => {
-                    let nothing = Failure::unknown("look", &target.life, "no answer in time");
+                Effect::Look(target, look) if look.ends_recorded > 0 => {
+                    let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
                     driver
                         .core
-                        .take_look(&target.life, Err(nothing), driver.now);
+                        .take_look(&target.incarnation, Err(nothing), driver.now);
                     lost = true;
                 }
                 other => driver.carry_out(other),
@@ -222,7 +222,7 @@
     }
     assert!(lost, "an acknowledgement was not answered");
     let next = born(0, 2000);
-    driver.reborn.insert(life, next.life.clone());
+    driver.reborn.insert(life, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.pass(300 * MS);
     let old = ListedWorker {
@@ -234,9 +234,9 @@
     driver.core.list_worker(next.clone(), driver.now);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(Duration::from_secs(11));
-    assert!(!driver.starts().iter().any(|(at, _)| *at == next.life));
+    assert!(!driver.starts().iter().any(|(at, _)| *at == next.incarnation));
     driver.pass(Duration::from_secs(3));
-    assert!(driver.starts().iter().any(|(at, _)| *at == next.life));
+    assert!(driver.starts().iter().any(|(at, _)| *at == next.incarnation));
 }
 
 /// Symptom: a task ran on two workers at once. One had started again without a birth, and the
@@ -261,10 +261,10 @@
                     let said = Ok(OrderReply::Done(heard));
                     driver
                         .core
-                        .take_answer(&target.life, run, &order, said, driver.now);
-                    started = Some((target.life, driver.now.at));
+                        .take_answer(&target.incarnation, run, &order, said, driver.now);
+                    started = Some((target.incarnation, driver.now.at));
                 }
-                (Effect::Look(target, _), Some((life, _))) if target.life == *life => {
+                (Effect::Look(target, _), Some((life, _))) if target.incarnation == *life => {
                     let nothing = Failure::unknown("look", life, "no answer in time");
                     driver.core.take_look(life, Err(nothing), driver.now);
                 }
@@ -313,7 +313,7 @@
     let terms = Tuning::default();
     let mut heir = Driver::replay(&driver.facts, 0, policy());
     let next = born(0, 2000);
-    heir.crashed.extend([life, next.life.clone()]);
+    heir.crashed.extend([life, next.incarnation.clone()]);
     heir.core.list_all(vec![next, born(1, 1000)], heir.now);
     heir.core.clear_former(0, heir.now);
     heir.pass(LATE_MAX + terms.hold.saturating_sub(200 * MS));
@@ -336,7 +336,7 @@
         driver.core.note_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match effect {
-                Effect::Order(target, run, order @ Order::Start(_)) if target.life == life => {
+                Effect::Order(target, run, order @ Order::Start(_)) if target.incarnation == life => {
                     let nothing = Failure::unknown("order", &life, "no answer in time");
                     let core = &mut driver.core;
                     core.take_answer(&life, run, &order, Err(nothing), driver.now);
@@ -348,10 +348,10 @@
     }
     let sent = driver.now.at;
     let next = born(0, 2000);
-    driver.reborn.insert(life, next.life.clone());
+    driver.reborn.insert(life, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.pass(500 * MS);
-    let bound = driver.core.workers()[&next.life].lease.bound();
+    let bound = driver.core.workers()[&next.incarnation].lease.bound();
     let terms = Tuning::default();
     assert!(bound >= sent + LATE_MAX + terms.hold, "{bound:?}");
 }
--- a/ashtiller/tests/owner/news.rs
+++ b/ashtiller/tests/owner/news.rs
@@ -146,7 +146,7 @@
 #[test]
 fn no_start_is_ordered_while_its_worker_is_not_listed() {
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         away_max: Some(0),
         ..step(1)
     };
@@ -157,7 +157,7 @@
         driver.pass(100 * MS);
         let rest: Vec<ListedWorker> = (0..2).map(listed).collect();
         let worker = placed_on(&driver);
-        let rest = rest.into_iter().filter(|other| other.life != worker);
+        let rest = rest.into_iter().filter(|other| other.incarnation != worker);
         driver.core.list_all(rest.collect(), driver.now);
         driver.come_back();
         driver.pass(Duration::from_secs(2));
@@ -194,7 +194,7 @@
 fn a_new_owner_starts_nothing_on_workers_that_drain_or_are_not_listed() {
     let task = Task {
         job: 0,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index: 0,
     };
@@ -238,7 +238,7 @@
 #[test]
 fn copies_and_gangs_do_not_go_to_workers_that_drain() {
     let copied = Step {
-        copies: true,
+        speculative: true,
         ..step(1)
     };
     let gang = Step {
--- a/ashtiller/tests/owner/parts.rs
+++ b/ashtiller/tests/owner/parts.rs
@@ -119,7 +119,7 @@
 fn a_book_is_the_same_from_a_snapshot() {
     let task = Task {
         job: 0,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index: 0,
     };
@@ -164,7 +164,7 @@
 fn crash_of(job: u32, index: u16) -> LostRun {
     let task = Task {
         job,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index,
     };
@@ -198,7 +198,7 @@
     ];
     let task = Task {
         job: 3,
-        time: 0,
+        occurrence: 0,
         step: 1,
         index: 17,
     };
--- a/ashtiller/tests/owner/placing.rs
+++ b/ashtiller/tests/owner/placing.rs
@@ -163,7 +163,7 @@
 fn a_copy_starts_where_the_step_allows_it_and_the_worker_says_nothing() {
     for (copies, starts) in [(true, 2), (false, 1)] {
         let mut driver = Driver::new(2, policy());
-        driver.submit(job("1", vec![Step { copies, ..step(1) }]));
+        driver.submit(job("1", vec![Step { speculative: copies, ..step(1) }]));
         driver.pass(200 * MS);
         let (id, _) = driver.starts()[0].clone();
         driver.silent = Some(id.clone());
@@ -178,7 +178,7 @@
 fn a_large_lasting_task_is_not_kept_waiting_by_short_ones() {
     let mut driver = Driver::new(1, policy());
     let large = Step {
-        lasting: true,
+        long_running: true,
         needs: Resources {
             processors: 3000,
             ..step(1).needs
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -38,9 +38,9 @@
             match effect {
                 // Thirty of forty.
                 Effect::Look(target, look)
-                    if !target.life.id().ends_with('0') && target.life.id().len() > 2 =>
+                    if !target.incarnation.id().ends_with('0') && target.incarnation.id().len() > 2 =>
                 {
-                    late.push((driver.now.at + look.wait + target.timeout, target.life));
+                    late.push((driver.now.at + look.wait + target.timeout, target.incarnation));
                 }
                 other => driver.carry_out(other),
             }
--- a/ashtiller/tests/owner/refill.rs
+++ b/ashtiller/tests/owner/refill.rs
@@ -17,7 +17,7 @@
 
 fn lasting(count: u32) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         ..step(count)
     }
 }
--- a/ashtiller/tests/owner/room.rs
+++ b/ashtiller/tests/owner/room.rs
@@ -26,7 +26,7 @@
 
 fn lasting() -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         ..whole_worker()
     }
 }
--- a/ashtiller/tests/owner/sharing.rs
+++ b/ashtiller/tests/owner/sharing.rs
@@ -23,7 +23,7 @@
 pub fn service(count: u32, target: Duration) -> Step {
     Step {
         needs: processors(2000),
-        lasting: true,
+        long_running: true,
         image: Some("serves".into()),
         sharing: Sharing::Serves(target),
         ..step(count)
@@ -49,7 +49,7 @@
             let row = Active {
                 name: driver.name(*run),
                 run: run.number,
-                saved: "".into(),
+                checkpoint: "".into(),
                 percent: 100,
                 figure: Some(tail),
             };
--- a/ashtiller/tests/owner/strangers.rs
+++ b/ashtiller/tests/owner/strangers.rs
@@ -11,7 +11,7 @@
 /// An entry that names the machine and the address of another worker.
 fn stranger(number: u16) -> ListedWorker {
     ListedWorker {
-        life: "stranger".into(),
+        incarnation: "stranger".into(),
         ..listed(number)
     }
 }
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -11,7 +11,7 @@
 fn run(number: u32) -> Run {
     let task = Task {
         job: 0,
-        time: 0,
+        occurrence: 0,
         step: 0,
         index: 0,
     };
@@ -24,7 +24,7 @@
 /// A new owner that finds a lasting task on a worker that is gone.
 fn replace_owner(known: &[LogRecord]) -> Driver {
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         ..step(1)
     };
     let mut facts = known.to_vec();
@@ -44,7 +44,7 @@
 #[test]
 fn a_copy_of_a_task_that_is_done_is_not_started() {
     let copied = Step {
-        copies: true,
+        speculative: true,
         ..step(2)
     };
     let facts = [
--- a/ashtiller/tests/owner/trial.rs
+++ b/ashtiller/tests/owner/trial.rs
@@ -30,7 +30,7 @@
 
 pub fn lasting(processors: u64) -> Step {
     Step {
-        lasting: true,
+        long_running: true,
         ..short(processors)
     }
 }
@@ -61,7 +61,7 @@
     let row = Active {
         name: driver.name(run),
         run: run.number,
-        saved: "".into(),
+        checkpoint: "".into(),
         percent: 100,
         figure: None,
     };
--- a/ashtiller/tests/owner/upkeep.rs
+++ b/ashtiller/tests/owner/upkeep.rs
@@ -98,7 +98,7 @@
     assert!(!driver.duties.is_empty());
     let fresh: Incarnation = "w9".into();
     let back = ListedWorker {
-        life: fresh.clone(),
+        incarnation: fresh.clone(),
         ..listed(0)
     };
     driver.core.list_worker(back, driver.now);
@@ -134,7 +134,7 @@
     driver.pass(10 * SECOND);
     assert_eq!(driver.duties.len(), 1, "no more than one at once");
     let back = ListedWorker {
-        life: "w9".into(),
+        incarnation: "w9".into(),
         ..listed(0)
     };
     driver.core.list_worker(back, driver.now);
@@ -162,7 +162,7 @@
     let row = Active {
         name: driver.name(run),
         run: run.number,
-        saved: "".into(),
+        checkpoint: "".into(),
         percent: 100,
         figure: None,
     };
--- a/ashtiller/tests/owner/workers.rs
+++ b/ashtiller/tests/owner/workers.rs
@@ -19,7 +19,7 @@
     let number: u16 = id.id()[1..].parse().unwrap();
     // The same machine under another id: the former life is over.
     let back = ListedWorker {
-        life: "w9".into(),
+        incarnation: "w9".into(),
         ..listed(number)
     };
     driver.core.list_worker(back, driver.now);
@@ -33,7 +33,7 @@
 fn lasting_tasks_leave_a_draining_worker() {
     let mut driver = Driver::new(2, policy());
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         sharing: Sharing::Serves(50 * MS),
         ..step(1)
     };
@@ -81,7 +81,7 @@
         assert_eq!(duty, MachineOrder::Upkeep(3));
         let number: u16 = machine[1..].parse().unwrap();
         let back = ListedWorker {
-            life: format!("w{}", 100 + round).into(),
+            incarnation: format!("w{}", 100 + round).into(),
             ..listed(number)
         };
         driver.core.list_worker(back, driver.now);
@@ -107,7 +107,7 @@
     }
     // The worker is put aside, then tried with one run.
     let lasting = Step {
-        lasting: true,
+        long_running: true,
         ..step(1)
     };
     driver.submit(job("3", vec![lasting]));
@@ -120,7 +120,7 @@
     let at_work = Active {
         name: driver.name(tried[0]),
         run: tried[0].number,
-        saved: "".into(),
+        checkpoint: "".into(),
         percent: 100,
         figure: None,
     };
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -49,7 +49,7 @@
 
 fn listed(number: u16) -> ListedWorker {
     ListedWorker {
-        life: format!("w{number}").into(),
+        incarnation: format!("w{number}").into(),
         machine: Some(format!("m{number}").into()),
         service: "fleet".into(),
         address: ([10, 0, 0, 1], number + 1).into(),
@@ -178,7 +178,7 @@
         for Waiting { to, .. } in lost.collect::<Vec<_>>() {
             let failure = Failure::unknown("look", to.address, "connection closed");
             let now = self.clock();
-            self.core.take_look(&to.life, Err(failure), now);
+            self.core.take_look(&to.incarnation, Err(failure), now);
         }
     }
 
@@ -207,7 +207,7 @@
         let now = self.clock();
         let ready = self.answers.extract_if(.., |(at, ..)| *at <= self.now);
         for (_, to, looked) in ready.collect::<Vec<_>>() {
-            self.core.take_look(&to.life, Ok(looked), now);
+            self.core.take_look(&to.incarnation, Ok(looked), now);
         }
     }
 
@@ -221,7 +221,7 @@
             return;
         }
         let looked = worker.look(to.fence, look, self.now);
-        look.seen = 0;
+        look.ends_recorded = 0;
         let news = !matches!(&looked, PollReply::Report { finished, .. } if finished.is_empty());
         if news || self.now >= *until + WAY {
             self.answers.push((self.now + WAY, waiting.to, looked));
@@ -242,7 +242,7 @@
                 self.note_start(&order);
                 let worker = self.workers.get_mut(&to.address).unwrap();
                 let said = worker.order(to.fence, &order, needs(), length(&order), self.now);
-                self.core.take_answer(&to.life, run, &order, Ok(said), now);
+                self.core.take_answer(&to.incarnation, run, &order, Ok(said), now);
             }
             Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
         }
--- a/ashtiller/tests/settings.rs
+++ b/ashtiller/tests/settings.rs
@@ -128,12 +128,12 @@
     assert!(
         parse(sample)
             .expect("no mistakes")
-            .terms
+            .tuning
             .switches
             .move_fills
     );
     let off = sample.replace("move_fills = yes", "move_fills = no");
-    assert!(!parse(&off).expect("no mistakes").terms.switches.move_fills);
+    assert!(!parse(&off).expect("no mistakes").tuning.switches.move_fills);
     let bad = sample.replace("move_fills = yes", "move_fills = maybe\nmove_all = yes");
     let mistakes = parse(&bad).expect_err("mistakes");
     let keys: Vec<&str> = mistakes.0.iter().map(|it| it.key.as_str()).collect();
--- a/ashtiller/tests/workflow.rs
+++ b/ashtiller/tests/workflow.rs
@@ -68,7 +68,7 @@
         500 + 500 * u64::from(world.draw(4)),
         Vec::new(),
     );
-    first.copies = world.draw(2) == 0;
+    first.speculative = world.draw(2) == 0;
     let mut steps = vec![first];
     if world.draw(2) == 0 {
         steps.push(step(1 + world.draw(4), 1000, vec![0]));
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -625,8 +625,8 @@
             Effect::Look(target, look) => {
                 if self.percent(self.faults.lost / 2) {
                     let wait = look.wait + ORDER_TIMEOUT_MIN;
-                    let nothing = Failure::unknown("look", &target.life, "no answer in time");
-                    let looked = Event::Looked(place, target.life.clone(), Err(nothing));
+                    let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
+                    let looked = Event::Looked(place, target.incarnation.clone(), Err(nothing));
                     self.at(wait, looked);
                     if self.faults.restarts.is_some() && self.percent(self.faults.late) {
                         let late = self.millis(2000, 12_000);
@@ -656,7 +656,7 @@
             self.millis(1, 4)
         };
         if lost {
-            let life = target.life.clone();
+            let life = target.incarnation.clone();
             let nothing = Err(Failure::unknown("order", &life, "no answer in time"));
             self.at(
                 ORDER_TIMEOUT_MIN,
@@ -704,7 +704,7 @@
                 }
             }
             Event::Carry(place, sent, target, run, order, answers) => {
-                let id: Arc<str> = target.life.id().into();
+                let id: Arc<str> = target.incarnation.id().into();
                 let there = self.is_there(&id);
                 let failure = self.failure("order", &id);
                 let said = self.carry(&target, sent, &order, answers);
@@ -713,7 +713,7 @@
                     let answer = self.millis(1, 4);
                     let delay = if silent { ORDER_TIMEOUT_MIN } else { answer };
                     let said = said.ok_or(failure);
-                    self.at(delay, Event::Ordered(place, target.life, run, order, said));
+                    self.at(delay, Event::Ordered(place, target.incarnation, run, order, said));
                 }
             }
             Event::Ordered(place, id, run, order, said) => {
@@ -723,7 +723,7 @@
             }
             Event::See(place, target, look) => {
                 let looked = self.see(&target, &look);
-                let id = target.life.id().into();
+                let id = target.incarnation.id().into();
                 let (there, failure) = (self.is_there(&id), self.failure("look", &id));
                 let delay = if looked.is_none() && there {
                     ORDER_TIMEOUT_MIN
@@ -731,7 +731,7 @@
                     self.millis(1, 4)
                 };
                 let looked = looked.ok_or(failure);
-                self.at(delay, Event::Looked(place, target.life, looked));
+                self.at(delay, Event::Looked(place, target.incarnation, looked));
             }
             Event::Looked(place, id, looked) => {
                 if let Some(core) = &mut self.owners[place] {
@@ -739,7 +739,7 @@
                 }
             }
             Event::Late(target, look) => {
-                tracing::trace!(worker = %target.life, fence = target.fence, ?look, "world: late look");
+                tracing::trace!(worker = %target.incarnation, fence = target.fence, ?look, "world: late look");
                 self.see(&target, &look);
             }
             Event::Again(id) => self.start_again(&id),
@@ -764,12 +764,12 @@
     }
 
     fn see(&mut self, target: &Target, look: &Poll) -> Option<PollReply> {
-        let id = target.life.id();
+        let id = target.incarnation.id();
         if self.cut.contains(id) {
             return None;
         }
         let worker = self.workers.get_mut(id)?;
-        let forgotten = worker.forgets(look.seen);
+        let forgotten = worker.forgets(look.ends_recorded);
         let unread = forgotten.filter(|name| !self.recorded.contains_key(*name));
         let unread = unread.map(|name| format!("the end of {name:?} on {id} was forgotten unread"));
         let unread: Vec<String> = unread.collect();
@@ -779,7 +779,7 @@
             self.broken.extend(unread);
         }
         // What answers says when it was born.
-        if worker.life != target.life && matches!(looked, PollReply::Report { .. }) {
+        if worker.life != target.incarnation && matches!(looked, PollReply::Report { .. }) {
             return Some(PollReply::OtherIncarnation(Some(worker.life.clone())));
         }
         Some(looked)
@@ -792,7 +792,7 @@
         order: &Order,
         prompt: bool,
     ) -> Option<OrderReply> {
-        let id: &Arc<str> = &target.life.id().into();
+        let id: &Arc<str> = &target.incarnation.id().into();
         if self.cut.contains(id) {
             return None;
         }
@@ -849,7 +849,7 @@
                 LogRecord::Ended(run, End::Done, _) => {
                     let name = TaskName {
                         job: self.numbers[run.task.job as usize].clone(),
-                        time: run.task.time,
+                        occurrence: run.task.occurrence,
                         step: run.task.step,
                         index: run.task.index,
                     };
@@ -940,7 +940,7 @@
                 if !late.is_empty() {
                     late_here = late;
                 }
-                let copies = self.jobs[&name.job].steps[usize::from(name.step)].copies;
+                let copies = self.jobs[&name.job].steps[usize::from(name.step)].speculative;
                 let id: Arc<str> = worker.life.id().into();
                 if let Some((other, before)) = seen.insert(name.clone(), (id, late))
                     && !copies
@@ -1018,7 +1018,7 @@
         .parse::<u64>()
         .map_or(0, |number| u16::try_from(number % 50_000).unwrap());
     ListedWorker {
-        life: life.clone(),
+        incarnation: life.clone(),
         machine: Some(machine.clone()),
         service: "fleet".into(),
         address: ([10, 0, 0, 1], 1 + number).into(),
--- a/ashtiller/tests/world/news.rs
+++ b/ashtiller/tests/world/news.rs
@@ -37,13 +37,13 @@
 
 impl News {
     pub fn put(&mut self, listed: ListedWorker) {
-        self.entries.insert(listed.life.id().into(), listed.clone());
+        self.entries.insert(listed.incarnation.id().into(), listed.clone());
         self.changes.push(Change::Put(listed));
     }
 
     /// A worker says something else of itself, but that it drains.
     pub fn change(&mut self, listed: ListedWorker) {
-        let Some(entry) = self.entries.get(listed.life.id()) else {
+        let Some(entry) = self.entries.get(listed.incarnation.id()) else {
             return;
         };
         let (draining, remaining) = (entry.draining, entry.remaining);
@@ -76,7 +76,7 @@
 
     /// A worker has started again and does not drain any more.
     pub fn restart(&mut self, listed: ListedWorker) {
-        self.drained.remove(listed.life.id());
+        self.drained.remove(listed.incarnation.id());
         self.put(listed);
     }
 
--- a/bench/src/crashes.rs
+++ b/bench/src/crashes.rs
@@ -191,7 +191,7 @@
 
 fn listed(id: &Incarnation, place: u16) -> ListedWorker {
     ListedWorker {
-        life: id.clone(),
+        incarnation: id.clone(),
         machine: Some(format!("m{place}").into()),
         service: "fleet".into(),
         address: ([10, 0, 0, 1], place + 1).into(),
@@ -280,7 +280,7 @@
         // Six lasting jobs hold a quarter of the load.
         for number in 0..6 {
             let lasting = Step {
-                lasting: true,
+                long_running: true,
                 ..step(TASKS)
             };
             self.submit(&format!("last{number}"), lasting);
@@ -375,8 +375,8 @@
                 let sent = self.now;
                 self.at(6 * MS, Event::Durable(position, sent));
             }
-            Effect::Order(target, run, order) => self.obey(target.life, target.fence, run, order),
-            Effect::Look(target, look) => self.at(2 * MS, Event::See(target.life, look)),
+            Effect::Order(target, run, order) => self.obey(target.incarnation, target.fence, run, order),
+            Effect::Look(target, look) => self.at(2 * MS, Event::See(target.incarnation, look)),
             Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
         }
     }
--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -110,7 +110,7 @@
             ..Config::default()
         }));
         core.list_all((0..workers).map(listed).collect(), now);
-        let names = (0..workers).map(|number| (listed(number).life, Worker::default()));
+        let names = (0..workers).map(|number| (listed(number).incarnation, Worker::default()));
         Self {
             core,
             now: now.at,
@@ -181,10 +181,10 @@
         match effect {
             Effect::Append(position, _) => self.at(STORE, Event::Durable(position)),
             Effect::Order(target, run, order) => {
-                self.obey(&target.life, &order);
-                self.at(WAY, Event::Answer(target.life, run, order));
+                self.obey(&target.incarnation, &order);
+                self.at(WAY, Event::Answer(target.incarnation, run, order));
             }
-            Effect::Look(target, look) => self.look(&target.life, &look),
+            Effect::Look(target, look) => self.look(&target.incarnation, &look),
             Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
         }
     }
@@ -223,7 +223,7 @@
             name: name.clone(),
             run,
             how,
-            saved: Arc::from(""),
+            checkpoint: Arc::from(""),
         });
         if worker.waits.take().is_some() {
             self.at(WAY / 2, Event::Look(id.clone()));
@@ -234,7 +234,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.ends.retain(|end| end.number > look.seen);
+        worker.ends.retain(|end| end.number > look.ends_recorded);
         let now = self.now;
         if worker.ends.is_empty() && !look.wait.is_zero() {
             worker.waits = Some(now + look.wait);
@@ -283,7 +283,7 @@
         let active = worker.active.iter().map(|((name, run), end)| Active {
             name: name.clone(),
             run: *run,
-            saved: Arc::from(""),
+            checkpoint: Arc::from(""),
             percent: progress(*end, self.now, &name.job),
             figure: Some(rng.random_range(20..60)),
         });
@@ -335,7 +335,7 @@
             ]
         }
         _ => vec![Step {
-            lasting: true,
+            long_running: true,
             sharing: Sharing::Serves(100 * MS),
             ..step(24, 3000, vec![])
         }],
@@ -351,7 +351,7 @@
 
 fn listed(number: u16) -> ListedWorker {
     ListedWorker {
-        life: format!("i-{number:04x}").into(),
+        incarnation: format!("i-{number:04x}").into(),
         machine: Some(format!("m{number}").into()),
         service: "fleet".into(),
         address: ([10, 0, 0, 1], number + 1).into(),
