--- a/ashtiller/src/workflow/core/adopt.rs
+++ b/ashtiller/src/workflow/core/adopt.rs
@@ -20,8 +20,8 @@
     }
 
     /// Lives with such runs of the worker with this id.
-    pub fn find_kin(&self, id: &str) -> Vec<Incarnation> {
-        lives::find_kin(&self.0, id)
+    pub fn incarnations_of_id(&self, id: &str) -> Vec<Incarnation> {
+        lives::incarnations_of_id(&self.0, id)
     }
 
     /// Takes out the runs of a life.
--- a/ashtiller/src/workflow/core/crash_record.rs
+++ b/ashtiller/src/workflow/core/crash_record.rs
@@ -9,7 +9,7 @@
 
 /// Span within which workers that go silent count as having gone together: what is
 /// switched off at one moment is noticed within the time of one call.
-pub(super) const TOGETHER: Duration = Duration::from_millis(250);
+pub(super) const CRASH_WINDOW: Duration = Duration::from_millis(250);
 
 /// A crash of a worker.
 #[derive(Clone, Debug)]
@@ -94,19 +94,19 @@
 
     /// Crashes at about the same moment.
     pub fn near(&self, at: Duration) -> impl Iterator<Item = &Crash> {
-        let first = at.saturating_sub(TOGETHER);
-        let near = self.crashes.range((first, 0)..=(at + TOGETHER, u64::MAX));
+        let first = at.saturating_sub(CRASH_WINDOW);
+        let near = self.crashes.range((first, 0)..=(at + CRASH_WINDOW, u64::MAX));
         near.map(|(_, crash)| crash)
     }
 
     /// Crashes at about the same moment of workers on which a run of a step had just begun.
     pub fn count_begun(&self, step: StepKey, at: Duration) -> usize {
         let times = self.begun.get(&step).into_iter().flatten();
-        times.filter(|other| is_near(**other, at)).count()
+        times.filter(|other| is_simultaneous(**other, at)).count()
     }
 }
 
 /// Whether two moments lie so close that what happened then may have one cause.
-pub(super) fn is_near(one: Duration, other: Duration) -> bool {
-    one.abs_diff(other) <= TOGETHER
+pub(super) fn is_simultaneous(one: Duration, other: Duration) -> bool {
+    one.abs_diff(other) <= CRASH_WINDOW
 }
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -6,7 +6,7 @@
 
 use crate::workflow::blame::{self, CrashContext, Suspect, LostRun};
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::crash_record::{Crash, is_near};
+use crate::workflow::core::crash_record::{Crash, is_simultaneous};
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::{LogRecord, Run, Task};
 use crate::workflow::life::Incarnation;
@@ -83,7 +83,7 @@
             machine: machine_of(worker),
             tasks: victims.iter().map(|victim| victim.run.task).collect(),
             begun,
-            tried: self.is_tried_at(worker, now),
+            tried: self.has_trial(worker, now),
         };
         // One that only fell silent may have been cut off, or have lost power.
         let alone = !many && !is_dark(worker) && self.count_crashes(worker) == 0;
@@ -116,7 +116,7 @@
         let left = worker.absent.is_some_and(|since| worker.heard > since);
         let remaining = worker.listed.remaining.unwrap_or(Duration::ZERO);
         let drained = worker.draining.is_some_and(|since| at >= since + remaining);
-        drained || left || self.is_held(worker)
+        drained || left || self.is_closed_for_upkeep(worker)
     }
 
     /// What a crash says of one run.
@@ -163,7 +163,7 @@
     /// of it for a while. An end is told at once by a worker that answers.
     fn may_be_done(&self, run: Run, live: &LiveRun, at: Duration, latest: Duration) -> bool {
         let wall = 0;
-        let rest = self.rest_of(run, Now { at: latest, wall });
+        let rest = self.remaining_time(run, Now { at: latest, wall });
         let unheard = || latest > at || at > live.moved + JUST_BEGUN;
         let silent = || self.is_short(run) && unheard();
         rest.map_or_else(silent, |rest| rest.is_zero())
@@ -178,12 +178,12 @@
             untried += usize::from(!crash.tried);
         }
         let silent = self.workers.values().filter(|worker| *worker.incarnation() != *id);
-        let mut silent = silent.filter(|it| it.missed.is_some_and(|missed| is_near(missed, at)));
+        let mut silent = silent.filter(|it| it.missed.is_some_and(|missed| is_simultaneous(missed, at)));
         while untried < MANY
             && let Some(worker) = silent.next()
         {
             together += 1;
-            untried += usize::from(!self.is_tried_at(worker, now));
+            untried += usize::from(!self.has_trial(worker, now));
         }
         Others {
             at,
@@ -200,7 +200,7 @@
         }
         let silent = |live: &LiveRun| {
             let other = self.workers.get(&live.worker)?;
-            let missed = other.missed.filter(|missed| is_near(*missed, others.at))?;
+            let missed = other.missed.filter(|missed| is_simultaneous(*missed, others.at))?;
             (other.incarnation() != worker.incarnation() && live.placed + JUST_BEGUN >= missed)
                 .then(|| live.worker.clone())
         };
@@ -224,7 +224,7 @@
 
     /// Runs were lost without word of their worker: its lease is over, or no list names it any
     /// more. It may have crashed, so that counts where starts are bounded, and little else.
-    pub(super) fn suspect_lost(&mut self, id: &Incarnation, lost: &[Run], now: Now) {
+    pub(super) fn suspect_lost_runs(&mut self, id: &Incarnation, lost: &[Run], now: Now) {
         let sent = |run: &&Run| self.runs.get(run).is_some_and(|live| live.sent > 0);
         let victims = lost.iter().filter(sent).map(|run| LostRun {
             run: *run,
@@ -239,7 +239,7 @@
     }
 
     /// Gives up the job of a task that crashes its workers.
-    pub(super) fn convict(&mut self, task: Task, now: Now) {
+    pub(super) fn fail_crashing_job(&mut self, task: Task, now: Now) {
         let Some(job) = self.book.jobs.get(&task.job) else {
             return;
         };
@@ -255,21 +255,21 @@
     }
 
     /// Gives up a job if one of its tasks has used up its starts.
-    pub(super) fn convict_spent(&mut self, task: Task, now: Now) {
-        if self.is_spent(task) {
-            self.convict(task, now);
+    pub(super) fn fail_if_crash_limit_reached(&mut self, task: Task, now: Now) {
+        if self.has_reached_crash_limit(task) {
+            self.fail_crashing_job(task, now);
         }
     }
 
     /// Whether a task that crashes its workers may not start any more.
-    pub(super) fn is_spent(&self, task: Task) -> bool {
+    pub(super) fn has_reached_crash_limit(&self, task: Task) -> bool {
         let suspect = self.book.suspects().get(&task);
         let last = self.book.task(task).map_or(0, |(_, state)| state.last);
         suspect.is_some_and(|suspect| suspect.has_no_starts_left(last))
     }
 
     /// Clears tasks whose runs have lived for longer than at any crash before.
-    pub(super) fn absolve_living(&mut self, now: Now) {
+    pub(super) fn clear_surviving_suspects(&mut self, now: Now) {
         let suspects = self.book.suspects().iter();
         let living = suspects.filter(|(task, suspect)| self.has_lived(**task, suspect));
         let living: Vec<Task> = living.map(|(task, _)| *task).collect();
@@ -304,7 +304,7 @@
     }
 
     /// Whether a task is to be tried apart from others.
-    pub(super) fn is_strong(&self, task: Task) -> bool {
+    pub(super) fn is_strong_suspect(&self, task: Task) -> bool {
         let suspect = self.book.suspects().get(&task);
         suspect.is_some_and(Suspect::is_strong)
     }
--- a/ashtiller/src/workflow/core/evacuation.rs
+++ b/ashtiller/src/workflow/core/evacuation.rs
@@ -76,7 +76,7 @@
         let Some(bound) = self.terms.evacuation else {
             return true;
         };
-        let under_way = relay::QUEUED_MAX + self.order_limit();
+        let under_way = relay::QUEUED_MAX + self.order_timeout();
         self.evacuation_age(now)
             .is_some_and(|age| age + under_way < bound)
     }
@@ -101,7 +101,7 @@
             tracing::info!(task = %run.task, run = run.number,
                 age_ms = self.evacuation_age(now).unwrap_or_default().as_millis(),
                 "start is withdrawn: the availability zone is evacuated");
-            self.want_stop(run, StopReason::Evacuated);
+            self.request_stop(run, StopReason::Evacuated);
         }
     }
 }
--- a/ashtiller/src/workflow/core/fences.rs
+++ b/ashtiller/src/workflow/core/fences.rs
@@ -87,7 +87,7 @@
 
     /// A worker knows a higher fence than that of a call: a later owner's, or one of this owner
     /// that passed the call on its way.
-    pub(super) fn take_fenced(&mut self, life: &Incarnation, now: Now) {
+    pub(super) fn note_fenced_reply(&mut self, life: &Incarnation, now: Now) {
         self.superseded |= !self.fences.is_settling(life, now.at);
     }
 }
--- a/ashtiller/src/workflow/core/gate.rs
+++ b/ashtiller/src/workflow/core/gate.rs
@@ -81,10 +81,10 @@
             () if worker.draining.is_some() => Gate::Draining,
             () if !self.stays(worker, now) => Gate::Unlisted,
             () if self.is_evacuated(worker) => Gate::Evacuated,
-            () if self.is_held(worker) => Gate::Held,
+            () if self.is_closed_for_upkeep(worker) => Gate::Held,
             () if aside => Gate::Aside,
             () if self.is_tried(worker, now) => Gate::Trial,
-            () if self.is_tried_at(worker, now) => Gate::Tried,
+            () if self.has_trial(worker, now) => Gate::Tried,
             () => Gate::Open,
         }
     }
@@ -93,7 +93,7 @@
     fn is_tried(&self, worker: &Worker, now: Now) -> bool {
         worker.on_trial()
             && worker.runs.iter().any(|run| {
-                let works = self.is_short(*run) && self.rest_of(*run, now).is_some();
+                let works = self.is_short(*run) && self.remaining_time(*run, now).is_some();
                 let live = self.runs.get(run);
                 live.is_some_and(|live| worker.is_trial(live.placed, works, now.at))
             })
--- a/ashtiller/src/workflow/core/hold.rs
+++ b/ashtiller/src/workflow/core/hold.rs
@@ -8,14 +8,14 @@
 
 /// Starts that wait.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Hold {
+pub(super) struct StartHold {
     since: Duration,
     told: Duration,
 }
 
 impl Core {
     /// The list of workers is whole as of then: it holds all that the store took earlier.
-    pub fn note_listing(&mut self, as_of: Duration) {
+    pub fn note_complete_listing(&mut self, as_of: Duration) {
         self.listed_at = self.listed_at.max(as_of);
     }
 
@@ -32,7 +32,7 @@
     /// Whether a worker that said right after the list that it leaves still takes starts,
     /// which it does for `drain`, when an order of now has reached its time limit.
     fn is_list_new(&self, now: Now) -> bool {
-        self.list_age(now) + self.order_limit() < self.terms.drain
+        self.list_age(now) + self.order_timeout() < self.terms.drain
     }
 
     /// Notes that something waits because nothing may start.
@@ -41,7 +41,7 @@
             return;
         }
         let (since, told) = (now.at, now.at);
-        self.held = Some(Hold { since, told });
+        self.held = Some(StartHold { since, told });
         self.tell_hold(since, now);
     }
 
--- a/ashtiller/src/workflow/core/line.rs
+++ b/ashtiller/src/workflow/core/line.rs
@@ -30,7 +30,7 @@
         for _ in 0..free {
             // Those that get nothing take no part of the window.
             while let Some(life) = self.line.pop_front()
-                && !self.drive_worker(&life, now)
+                && !self.send_next_order(&life, now)
             {}
         }
     }
--- a/ashtiller/src/workflow/core/lives.rs
+++ b/ashtiller/src/workflow/core/lives.rs
@@ -21,7 +21,7 @@
 const STRANGERS_MAX: usize = 1000;
 
 /// Lives of the worker with this id among others.
-pub(super) fn find_kin<T>(lives: &BTreeMap<Incarnation, T>, id: &str) -> Vec<Incarnation> {
+pub(super) fn incarnations_of_id<T>(lives: &BTreeMap<Incarnation, T>, id: &str) -> Vec<Incarnation> {
     let from = (Bound::Included(id), Bound::Unbounded);
     let near = lives.range::<str, _>(from).map(|(life, _)| life);
     let near = near.take_while(|life| life.as_str().starts_with(id));
@@ -31,12 +31,12 @@
 impl Core {
     /// Known lives of the worker with this id.
     fn kin_of(&self, id: &str) -> Vec<Incarnation> {
-        find_kin(&self.workers, id)
+        incarnations_of_id(&self.workers, id)
     }
 
     /// Whether an entry lacks the birth that its worker has. Another writer may have put it in
     /// the place of the worker's own, so it says nothing new of it.
-    pub(super) fn lacks_birth(&self, listed: &ListedWorker) -> bool {
+    pub(super) fn lacks_incarnation(&self, listed: &ListedWorker) -> bool {
         let kin = || self.kin_of(listed.incarnation.id());
         listed.incarnation.born().is_none() && kin().iter().any(|life| life.born().is_some())
     }
@@ -80,7 +80,7 @@
 
     /// Another life is listed where workers were: they are looked at. Anyone may have written
     /// the entry, so that it alone ends nothing.
-    pub(super) fn doubt_former_lives(&mut self, listed: &ListedWorker, now: Now) {
+    pub(super) fn poll_former_incarnations(&mut self, listed: &ListedWorker, now: Now) {
         for life in self.find_former_lives(listed) {
             if let Some(worker) = self.workers.get_mut(&life) {
                 worker.next_poll = worker.next_poll.min(now.at);
@@ -91,8 +91,8 @@
 
     /// Runs of an earlier owner may be on a former life of a worker that is listed, which was
     /// over before this owner heard of it. A look tells.
-    pub(super) fn list_former_lives(&mut self, listed: &ListedWorker, now: Now) {
-        for life in self.adopted.find_kin(listed.incarnation.id()) {
+    pub(super) fn add_former_incarnations(&mut self, listed: &ListedWorker, now: Now) {
+        for life in self.adopted.incarnations_of_id(listed.incarnation.id()) {
             if self.workers.contains_key(&life) {
                 continue;
             }
@@ -100,7 +100,7 @@
                 incarnation: life.clone(),
                 ..listed.clone()
             };
-            let mut worker = Worker::new(known, self.first_bound());
+            let mut worker = Worker::new(known, self.earlier_leases_end());
             worker.absent = Some(now.at);
             worker.replaced = true;
             self.add_worker(worker);
@@ -109,7 +109,7 @@
     }
 
     /// Whether an entry names a life that was not found where it says, a moment ago.
-    pub(super) fn is_stranger(&self, listed: &ListedWorker, now: Now) -> bool {
+    pub(super) fn is_stale_entry(&self, listed: &ListedWorker, now: Now) -> bool {
         let known = self.strangers.get(&listed.incarnation);
         known.is_some_and(|(entry, until)| entry == listed && now.at < *until)
     }
@@ -131,7 +131,7 @@
     }
 
     /// Another life has answered for a worker; `next` when it said which.
-    pub(super) fn take_other_life(&mut self, life: &Incarnation, next: Option<Incarnation>, now: Now) {
+    pub(super) fn note_other_incarnation(&mut self, life: &Incarnation, next: Option<Incarnation>, now: Now) {
         let Some(worker) = self.workers.get(life) else {
             return;
         };
@@ -159,7 +159,7 @@
     }
 
     /// A worker that answers in a new life runs nothing of its former ones.
-    pub(super) fn end_former_lives(&mut self, life: &Incarnation, now: Now) {
+    pub(super) fn end_former_incarnations(&mut self, life: &Incarnation, now: Now) {
         let Some(listed) = self.workers.get(life).map(|worker| worker.listed.clone()) else {
             return;
         };
@@ -194,7 +194,7 @@
     /// meant for the life before among them.
     fn answered_bound(&self, now: Now) -> Duration {
         let bound = now.at + lease::worst_case_elapsed(self.terms.hold);
-        bound.max(self.first_bound())
+        bound.max(self.earlier_leases_end())
     }
 
     /// A worker has started again under its id. Nothing of its former life runs, but a start
@@ -249,7 +249,7 @@
             self.move_to_next(run, next, !learned);
         }
         if let Some(task) = guilty {
-            self.convict(task, now);
+            self.fail_crashing_job(task, now);
         }
         self.dirty = true;
     }
@@ -287,11 +287,11 @@
 
     /// A run has ended here, and a start of it may still be carried out: not by this life, which
     /// remembers the end, but by its next one.
-    pub(super) fn note_late_start(&mut self, run: Run, live: &LiveRun, now: Now) {
+    pub(super) fn note_unconfirmed_start(&mut self, run: Run, live: &LiveRun, now: Now) {
         let Some(until) = live.in_doubt.filter(|until| now.at < *until) else {
             return;
         };
-        let Some(name) = self.name_of(run) else {
+        let Some(name) = self.task_name(run) else {
             return;
         };
         if let Some(worker) = self.workers.get_mut(&live.worker) {
@@ -301,8 +301,8 @@
     }
 
     /// Stops at a life that answers for the first time what may still come for the one before.
-    pub(super) fn stop_late_starts(&mut self, life: &Incarnation, now: Now) {
-        let (limit, fence) = (self.order_limit(), self.fences.of(life));
+    pub(super) fn stop_unconfirmed_starts(&mut self, life: &Incarnation, now: Now) {
+        let (limit, fence) = (self.order_timeout(), self.fences.of(life));
         let Some(worker) = self.workers.get_mut(life) else {
             return;
         };
@@ -332,7 +332,7 @@
             self.end_run(run, End::Lost, &Arc::from(""), now);
         }
         if let Some(task) = guilty {
-            self.convict(task, now);
+            self.fail_crashing_job(task, now);
         }
         self.remove_worker(life);
     }
--- a/ashtiller/src/workflow/core/looks.rs
+++ b/ashtiller/src/workflow/core/looks.rs
@@ -11,11 +11,11 @@
 /// Time between two searches for looks that are due, each through all workers.
 const LOOKS: Duration = Duration::from_millis(4);
 /// Pause between two looks at a worker that did not answer, growing to the second.
-pub(super) const LOOK_RETRY: [Duration; 2] =
+pub(super) const POLL_RETRY: [Duration; 2] =
     [Duration::from_millis(150), Duration::from_millis(700)];
 /// Longest time for which an answer to a look is waited for beyond its wait: with the wait
 /// itself it stays below a lease.
-pub(super) const LOOK_MOST: Duration = Duration::from_secs(2);
+pub(super) const POLL_TIMEOUT_MAX: Duration = Duration::from_secs(2);
 /// Part of the workers that a new owner looks at for the first time at once. Their answers list
 /// all that runs there; on a thin link those of all workers together come too late, and are asked
 /// for again. A third also bounds what workers that say nothing cost the others: three times the
@@ -28,12 +28,12 @@
 
 impl Core {
     /// Sends the looks that are due.
-    pub(super) fn drive_looks(&mut self, now: Now) {
+    pub(super) fn send_due_polls(&mut self, now: Now) {
         if now.at < self.looked + LOOKS {
             return;
         }
         self.looked = now.at;
-        let limit = self.pressure.timeout(POLL_TIMEOUT_MIN, LOOK_MOST);
+        let limit = self.pressure.timeout(POLL_TIMEOUT_MIN, POLL_TIMEOUT_MAX);
         for life in self.collect_looks(now) {
             let Some(look) = self.prepare_look(&life, now) else {
                 continue;
@@ -119,7 +119,7 @@
     }
 
     /// A look was not answered; `broke` when its connection was refused or broke.
-    pub(super) fn miss_look(&mut self, id: &Incarnation, broke: bool, now: Now) {
+    pub(super) fn note_missed_poll(&mut self, id: &Incarnation, broke: bool, now: Now) {
         self.raise_fence(id, now);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -130,6 +130,6 @@
             worker.broke.get_or_insert(now.at);
         }
         let silent = now.at.saturating_sub(worker.heard) > SILENT;
-        worker.next_poll = now.at + LOOK_RETRY[usize::from(silent)];
+        worker.next_poll = now.at + POLL_RETRY[usize::from(silent)];
     }
 }
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -45,7 +45,7 @@
 use crate::workflow::book::LogState;
 use crate::workflow::config::{Config, ListedWorker};
 use crate::workflow::core::advice::{Advised, Question, StepKey};
-use crate::workflow::core::upkeep::Going;
+use crate::workflow::core::upkeep::WaveProgress;
 use crate::workflow::fact::{LogRecord, Outcome, Run};
 use crate::workflow::interference::Interference;
 use crate::workflow::job::{Job, Sharing, Step};
@@ -170,10 +170,10 @@
     /// Availability zones under evacuation.
     evacuation: evacuation::Evacuation,
     /// Since when starts wait.
-    held: Option<hold::Hold>,
+    held: Option<hold::StartHold>,
     effects: Vec<Effect>,
     advised: BTreeMap<StepKey, Advised>,
-    waves: BTreeMap<u64, Going>,
+    waves: BTreeMap<u64, WaveProgress>,
     tracks: BTreeMap<u32, HeadroomHistory>,
     interference: Interference,
     summaries: fleet::Summaries,
@@ -369,9 +369,9 @@
             self.pressure.forget_old(now.at);
             self.tell_pressure();
             self.expire_leases(now);
-            self.absolve_living(now);
-            self.drop_absent(now);
-            self.empty_leaving(now);
+            self.clear_surviving_suspects(now);
+            self.forget_absent_workers(now);
+            self.drain_leaving_workers(now);
             self.withdraw_starts(now);
             self.open_rounds(now);
             self.drive_waves(now);
@@ -380,7 +380,7 @@
         self.refuse_arrivals(now);
         self.append(now);
         self.drive_orders(now);
-        self.drive_looks(now);
+        self.send_due_polls(now);
         std::mem::take(&mut self.effects)
     }
 
--- a/ashtiller/src/workflow/core/moves.rs
+++ b/ashtiller/src/workflow/core/moves.rs
@@ -134,6 +134,6 @@
         }
         tracing::debug!(task = %run.task, run = run.number, from = %live.worker, "run that stands still moves");
         placing.fleet[place].take(&wish, &self.interference);
-        self.want_stop(run, StopReason::Crowded);
+        self.request_stop(run, StopReason::Crowded);
     }
 }
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -5,7 +5,7 @@
 
 use crate::failure::{self, Failure};
 use crate::workflow::agents::{TaskName, ORDER_TIMEOUT_MIN, Order, Refusal, OrderReply, Start};
-use crate::workflow::core::looks::LOOK_RETRY;
+use crate::workflow::core::looks::POLL_RETRY;
 use crate::workflow::core::place::Fits;
 use crate::workflow::core::{Core, Effect, Now, line};
 use crate::workflow::fact::{End, Run};
@@ -32,7 +32,7 @@
 
 impl Core {
     /// How workers know a task.
-    pub(super) fn name_of(&self, run: Run) -> Option<TaskName> {
+    pub(super) fn task_name(&self, run: Run) -> Option<TaskName> {
         let job = self.book.jobs.get(&run.task.job)?;
         Some(TaskName {
             job: job.job.id.clone(),
@@ -43,13 +43,13 @@
     }
 
     /// How long an answer to an order is waited for.
-    pub(super) fn order_limit(&self) -> Duration {
+    pub(super) fn order_timeout(&self) -> Duration {
         let most = self.terms.drain.mul_f64(ORDER_SHARE);
         self.pressure.timeout(ORDER_TIMEOUT_MIN, most)
     }
 
     /// Sends the next order to a worker; whether there was one.
-    pub(super) fn drive_worker(&mut self, id: &Incarnation, now: Now) -> bool {
+    pub(super) fn send_next_order(&mut self, id: &Incarnation, now: Now) -> bool {
         if !self
             .workers
             .get(id)
@@ -57,7 +57,7 @@
         {
             return false;
         }
-        let (limit, fence) = (self.order_limit(), self.fences.of(id));
+        let (limit, fence) = (self.order_timeout(), self.fences.of(id));
         let (runs, next) = self.collect_due(id, now);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.rest_until(next);
@@ -120,10 +120,10 @@
         let (stage, stop) = (live.stage, live.stop);
         let (pace, goal, doubt) = (live.pace, live.pace_goal, live.pace_doubt);
         match (stop, stage) {
-            (Stop::Wanted(_), _) => Some(Order::Stop(self.name_of(run)?, run.number)),
+            (Stop::Wanted(_), _) => Some(Order::Stop(self.task_name(run)?, run.number)),
             (Stop::None, Stage::Starting) => self.start_order(run, id, now),
             (Stop::None, Stage::Started(_)) if pace != goal || doubt > now.at => {
-                Some(Order::Pace(self.name_of(run)?, run.number, goal))
+                Some(Order::Pace(self.task_name(run)?, run.number, goal))
             }
             _ => None,
         }
@@ -135,7 +135,7 @@
             self.hold_starts(now);
             return None;
         }
-        let name = self.name_of(run)?;
+        let name = self.task_name(run)?;
         let (job, task) = self.book.task(run.task)?;
         let payload = job.job.payload.clone();
         let saved = task.checkpoint.clone();
@@ -152,7 +152,7 @@
             Fits::Never => {
                 tracing::info!(task = %run.task, run = run.number, worker = %id,
                     "start is withdrawn: the worker's room has shrunk");
-                self.want_stop(run, StopReason::Shrunk);
+                self.request_stop(run, StopReason::Shrunk);
                 return None;
             }
         }
@@ -175,7 +175,7 @@
     }
 
     /// Takes the answer to an order.
-    pub fn take_answer(
+    pub fn handle_order_reply(
         &mut self,
         id: &Incarnation,
         run: Run,
@@ -201,7 +201,7 @@
             self.raise_fence(id, now);
         }
         if let Ok(OrderReply::OtherIncarnation) = said {
-            self.take_other_life(id, None, now);
+            self.note_other_incarnation(id, None, now);
             return;
         }
         let lags = self.hear_clock(id, &said, now);
@@ -269,7 +269,7 @@
             Ok(OrderReply::Refused(Refusal::Fenced)) => {
                 live.retry = now.at + RETRY;
                 let worker = live.worker.clone();
-                self.take_fenced(&worker, now);
+                self.note_fenced_reply(&worker, now);
             }
             Ok(OrderReply::Refused(Refusal::Busy)) => {
                 live.unanswered += 1;
@@ -312,7 +312,7 @@
         let Some(blame) = refused else {
             return;
         };
-        self.want_stop(run, StopReason::Refused);
+        self.request_stop(run, StopReason::Refused);
         if blame == Blame::Worker {
             self.note_refusal(run, now);
         }
@@ -349,7 +349,7 @@
             Ok(OrderReply::Refused(Refusal::Fenced)) => {
                 live.retry = now.at + RETRY_BUSY;
                 let worker = live.worker.clone();
-                self.take_fenced(&worker, now);
+                self.note_fenced_reply(&worker, now);
             }
             Ok(_) => live.retry = now.at + RETRY_BUSY,
             Err(failure) if answers => {
@@ -357,7 +357,7 @@
                 live.retry = now.at + RETRY.max(self.pressure.usual());
             }
             // That the worker is silent was said once; a stop has no better chance than a look.
-            Err(_) => live.retry = now.at + LOOK_RETRY[0],
+            Err(_) => live.retry = now.at + POLL_RETRY[0],
         }
     }
 
@@ -378,7 +378,7 @@
             Ok(OrderReply::Refused(Refusal::Fenced)) => {
                 live.retry = now.at + RETRY;
                 let worker = live.worker.clone();
-                self.take_fenced(&worker, now);
+                self.note_fenced_reply(&worker, now);
             }
             Ok(_) => live.retry = now.at + RETRY_BUSY,
             Err(failure) => {
@@ -390,7 +390,7 @@
     }
 
     /// Ends a run of which the worker says nothing any more.
-    pub(super) fn end_missing(&mut self, run: Run, begun: Duration, now: Now) {
+    pub(super) fn end_unreported_run(&mut self, run: Run, begun: Duration, now: Now) {
         let Some(live) = self.runs.get(&run) else {
             return;
         };
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -7,7 +7,7 @@
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::fleet::{self, Candidate, Wish};
 use crate::workflow::core::order::Waiting;
-use crate::workflow::core::trials::{Trial, Trials};
+use crate::workflow::core::trials::{TrialResult, ActiveTrials};
 use crate::workflow::core::{Core, Now, share_of};
 use crate::workflow::fact::{Run, Task};
 use crate::workflow::life::Incarnation;
@@ -43,11 +43,11 @@
     /// A step that is too late and goes first in this round.
     pub rescued: Option<StepKey>,
     /// Trials of tasks that are suspected of crashing workers.
-    pub trials: Trials,
+    pub trials: ActiveTrials,
 }
 
 impl Placing {
-    pub fn new(fleet: Vec<Candidate>, trials: Trials) -> Self {
+    pub fn new(fleet: Vec<Candidate>, trials: ActiveTrials) -> Self {
         Self {
             fleet,
             refused: Vec::new(),
@@ -148,7 +148,7 @@
         let step = &spec.steps[usize::from(entry.step)];
         let (share, _) = share_of(&mut self.interference, step);
         Demand {
-            service: self.share_name(&service),
+            service: self.intern_service(&service),
             share,
             room: step.room(),
             selective: if step.fills() {
@@ -207,8 +207,8 @@
                 .map(|(_, state)| state.failed_on.clone());
             wish.failed_on = failed_on.unwrap_or_default();
             match self.try_suspect(*task, &wish, placing, now) {
-                Trial::None => {}
-                Trial::Placed | Trial::Waits => continue,
+                TrialResult::None => {}
+                TrialResult::Placed | TrialResult::Waits => continue,
             }
             let usual = wish.failed_on.is_empty();
             let place = if usual {
@@ -267,11 +267,11 @@
         if tasks.len() < wish.step.count as usize {
             return true;
         }
-        let apart: Vec<bool> = tasks.iter().map(|task| self.is_strong(*task)).collect();
+        let apart: Vec<bool> = tasks.iter().map(|task| self.is_strong_suspect(*task)).collect();
         let tried = tasks.iter().zip(&apart).filter(|(_, apart)| **apart);
         let mut tried = tried.map(|(task, _)| *task);
-        let waits = |task| !self.may_try(task, wish.service, &placing.trials, now);
-        if tried.any(|task| self.is_spent(task) || waits(task)) {
+        let waits = |task| !self.may_begin_trial(task, wish.service, &placing.trials, now);
+        if tried.any(|task| self.has_reached_crash_limit(task) || waits(task)) {
             return true;
         }
         let racks = if wish.step.one_rack {
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -6,7 +6,7 @@
 
 use crate::failure::Failure;
 use crate::workflow::agents::{Active, Finished, EndReason, PollReply, TaskName, Order};
-use crate::workflow::core::looks::LOOK_MOST;
+use crate::workflow::core::looks::POLL_TIMEOUT_MAX;
 use crate::workflow::core::{Core, Effect, Now, Then};
 use crate::workflow::fact::{End, LogRecord, Run, Task};
 use crate::workflow::lease;
@@ -25,7 +25,7 @@
 const UNNOTED: Duration = Duration::from_millis(300);
 /// Age of a life by which all grants meant for the one before were carried out: the last of them
 /// went out with a look that was under way as the life began.
-const FORMER_GRANT: Duration = LOOK_MOST.saturating_mul(2).saturating_add(LATE_MAX);
+const FORMER_GRANT: Duration = POLL_TIMEOUT_MAX.saturating_mul(2).saturating_add(LATE_MAX);
 /// Percent at which a lasting task is at work.
 const AT_WORK: u32 = 100;
 
@@ -43,7 +43,7 @@
     }
 
     /// Takes the answer to a look.
-    pub fn take_look(&mut self, id: &Incarnation, looked: Result<PollReply, Failure>, now: Now) {
+    pub fn handle_poll_reply(&mut self, id: &Incarnation, looked: Result<PollReply, Failure>, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -73,12 +73,12 @@
                 self.pace_worker(id, now);
                 self.summaries.remove(id);
             }
-            Ok(PollReply::OtherIncarnation(next)) => self.take_other_life(id, next, now),
+            Ok(PollReply::OtherIncarnation(next)) => self.note_other_incarnation(id, next, now),
             Ok(PollReply::Fenced) => {
-                self.take_fenced(id, now);
-                self.miss_look(id, false, now);
+                self.note_fenced_reply(id, now);
+                self.note_missed_poll(id, false, now);
             }
-            Ok(PollReply::Busy) => self.miss_look(id, false, now),
+            Ok(PollReply::Busy) => self.note_missed_poll(id, false, now),
             Err(failure) => {
                 if worker.answers {
                     tracing::info!(worker = %id, %failure, runs = worker.runs.len(), "worker does not answer");
@@ -87,7 +87,7 @@
                 if silent {
                     worker.note_unanswered(&asked);
                 }
-                self.miss_look(id, !silent, now);
+                self.note_missed_poll(id, !silent, now);
             }
         }
     }
@@ -176,8 +176,8 @@
             now.at + self.terms.pause.max(self.pressure.usual())
         };
         if first {
-            self.end_former_lives(id, now);
-            self.stop_late_starts(id, now);
+            self.end_former_incarnations(id, now);
+            self.stop_unconfirmed_starts(id, now);
         }
     }
 
@@ -230,8 +230,8 @@
         self.record(LogRecord::Ended(run, end, saved.clone()), now);
         self.dirty = true;
         match end {
-            End::Done => self.stop_siblings(run, StopReason::Copied),
-            End::Failed => self.judge_failure(run, now),
+            End::Done => self.stop_other_runs(run, StopReason::Copied),
+            End::Failed => self.check_failure_limit(run, now),
             End::Stopped | End::Lost => {}
         }
     }
@@ -283,13 +283,13 @@
         };
         let missing: Vec<Run> = worker.runs.difference(&present).copied().collect();
         for run in missing {
-            self.end_missing(run, begun, now);
+            self.end_unreported_run(run, begun, now);
         }
     }
 
     /// A run that the log does not place here is stopped.
     fn stop_stray(&mut self, id: &Incarnation, row: &Active) {
-        let (limit, fence) = (self.order_limit(), self.fences.of(id));
+        let (limit, fence) = (self.order_timeout(), self.fences.of(id));
         let Some(worker) = self.workers.get(id) else {
             return;
         };
@@ -357,7 +357,7 @@
             tracing::info!(task = %run.task, run = run.number, worker = %live.worker, percent = row.percent,
                 since_ms = now.at.saturating_sub(live.moved).as_millis(), "run stalls");
             let id = live.worker.clone();
-            self.want_stop(run, StopReason::Stalled);
+            self.request_stop(run, StopReason::Stalled);
             if let Some(worker) = self.workers.get_mut(&id)
                 && worker.quarantined_until.is_none_or(|until| until < now.at)
             {
--- a/ashtiller/src/workflow/core/room.rs
+++ b/ashtiller/src/workflow/core/room.rs
@@ -119,7 +119,7 @@
             && self
                 .waiting_tasks(*entry)
                 .iter()
-                .all(|task| self.is_strong(*task))
+                .all(|task| self.is_strong_suspect(*task))
     }
 
     /// Keeps a worker for the lasting step that has waited longest without room.
--- a/ashtiller/src/workflow/core/roster.rs
+++ b/ashtiller/src/workflow/core/roster.rs
@@ -33,20 +33,20 @@
 impl Core {
     /// The platform lists a worker.
     pub fn list_worker(&mut self, mut listed: ListedWorker, now: Now) {
-        listed.service = self.share_name(&listed.service);
+        listed.service = self.intern_service(&listed.service);
         if self.is_known(&listed) {
             return;
         }
-        if self.lacks_birth(&listed) || self.is_stranger(&listed, now) {
+        if self.lacks_incarnation(&listed) || self.is_stale_entry(&listed, now) {
             return;
         }
         self.dirty = true;
-        self.doubt_former_lives(&listed, now);
+        self.poll_former_incarnations(&listed, now);
         let life = listed.incarnation.clone();
-        let bound = self.first_bound();
+        let bound = self.earlier_leases_end();
         let draining = listed.draining;
         self.summaries.remove(&life);
-        self.list_former_lives(&listed, now);
+        self.add_former_incarnations(&listed, now);
         if let Some(known) = self.workers.get(&life) {
             self.places.forget(&known.listed);
         }
@@ -83,7 +83,7 @@
     }
 
     /// Leases that earlier owners granted end by this time.
-    pub(super) fn first_bound(&self) -> Duration {
+    pub(super) fn earlier_leases_end(&self) -> Duration {
         let granted = self.cleared.unwrap_or(self.began + self.terms.horizon);
         granted + lease::worst_case_elapsed(self.terms.lease)
     }
@@ -93,12 +93,12 @@
     /// before it does if it knew so much of them. Without that proof the new owner waits
     /// for the longest time that one without the store may have gone on: 17 s, in which
     /// tasks on workers that are gone run nowhere.
-    pub fn clear_former(&mut self, former: u64, now: Now) {
+    pub fn note_former_owner_ended(&mut self, former: u64, now: Now) {
         if self.cleared.is_some() || self.book.cleared < former {
             return;
         }
         self.note_cleared(now);
-        let bound = self.first_bound();
+        let bound = self.earlier_leases_end();
         tracing::info!(
             former,
             bound_ms = bound.as_millis(),
@@ -137,16 +137,16 @@
 
     /// The platform lists exactly these workers.
     pub fn list_all(&mut self, listed: Vec<ListedWorker>, now: Now) {
-        self.list_read(listed, &[], now);
+        self.list_all_except_unreadable(listed, &[], now);
     }
 
     /// The platform lists exactly these workers, and some whose entries cannot be read: of
     /// them nothing new is known.
-    pub fn list_read(&mut self, listed: Vec<ListedWorker>, unread: &[Arc<str>], now: Now) {
+    pub fn list_all_except_unreadable(&mut self, listed: Vec<ListedWorker>, unread: &[Arc<str>], now: Now) {
         let named: BTreeSet<&Incarnation> = listed.iter().map(|worker| &worker.incarnation).collect();
         let unread: BTreeSet<&str> = unread.iter().map(|id| &**id).collect();
         // An entry without a birth says nothing new of a worker that has one.
-        let lacking = listed.iter().filter(|worker| self.lacks_birth(worker));
+        let lacking = listed.iter().filter(|worker| self.lacks_incarnation(worker));
         let lacking: BTreeSet<&str> = lacking.map(|worker| worker.incarnation.id()).collect();
         let silent = |life: &Incarnation| unread.contains(life.id()) || lacking.contains(life.id());
         let gone = self.workers.keys();
@@ -169,7 +169,7 @@
             .filter(|(_, live)| !self.workers.contains_key(&live.worker))
             .map(|(run, _)| *run)
             .collect();
-        self.suspect_lost(&Incarnation::from(""), &lost, now);
+        self.suspect_lost_runs(&Incarnation::from(""), &lost, now);
         self.adopted.clear();
         for run in lost {
             self.end_run(run, End::Lost, &Arc::from(""), now);
@@ -177,7 +177,7 @@
     }
 
     /// One string for each name of a service.
-    pub(super) fn share_name(&mut self, name: &Arc<str>) -> Arc<str> {
+    pub(super) fn intern_service(&mut self, name: &Arc<str>) -> Arc<str> {
         if let Some(known) = self.services.get(name) {
             return known.clone();
         }
@@ -187,7 +187,7 @@
 
     /// Runs on a worker whose lease is over for certain are lost.
     pub(super) fn expire_leases(&mut self, now: Now) {
-        if self.ghosts && now.at >= self.first_bound() {
+        if self.ghosts && now.at >= self.earlier_leases_end() {
             self.ghosts = false;
             self.lose_ghosts(now);
             if self.cleared.is_none() {
@@ -202,7 +202,7 @@
             let worker = &self.workers[&id];
             let over = |run: &Run| !(worker.replaced && self.may_outlast(*run, now));
             let runs: Vec<Run> = worker.runs.iter().copied().filter(over).collect();
-            self.suspect_lost(&id, &runs, now);
+            self.suspect_lost_runs(&id, &runs, now);
             for run in runs {
                 self.end_run(run, End::Lost, &Arc::from(""), now);
             }
@@ -222,7 +222,7 @@
     }
 
     /// Forgets workers that are gone and run nothing.
-    pub(super) fn drop_absent(&mut self, now: Now) {
+    pub(super) fn forget_absent_workers(&mut self, now: Now) {
         let gone = self.workers.values().filter(|worker| {
             let absent = worker.absent;
             worker.runs.is_empty() && absent.is_some_and(|since| now.at > since + FORGET)
@@ -234,7 +234,7 @@
     }
 
     /// Moves off workers that are about to leave what would not end in time.
-    pub(super) fn empty_leaving(&mut self, now: Now) {
+    pub(super) fn drain_leaving_workers(&mut self, now: Now) {
         let mut moved = Vec::new();
         for worker in self.workers.values() {
             let Some(Leaving { since, left, told }) = self.leaving(worker, now) else {
@@ -249,10 +249,10 @@
                 continue;
             }
             // One that never began is missed already, and does not begin here any more.
-            if told || !self.has_begun(run) || self.may_be_away(run, now) {
+            if told || !self.has_begun(run) || self.may_be_unavailable(run, now) {
                 tracing::info!(task = %run.task, run = run.number, told, left_ms = left.as_millis(),
                     "run moves off a worker that leaves");
-                self.want_stop(run, StopReason::Draining);
+                self.request_stop(run, StopReason::Draining);
             }
         }
     }
@@ -301,14 +301,14 @@
         if left > DRAIN_MARGIN * 2 && step.checkpoints {
             return false;
         }
-        let Some(rest) = self.rest_of(run, now) else {
+        let Some(rest) = self.remaining_time(run, now) else {
             return left < step.estimate;
         };
         rest > left && (left < DRAIN_MARGIN || !step.checkpoints)
     }
 
     /// Time that a run still needs at the speed that it has shown.
-    pub(super) fn rest_of(&self, run: Run, now: Now) -> Option<Duration> {
+    pub(super) fn remaining_time(&self, run: Run, now: Now) -> Option<Duration> {
         let live = self.runs.get(&run)?;
         let (began, first) = live.began?;
         let gained = live.percent.saturating_sub(first);
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -46,12 +46,12 @@
 
     pub(super) fn stop_job(&mut self, number: u32, reason: StopReason) {
         for run in self.runs_of(number) {
-            self.want_stop(run, reason);
+            self.request_stop(run, reason);
         }
     }
 
     /// Asks for the stop of a run.
-    pub(super) fn want_stop(&mut self, run: Run, reason: StopReason) {
+    pub(super) fn request_stop(&mut self, run: Run, reason: StopReason) {
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
@@ -67,7 +67,7 @@
             return;
         };
         self.release(run, &live);
-        self.note_late_start(run, &live, now);
+        self.note_unconfirmed_start(run, &live, now);
         self.note_left(&live, now);
         self.time_end(run, &live, now.at);
         match end {
@@ -87,13 +87,13 @@
         self.record(LogRecord::Ended(run, end, saved.clone()), now);
         self.dirty = true;
         if end == End::Failed {
-            self.judge_failure(run, now);
+            self.check_failure_limit(run, now);
         }
         if end != End::Done {
-            self.convict_spent(run.task, now);
+            self.fail_if_crash_limit_reached(run.task, now);
         }
         if end == End::Done {
-            self.stop_siblings(run, StopReason::Copied);
+            self.stop_other_runs(run, StopReason::Copied);
         }
         if self.is_gang(run) {
             self.stop_gang(run);
@@ -101,7 +101,7 @@
     }
 
     /// Gives a job up when one of its tasks has failed too often.
-    pub(super) fn judge_failure(&mut self, run: Run, now: Now) {
+    pub(super) fn check_failure_limit(&mut self, run: Run, now: Now) {
         let Some((job, task)) = self.book.task(run.task) else {
             return;
         };
@@ -126,10 +126,10 @@
             .is_some_and(|(job, _)| job.step(run.task).is_some_and(|step| step.gang))
     }
 
-    pub(super) fn stop_siblings(&mut self, run: Run, reason: StopReason) {
+    pub(super) fn stop_other_runs(&mut self, run: Run, reason: StopReason) {
         for other in self.runs_of(run.task.job) {
             if other.task == run.task {
-                self.want_stop(other, reason);
+                self.request_stop(other, reason);
             }
         }
     }
@@ -138,7 +138,7 @@
         let step = |run: Run| (run.task.occurrence, run.task.step, run.number);
         for other in self.runs_of(run.task.job) {
             if step(other) == step(run) {
-                self.want_stop(other, StopReason::Over);
+                self.request_stop(other, StopReason::Over);
             }
         }
     }
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -34,7 +34,7 @@
 
 /// What becomes of a task that may be tried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Trial {
+pub(super) enum TrialResult {
     /// It is placed like any other.
     None,
     /// It has got a worker.
@@ -45,7 +45,7 @@
 
 /// Trials that are going on in a round of placing.
 #[derive(Default)]
-pub(super) struct Trials {
+pub(super) struct ActiveTrials {
     /// Workers by service, those on which tasks are tried among them.
     workers: BTreeMap<Arc<str>, usize>,
     /// Tasks that are tried, by service and by job.
@@ -55,7 +55,7 @@
     ranked: Option<(StepKey, Choices)>,
 }
 
-impl Trials {
+impl ActiveTrials {
     fn add(&mut self, service: &Arc<str>, job: u32) {
         *self.tried.entry(service.clone()).or_insert(0) += 1;
         *self.jobs.entry(job).or_insert(0) += 1;
@@ -64,7 +64,7 @@
 
 impl Core {
     /// Whether a task is tried on a worker, so that nothing is started beside it.
-    pub(super) fn is_tried_at(&self, worker: &Worker, now: Now) -> bool {
+    pub(super) fn has_trial(&self, worker: &Worker, now: Now) -> bool {
         let is_tried = |run: &Run| self.is_tried_run(*run, now);
         !self.book.suspects().is_empty() && worker.runs.iter().any(is_tried)
     }
@@ -76,8 +76,8 @@
     }
 
     /// Counts the trials that are going on, once for each round of placing.
-    pub(super) fn count_trials(&self, fleet: &[Candidate], now: Now) -> Trials {
-        let mut trials = Trials::default();
+    pub(super) fn count_trials(&self, fleet: &[Candidate], now: Now) -> ActiveTrials {
+        let mut trials = ActiveTrials::default();
         if self.book.suspects().is_empty() {
             return trials;
         }
@@ -105,11 +105,11 @@
     }
 
     /// Whether another task of a job may be tried now; more may when its step has waited long.
-    pub(super) fn may_try(
+    pub(super) fn may_begin_trial(
         &self,
         task: Task,
         service: &Arc<str>,
-        trials: &Trials,
+        trials: &ActiveTrials,
         now: Now,
     ) -> bool {
         let impatient = self.is_impatient((task.job, task.occurrence, task.step), now);
@@ -128,7 +128,7 @@
     fn is_tried_run(&self, run: Run, now: Now) -> bool {
         let live = self.runs.get(&run);
         let tried = live.is_some_and(|live| live.isolated && now.at < live.placed + TRIED_MAX);
-        tried && self.is_strong(run.task)
+        tried && self.is_strong_suspect(run.task)
     }
 
     /// Ranks workers by what the trial of a task of a step costs there.
@@ -177,12 +177,12 @@
         wish: &Wish<'_>,
         placing: &mut Placing,
         now: Now,
-    ) -> Trial {
+    ) -> TrialResult {
         match () {
-            () if self.is_spent(task) => Trial::Waits,
-            () if !self.is_strong(task) => Trial::None,
-            () if self.place_suspect(task, wish, placing, now) => Trial::Placed,
-            () => Trial::Waits,
+            () if self.has_reached_crash_limit(task) => TrialResult::Waits,
+            () if !self.is_strong_suspect(task) => TrialResult::None,
+            () if self.place_suspect(task, wish, placing, now) => TrialResult::Placed,
+            () => TrialResult::Waits,
         }
     }
 
@@ -194,7 +194,7 @@
         placing: &mut Placing,
         now: Now,
     ) -> bool {
-        if !self.may_try(task, wish.service, &placing.trials, now) {
+        if !self.may_begin_trial(task, wish.service, &placing.trials, now) {
             return false;
         }
         let key = (task.job, task.occurrence, task.step);
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -64,7 +64,7 @@
 
 /// A wave that is not over.
 #[derive(Clone, Debug)]
-pub struct Going {
+pub struct WaveProgress {
     wave: Wave,
     seen: Duration,
     steps: BTreeMap<Arc<str>, Step>,
@@ -111,7 +111,7 @@
                 most = wave.most,
                 "wave of upkeep"
             );
-            Going {
+            WaveProgress {
                 wave,
                 seen: now.at,
                 steps: BTreeMap::new(),
@@ -157,7 +157,7 @@
     /// Whether a worker gets nothing as its machine has its turn in a wave. This follows from
     /// the wave, so that whichever way the turn ends opens the worker again, and an order that
     /// is given again ends nothing on a new life if the earlier one was in vain.
-    pub(super) fn is_held(&self, worker: &Worker) -> bool {
+    pub(super) fn is_closed_for_upkeep(&self, worker: &Worker) -> bool {
         if worker.doubted.is_some() {
             return true;
         }
@@ -172,7 +172,7 @@
         self.book.upkept.contains(&(number, machine.clone()))
     }
 
-    fn is_over(&self, going: &Going, now: Now) -> bool {
+    fn is_over(&self, going: &WaveProgress, now: Now) -> bool {
         going.wave.machines.iter().all(|machine| {
             let gone = self.worker_of(machine).is_none() && now.at > going.seen + UNKNOWN;
             self.is_upkept(going.wave.number, machine)
@@ -180,7 +180,7 @@
         })
     }
 
-    fn drive_wave(&mut self, going: &mut Going, now: Now) {
+    fn drive_wave(&mut self, going: &mut WaveProgress, now: Now) {
         for machine in going.wave.machines.clone() {
             if let Some(step) = going.steps.get(&machine).copied() {
                 self.drive_machine(going, &machine, step, now);
@@ -206,7 +206,7 @@
         }
     }
 
-    fn drive_machine(&mut self, going: &mut Going, machine: &Arc<str>, step: Step, now: Now) {
+    fn drive_machine(&mut self, going: &mut WaveProgress, machine: &Arc<str>, step: Step, now: Now) {
         match step {
             Step::Emptying { since, blocked } => {
                 let Some(id) = self.worker_of(machine) else {
@@ -255,7 +255,7 @@
         }
     }
 
-    fn order_upkeep(&mut self, going: &mut Going, machine: &Arc<str>, now: Now) {
+    fn order_upkeep(&mut self, going: &mut WaveProgress, machine: &Arc<str>, now: Now) {
         if !self.may_renew(now) || self.proof_age(now) > self.terms.turn / 2 {
             return;
         }
@@ -265,7 +265,7 @@
     }
 
     /// Takes the answer to an order to a machine.
-    pub fn take_duty(
+    pub fn handle_machine_reply(
         &mut self,
         machine: &Arc<str>,
         duty: &MachineOrder,
@@ -319,8 +319,8 @@
             };
             let step = job.step(run.task);
             let lasting = step.is_some_and(|step| step.long_running);
-            if (lasting || urge) && self.may_be_away(*run, now) {
-                self.want_stop(*run, StopReason::Upkeep);
+            if (lasting || urge) && self.may_be_unavailable(*run, now) {
+                self.request_stop(*run, StopReason::Upkeep);
             }
         }
         match () {
@@ -337,12 +337,12 @@
         runs.any(|run| {
             let task = self.book.task(run.task);
             let step = task.and_then(|(job, _)| job.step(run.task));
-            step.is_some_and(|step| step.long_running) && !self.may_be_away(*run, now)
+            step.is_some_and(|step| step.long_running) && !self.may_be_unavailable(*run, now)
         })
     }
 
     /// Whether a run's step can miss it besides those that are away.
-    pub(super) fn may_be_away(&self, run: Run, now: Now) -> bool {
+    pub(super) fn may_be_unavailable(&self, run: Run, now: Now) -> bool {
         let job = self.book.jobs.get(&run.task.job);
         let most = job.and_then(|job| job.step(run.task)?.away_max);
         most.is_none_or(|most| self.count_away(run, now) < most)
--- a/ashtiller/src/workflow/owner/former.rs
+++ b/ashtiller/src/workflow/owner/former.rs
@@ -21,7 +21,7 @@
     pub(super) fn clear_former(&mut self) {
         let Some(former) = self.lead.former else {
             let now = self.now();
-            self.core.clear_former(0, now);
+            self.core.note_former_owner_ended(0, now);
             return;
         };
         let (node, sender) = (self.node.clone(), self.sender.clone());
--- a/ashtiller/src/workflow/owner/inputs.rs
+++ b/ashtiller/src/workflow/owner/inputs.rs
@@ -32,9 +32,9 @@
     pub(super) fn take_input(&mut self, input: Input) {
         let now = self.now();
         match input {
-            Input::Looked(worker, looked) => self.core.take_look(&worker, looked, now),
+            Input::Looked(worker, looked) => self.core.handle_poll_reply(&worker, looked, now),
             Input::Answered(worker, run, order, said) => {
-                self.core.take_answer(&worker, run, &order, said, now);
+                self.core.handle_order_reply(&worker, run, &order, said, now);
             }
             Input::Appended(position, Ok(Written { sent, revision })) => {
                 self.node.note_store();
@@ -54,7 +54,7 @@
                 self.over = true;
             }
             Input::Workers(seen) => self.take_workers(seen, now),
-            Input::Duty(machine, duty, done) => self.core.take_duty(&machine, &duty, done, now),
+            Input::Duty(machine, duty, done) => self.core.handle_machine_reply(&machine, &duty, done, now),
             Input::Told(number, over, told) => {
                 if !told {
                     self.told.remove(&(number, over));
@@ -64,7 +64,7 @@
                 self.core.take_advice(key, asked_at, answer, now);
             }
             Input::HandedOver(done) => self.over |= done,
-            Input::Cleared(former) => self.core.clear_former(former, now),
+            Input::Cleared(former) => self.core.note_former_owner_ended(former, now),
         }
     }
 
@@ -77,7 +77,7 @@
                 let unread = read.iter().filter_map(|read| read.as_ref().err().cloned());
                 let unread: Vec<Arc<str>> = unread.collect();
                 let listed = read.into_iter().flatten().collect();
-                self.core.list_read(listed, &unread, now);
+                self.core.list_all_except_unreadable(listed, &unread, now);
                 as_of
             }
             StoreUpdate::Changes { changes, as_of } => {
@@ -98,7 +98,7 @@
             }
         };
         let as_of = as_of.since(self.start);
-        self.core.note_listing(as_of);
+        self.core.note_complete_listing(as_of);
     }
 
     pub(super) fn take_evacuations(&mut self, known: &Evacuations, now: Now) {
--- a/ashtiller/tests/owner/asleep.rs
+++ b/ashtiller/tests/owner/asleep.rs
@@ -83,8 +83,8 @@
         active: Vec::new(),
         finished: Vec::new(),
     };
-    driver.core.take_look(&"w0".into(), Ok(looked), driver.now);
-    driver.core.note_listing(driver.now.at);
+    driver.core.handle_poll_reply(&"w0".into(), Ok(looked), driver.now);
+    driver.core.note_complete_listing(driver.now.at);
     let lease = 6000;
     for effect in driver.core.poll(driver.now) {
         if let Effect::Look(_, look) = effect {
--- a/ashtiller/tests/owner/crash_wave.rs
+++ b/ashtiller/tests/owner/crash_wave.rs
@@ -54,7 +54,7 @@
         let former = born(number, 1000).incarnation;
         // The look that is under way there is answered by the next life.
         let next = PollReply::OtherIncarnation(Some(born(number, 1001).incarnation));
-        driver.core.take_look(&former, Ok(next), driver.now);
+        driver.core.handle_poll_reply(&former, Ok(next), driver.now);
     }
     driver.pass(500 * MS);
     let took = processor_time().saturating_sub(began);
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -226,7 +226,7 @@
     fn poll(&mut self) -> Vec<Effect> {
         self.now.at += 5 * MS;
         if self.news {
-            self.core.note_listing(self.now.at);
+            self.core.note_complete_listing(self.now.at);
         }
         if let Some(zones) = &self.evacuated {
             self.core.note_evacuations(zones, Duration::ZERO, self.now);
@@ -262,24 +262,24 @@
             Effect::Look(target, _) if self.reborn.contains_key(&target.incarnation) => {
                 let next = self.reborn[&target.incarnation].clone();
                 let looked = PollReply::OtherIncarnation(Some(next));
-                self.core.take_look(&target.incarnation, Ok(looked), self.now);
+                self.core.handle_poll_reply(&target.incarnation, Ok(looked), self.now);
             }
             Effect::Look(target, _) if self.strangers.contains(&target.incarnation) => {
                 self.core
-                    .take_look(&target.incarnation, Ok(PollReply::OtherIncarnation(None)), self.now);
+                    .handle_poll_reply(&target.incarnation, Ok(PollReply::OtherIncarnation(None)), self.now);
             }
             Effect::Order(target, run, order) if self.crashed.contains(&target.incarnation) => {
                 let nothing = Failure::unknown("order", &target.incarnation, "connection refused");
                 self.core
-                    .take_answer(&target.incarnation, run, &order, Err(nothing), self.now);
+                    .handle_order_reply(&target.incarnation, run, &order, Err(nothing), self.now);
             }
             Effect::Look(target, _) if Some(&target.incarnation) == self.mute.as_ref() => {
                 let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
-                self.core.take_look(&target.incarnation, Err(nothing), self.now);
+                self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Look(target, _) if self.crashed.contains(&target.incarnation) => {
                 let nothing = Failure::unknown("look", &target.incarnation, "connection refused");
-                self.core.take_look(&target.incarnation, Err(nothing), self.now);
+                self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Append(position, facts) => {
                 self.facts.extend(facts);
@@ -292,20 +292,20 @@
             Effect::Order(target, run, order) if Some(&target.incarnation) == self.deaf.as_ref() => {
                 let nothing = Failure::unknown("order", &target.incarnation, "no answer");
                 self.core
-                    .take_answer(&target.incarnation, run, &order, Err(nothing), self.now);
+                    .handle_order_reply(&target.incarnation, run, &order, Err(nothing), self.now);
                 self.orders.push((target.incarnation, run, order));
             }
             Effect::Order(target, run, order) if self.refusal(&target, &order).is_some() => {
                 let refusal = self.refusal(&target, &order).expect("a refusal");
                 let said = Ok(OrderReply::Refused(refusal));
                 self.core
-                    .take_answer(&target.incarnation, run, &order, said, self.now);
+                    .handle_order_reply(&target.incarnation, run, &order, said, self.now);
                 self.refused.push((target.incarnation, run));
             }
             Effect::Order(target, run, order) => {
                 let said = Ok(OrderReply::Done(self.clock()));
                 self.core
-                    .take_answer(&target.incarnation, run, &order, said, self.now);
+                    .handle_order_reply(&target.incarnation, run, &order, said, self.now);
                 if let Order::Stop(name, _) = &order {
                     self.at_work.retain(|(_, row)| row.name != *name);
                 }
@@ -313,7 +313,7 @@
             }
             Effect::Look(target, _) if Some(&target.incarnation) == self.silent.as_ref() => {
                 let nothing = Failure::unknown("look", &target.incarnation, "no answer");
-                self.core.take_look(&target.incarnation, Err(nothing), self.now);
+                self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Look(target, look) if self.patient => {
                 self.looks.push((self.now.at + look.wait, target.incarnation));
@@ -339,7 +339,7 @@
             Effect::Duty(machine, duty) => {
                 let nothing = Failure::unknown("order machine", &machine, "no answer");
                 let said = self.says.ok_or(nothing);
-                self.core.take_duty(&machine, &duty, said, self.now);
+                self.core.handle_machine_reply(&machine, &duty, said, self.now);
                 self.duties.push((machine, duty));
             }
         }
@@ -402,7 +402,7 @@
             active,
             finished,
         };
-        self.core.take_look(id, Ok(looked), self.now);
+        self.core.handle_poll_reply(id, Ok(looked), self.now);
     }
 
     fn is_stopped(&self, run: Run) -> bool {
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -22,7 +22,7 @@
 fn await_call<T>(driver: &mut Driver, mut wants: impl FnMut(&Effect) -> Option<T>) -> T {
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
-        driver.core.note_listing(driver.now.at);
+        driver.core.note_complete_listing(driver.now.at);
         let mut found = None;
         for effect in driver.core.poll(driver.now) {
             match found.is_none().then(|| wants(&effect)).flatten() {
@@ -80,7 +80,7 @@
     assert_eq!(first.fence, look.fence);
     let refused = Failure::none("order", &first.incarnation, "connection refused");
     let core = &mut driver.core;
-    core.take_answer(&first.incarnation, run, &order, Err(refused), driver.now);
+    core.handle_order_reply(&first.incarnation, run, &order, Err(refused), driver.now);
     let (again, ..) = await_call(&mut driver, starts);
     assert!(again.fence > look.fence, "the look comes after this start");
 }
@@ -90,7 +90,7 @@
     let (mut driver, look) = begin(listed(0));
     see_entry(&mut driver, 9);
     let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
-    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
+    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let (target, ..) = await_call(&mut driver, |effect| match effect {
         Effect::Look(target, look) => Some((target.clone(), look.clone())),
         _ => None,
@@ -107,17 +107,17 @@
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
-    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
+    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
-    core.take_answer(&first.incarnation, run, &order, fenced, driver.now);
+    core.handle_order_reply(&first.incarnation, run, &order, fenced, driver.now);
     assert!(!driver.core.is_superseded());
     let (again, of, _) = await_call(&mut driver, starts);
     assert_eq!((again.fence > first.fence, of), (true, run));
     driver.pass(4000 * MS);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
-    core.take_answer(&again.incarnation, run, &order, fenced, driver.now);
+    core.handle_order_reply(&again.incarnation, run, &order, fenced, driver.now);
     assert!(
         driver.core.is_superseded(),
         "nothing of before is under way"
@@ -132,10 +132,10 @@
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown("order", &first.incarnation, "no answer in time");
     let core = &mut driver.core;
-    core.take_answer(&first.incarnation, run, &order, Err(nothing), driver.now);
+    core.handle_order_reply(&first.incarnation, run, &order, Err(nothing), driver.now);
     driver
         .core
-        .take_look(&look.incarnation, Ok(PollReply::Fenced), driver.now);
+        .handle_poll_reply(&look.incarnation, Ok(PollReply::Fenced), driver.now);
     assert!(!driver.core.is_superseded());
 }
 
@@ -149,7 +149,7 @@
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
-    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
+    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
     driver.reborn.insert(look.incarnation, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
@@ -170,7 +170,7 @@
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
-    driver.core.take_look(&look.incarnation, Err(nothing), driver.now);
+    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
     driver.core.list_worker(next.clone(), driver.now);
     let (target, _) = await_call(&mut driver, |effect| match effect {
--- a/ashtiller/tests/owner/first_looks.rs
+++ b/ashtiller/tests/owner/first_looks.rs
@@ -75,7 +75,7 @@
             } else {
                 Err(Failure::unknown("look", &life, "no answer in time"))
             };
-            core.take_look(&life, looked, now);
+            core.handle_poll_reply(&life, looked, now);
         }
     }
     assert_eq!(heard.len(), expected, "all that answer are heard of");
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -203,14 +203,14 @@
     let mut lost = false;
     for _ in 0..200 {
         driver.now.at += 5 * MS;
-        driver.core.note_listing(driver.now.at);
+        driver.core.note_complete_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match effect {
                 Effect::Look(target, look) if look.ends_recorded > 0 => {
                     let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
                     driver
                         .core
-                        .take_look(&target.incarnation, Err(nothing), driver.now);
+                        .handle_poll_reply(&target.incarnation, Err(nothing), driver.now);
                     lost = true;
                 }
                 other => driver.carry_out(other),
@@ -254,19 +254,19 @@
     let mut started: Option<(Incarnation, Duration)> = None;
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
-        driver.core.note_listing(driver.now.at);
+        driver.core.note_complete_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match (effect, &started) {
                 (Effect::Order(target, run, order @ Order::Start(_)), None) => {
                     let said = Ok(OrderReply::Done(heard));
                     driver
                         .core
-                        .take_answer(&target.incarnation, run, &order, said, driver.now);
+                        .handle_order_reply(&target.incarnation, run, &order, said, driver.now);
                     started = Some((target.incarnation, driver.now.at));
                 }
                 (Effect::Look(target, _), Some((life, _))) if target.incarnation == *life => {
                     let nothing = Failure::unknown("look", life, "no answer in time");
-                    driver.core.take_look(life, Err(nothing), driver.now);
+                    driver.core.handle_poll_reply(life, Err(nothing), driver.now);
                 }
                 (other, _) => driver.carry_out(other),
             }
@@ -315,7 +315,7 @@
     let next = born(0, 2000);
     heir.crashed.extend([life, next.incarnation.clone()]);
     heir.core.list_all(vec![next, born(1, 1000)], heir.now);
-    heir.core.clear_former(0, heir.now);
+    heir.core.note_former_owner_ended(0, heir.now);
     heir.pass(LATE_MAX + terms.hold.saturating_sub(200 * MS));
     assert!(heir.starts().is_empty(), "it may still run");
     assert!(heir.core.book().is_live(run));
@@ -333,13 +333,13 @@
     let mut unanswered = false;
     while !unanswered {
         driver.now.at += 5 * MS;
-        driver.core.note_listing(driver.now.at);
+        driver.core.note_complete_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match effect {
                 Effect::Order(target, run, order @ Order::Start(_)) if target.incarnation == life => {
                     let nothing = Failure::unknown("order", &life, "no answer in time");
                     let core = &mut driver.core;
-                    core.take_answer(&life, run, &order, Err(nothing), driver.now);
+                    core.handle_order_reply(&life, run, &order, Err(nothing), driver.now);
                     unanswered = true;
                 }
                 other => driver.carry_out(other),
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -33,7 +33,7 @@
     let mut late: Vec<(Duration, Incarnation)> = Vec::new();
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
-        driver.core.note_listing(driver.now.at);
+        driver.core.note_complete_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match effect {
                 // Thirty of forty.
@@ -50,7 +50,7 @@
         let due: Vec<(Duration, Incarnation)> = due;
         for (_, id) in due {
             let nothing = Failure::unknown("look", &id, "no answer");
-            driver.core.take_look(&id, Err(nothing), driver.now);
+            driver.core.handle_poll_reply(&id, Err(nothing), driver.now);
         }
     }
     let pressure = driver.core.pressure();
--- a/ashtiller/tests/owner/strangers.rs
+++ b/ashtiller/tests/owner/strangers.rs
@@ -68,7 +68,7 @@
     let other = listed(1 - number);
     driver
         .core
-        .list_read(vec![other], &[id.id().into()], driver.now);
+        .list_all_except_unreadable(vec![other], &[id.id().into()], driver.now);
     driver.pass(Duration::from_secs(12));
     assert!(driver.core.book().is_live(run));
     assert!(driver.stops().is_empty());
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -178,7 +178,7 @@
         for Waiting { to, .. } in lost.collect::<Vec<_>>() {
             let failure = Failure::unknown("look", to.address, "connection closed");
             let now = self.clock();
-            self.core.take_look(&to.incarnation, Err(failure), now);
+            self.core.handle_poll_reply(&to.incarnation, Err(failure), now);
         }
     }
 
@@ -188,7 +188,7 @@
             self.now += STEP;
             self.advance();
             let now = self.clock();
-            self.core.note_listing(self.now);
+            self.core.note_complete_listing(self.now);
             for effect in self.core.poll(now) {
                 self.carry_out(effect);
             }
@@ -207,7 +207,7 @@
         let now = self.clock();
         let ready = self.answers.extract_if(.., |(at, ..)| *at <= self.now);
         for (_, to, looked) in ready.collect::<Vec<_>>() {
-            self.core.take_look(&to.incarnation, Ok(looked), now);
+            self.core.handle_poll_reply(&to.incarnation, Ok(looked), now);
         }
     }
 
@@ -242,7 +242,7 @@
                 self.note_start(&order);
                 let worker = self.workers.get_mut(&to.address).unwrap();
                 let said = worker.order(to.fence, &order, needs(), length(&order), self.now);
-                self.core.take_answer(&to.incarnation, run, &order, Ok(said), now);
+                self.core.handle_order_reply(&to.incarnation, run, &order, Ok(said), now);
             }
             Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
         }
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -415,7 +415,7 @@
                 && ended
             {
                 let former = place.checked_sub(1).map_or(0, |it| self.epochs[it]);
-                core.clear_former(former, now);
+                core.note_former_owner_ended(former, now);
             }
         }
     }
@@ -718,7 +718,7 @@
             }
             Event::Ordered(place, id, run, order, said) => {
                 if let Some(core) = &mut self.owners[place] {
-                    core.take_answer(&id, run, &order, said, now);
+                    core.handle_order_reply(&id, run, &order, said, now);
                 }
             }
             Event::See(place, target, look) => {
@@ -735,7 +735,7 @@
             }
             Event::Looked(place, id, looked) => {
                 if let Some(core) = &mut self.owners[place] {
-                    core.take_look(&id, looked, now);
+                    core.handle_poll_reply(&id, looked, now);
                 }
             }
             Event::Late(target, look) => {
--- a/ashtiller/tests/world/news.rs
+++ b/ashtiller/tests/world/news.rs
@@ -89,7 +89,7 @@
     /// Lists all workers for an owner.
     pub fn list(&self, core: &mut Core, now: Now) -> Channel {
         core.list_all(self.entries.values().cloned().collect(), now);
-        core.note_listing(now.at);
+        core.note_complete_listing(now.at);
         Channel {
             heard: self.changes.len(),
             ..Channel::default()
@@ -110,7 +110,7 @@
                 Change::Gone(id) => core.unlist_id(id, now),
             }
         }
-        core.note_listing(now.at);
+        core.note_complete_listing(now.at);
         Channel {
             heard: self.changes.len(),
             ..channel
--- a/bench/src/crashes.rs
+++ b/bench/src/crashes.rs
@@ -320,7 +320,7 @@
                 worker.advance(self.now);
             }
             let now = self.clock();
-            self.core.note_listing(self.now);
+            self.core.note_complete_listing(self.now);
             for effect in self.core.poll(now) {
                 self.carry_out(effect);
             }
@@ -437,10 +437,10 @@
         match event {
             Event::Durable(position, sent) => self.core.note_durable(position, sent, now),
             Event::Answer(id, run, order, said) => {
-                self.core.take_answer(&id, run, &order, said, now);
+                self.core.handle_order_reply(&id, run, &order, said, now);
             }
             Event::See(id, look) => self.see(id, &look),
-            Event::Looked(id, looked) => self.core.take_look(&id, looked, now),
+            Event::Looked(id, looked) => self.core.handle_poll_reply(&id, looked, now),
             Event::Crash(id, taken) => self.crash(&id, taken),
             Event::Lapse(id) => self.core.unlist_worker(&id, now),
             Event::Back(place) => self.begin_life(place),
--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -153,7 +153,7 @@
             }
             let now = self.clock();
             let began = Instant::now();
-            self.core.note_listing(self.now);
+            self.core.note_complete_listing(self.now);
             let effects = self.core.poll(now);
             self.spent += began.elapsed();
             for effect in effects {
@@ -255,7 +255,7 @@
             Event::Answer(id, run, order) => {
                 let said = Ok(OrderReply::Done(now.wall));
                 let began = Instant::now();
-                self.core.take_answer(&id, run, &order, said, now);
+                self.core.handle_order_reply(&id, run, &order, said, now);
                 self.spent += began.elapsed();
             }
             Event::Look(id) => self.answer_look(&id, now),
@@ -293,7 +293,7 @@
             finished: worker.ends.clone(),
         };
         let began = Instant::now();
-        self.core.take_look(id, Ok(looked), now);
+        self.core.handle_poll_reply(id, Ok(looked), now);
         self.spent += began.elapsed();
     }
 }
