--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -196,13 +196,13 @@
                     // The advisor's clock began no later than it was asked.
                     advised.good.insert(id, (ticket, asked_at + valid));
                 }
-                self.dirty = true;
+                self.needs_planning = true;
             }
             Err(failure) => {
                 tracing::info!(job = key.0, step = key.2, %failure, "advisor did not answer");
                 advised.retry = now.at + RETRY;
                 advised.late = true;
-                self.dirty = true;
+                self.needs_planning = true;
             }
         }
     }
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -277,7 +277,7 @@
             tracing::info!(%task, "task is not suspected any more: its run lives on");
             self.counts.absolved += 1;
             self.record(LogRecord::Absolved(task), now);
-            self.dirty = true;
+            self.needs_planning = true;
         }
     }
 
--- a/ashtiller/src/workflow/core/entries.rs
+++ b/ashtiller/src/workflow/core/entries.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::workflow::book;
-use crate::workflow::core::{Core, Effect, Now, Then};
+use crate::workflow::core::{Core, Effect, Now, OnDurable};
 use crate::workflow::fact::LogRecord;
 use crate::workflow::life::Incarnation;
 
@@ -25,19 +25,19 @@
                 waited_ms = self.stalled_for(now).as_millis(),
                 "store answers again"
             );
-            self.returned = Some(now.at);
+            self.store_returned_at = Some(now.at);
         }
         self.durable = self.durable.max(position);
-        for id in std::mem::take(&mut self.recorded) {
+        for id in std::mem::take(&mut self.workers_to_wake) {
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.wake();
             }
         }
-        self.proof = self.proof.max(sent);
+        self.ownership_proved_at = self.ownership_proved_at.max(sent);
         self.in_flight = None;
-        self.recording.retain(|_, at| *at > position);
-        while self.after.front().is_some_and(|(at, _)| *at <= position) {
-            let Some((_, then)) = self.after.pop_front() else {
+        self.undurable_jobs.retain(|_, at| *at > position);
+        while self.deferred.front().is_some_and(|(at, _)| *at <= position) {
+            let Some((_, then)) = self.deferred.pop_front() else {
                 break;
             };
             self.finish(then, now);
@@ -45,19 +45,19 @@
     }
 
     /// Does something once the entry at `position` is durable.
-    pub(super) fn defer(&mut self, position: u64, then: Then, now: Now) {
+    pub(super) fn defer(&mut self, position: u64, then: OnDurable, now: Now) {
         if position <= self.durable {
             self.finish(then, now);
             return;
         }
-        let place = self.after.partition_point(|(at, _)| *at <= position);
-        self.after.insert(place, (position, then));
+        let place = self.deferred.partition_point(|(at, _)| *at <= position);
+        self.deferred.insert(place, (position, then));
     }
 
-    fn finish(&mut self, then: Then, now: Now) {
+    fn finish(&mut self, then: OnDurable, now: Now) {
         match then {
-            Then::Answer(ticket, reply) => self.effects.push(Effect::Answer(ticket, reply)),
-            Then::Acknowledge(worker, number) => self.acknowledge(&worker, number, now),
+            OnDurable::Answer(ticket, reply) => self.effects.push(Effect::Answer(ticket, reply)),
+            OnDurable::Acknowledge(worker, number) => self.acknowledge(&worker, number, now),
         }
     }
 
@@ -75,7 +75,7 @@
     }
 
     pub(super) fn append(&mut self, now: Now) {
-        let since = now.at.saturating_sub(self.appended);
+        let since = now.at.saturating_sub(self.last_append);
         let pause = if self.has_room_to_refill(now) {
             self.terms.commit.min(REFILL)
         } else {
@@ -86,11 +86,11 @@
         }
         self.take_arrivals(now);
         let pause = (ROUND_EACH * self.backlog).min(REPLAN);
-        let dirty = self.dirty && now.at >= self.planned + pause;
+        let dirty = self.needs_planning && now.at >= self.last_planning + pause;
         // Workers are let back, and services calm down, without an event.
-        if dirty || now.at >= self.planned + REPLAN {
-            self.dirty = false;
-            self.planned = now.at;
+        if dirty || now.at >= self.last_planning + REPLAN {
+            self.needs_planning = false;
+            self.last_planning = now.at;
             self.plan(now);
         }
         self.refill(now);
@@ -103,7 +103,7 @@
         self.counts.entries += 1;
         self.effects.push(Effect::Append(self.position, facts));
         self.in_flight = Some((self.position, now.at));
-        self.appended = now.at;
+        self.last_append = now.at;
         self.position += 1;
     }
 
@@ -120,10 +120,10 @@
 
     /// Keeps what was learned, for a later owner.
     pub(super) fn keep_lessons(&mut self, now: Now) {
-        if now.at < self.taught + self.terms.teach {
+        if now.at < self.lessons_recorded_at + self.terms.teach {
             return;
         }
-        self.taught = now.at;
+        self.lessons_recorded_at = now.at;
         let lessons = self.interference.export();
         if !lessons.is_empty() {
             self.record(LogRecord::Learned(lessons), now);
@@ -135,7 +135,7 @@
         let effect = self.book.apply(&fact, now.at);
         self.pending.push(fact);
         if let book::Effect::Ended(number, outcome) = effect {
-            self.recording.insert(number, self.position);
+            self.undurable_jobs.insert(number, self.position);
             self.close_job(number, outcome);
         }
     }
--- a/ashtiller/src/workflow/core/evacuation.rs
+++ b/ashtiller/src/workflow/core/evacuation.rs
@@ -52,7 +52,7 @@
                     "evacuation of availability zone is over");
             }
         }
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     /// Whether a worker's zone is under evacuation.
--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -177,7 +177,7 @@
     /// Whether a worker that is missing since then may be listed again: its entry may have
     /// lapsed while the store was away, which came back a moment ago.
     pub(super) fn is_just_back(&self, since: Duration, now: Now) -> bool {
-        self.returned.is_some_and(|back| {
+        self.store_returned_at.is_some_and(|back| {
             let until = back + self.terms.relist;
             now.at < until && since < until && since + self.terms.relist > back
         })
--- a/ashtiller/src/workflow/core/hold.rs
+++ b/ashtiller/src/workflow/core/hold.rs
@@ -37,11 +37,11 @@
 
     /// Notes that something waits because nothing may start.
     pub(super) fn hold_starts(&mut self, now: Now) {
-        if self.held.is_some() {
+        if self.start_hold.is_some() {
             return;
         }
         let (since, told) = (now.at, now.at);
-        self.held = Some(StartHold { since, told });
+        self.start_hold = Some(StartHold { since, told });
         self.tell_hold(since, now);
     }
 
@@ -62,7 +62,7 @@
 
     /// Says again that starts wait, when that was said long ago.
     fn tell_long_hold(&mut self, now: Now) {
-        let Some(hold) = &mut self.held else {
+        let Some(hold) = &mut self.start_hold else {
             return;
         };
         if now.at < hold.told + TOLD_AGAIN {
@@ -79,7 +79,7 @@
             self.tell_long_hold(now);
             return;
         }
-        let Some(hold) = self.held.take() else {
+        let Some(hold) = self.start_hold.take() else {
             return;
         };
         tracing::info!(
@@ -87,7 +87,7 @@
             held_ms = now.at.saturating_sub(hold.since).as_millis(),
             "starts go on"
         );
-        self.dirty = true;
+        self.needs_planning = true;
         for worker in self.workers.values_mut() {
             worker.wake();
         }
--- a/ashtiller/src/workflow/core/intake.rs
+++ b/ashtiller/src/workflow/core/intake.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::workflow::core::{Core, Effect, Now, Then, Ticket};
+use crate::workflow::core::{Core, Effect, Now, OnDurable, Ticket};
 use crate::workflow::fact::{LogRecord, Outcome, Run};
 use crate::workflow::job::{Job, Sharing, Step};
 use crate::workflow::live::Stage;
@@ -13,8 +13,8 @@
     /// Accepts a job; the answer comes when that is durable.
     pub fn submit(&mut self, job: Job, ticket: Ticket, now: Now) {
         if let Some(number) = self.book.find(&job.id) {
-            let position = self.recording.get(&number).copied().unwrap_or(0);
-            self.defer(position, Then::Answer(ticket, Reply::Accepted), now);
+            let position = self.undurable_jobs.get(&number).copied().unwrap_or(0);
+            self.defer(position, OnDurable::Answer(ticket, Reply::Accepted), now);
             return;
         }
         // Asked for again, it shares the fate of the first call.
@@ -44,12 +44,12 @@
             let number = self.book.next;
             tracing::info!(job = %job.id, number, queue = %job.queue, steps = %Shape(&job),
                 position = self.position, config = self.config.version, "job accepted");
-            self.recording.insert(number, self.position);
+            self.undurable_jobs.insert(number, self.position);
             self.record(LogRecord::Accepted(Box::new(job), policy, now.wall), now);
             self.counts.accepted += 1;
-            self.dirty = true;
+            self.needs_planning = true;
             for ticket in tickets {
-                self.defer(self.position, Then::Answer(ticket, Reply::Accepted), now);
+                self.defer(self.position, OnDurable::Answer(ticket, Reply::Accepted), now);
             }
         }
     }
@@ -97,12 +97,12 @@
         };
         if self.book.jobs[&number].outcome.is_none() {
             tracing::info!(job = id, number, position = self.position, "job cancelled");
-            self.recording.insert(number, self.position);
+            self.undurable_jobs.insert(number, self.position);
             self.record(LogRecord::Cancelled(number), now);
-            self.dirty = true;
+            self.needs_planning = true;
         }
-        let position = self.recording.get(&number).copied().unwrap_or(0);
-        self.defer(position, Then::Answer(ticket, Reply::Accepted), now);
+        let position = self.undurable_jobs.get(&number).copied().unwrap_or(0);
+        self.defer(position, OnDurable::Answer(ticket, Reply::Accepted), now);
     }
 
     /// How a job stands. An outcome is told only once it is durable.
@@ -117,7 +117,7 @@
             };
         };
         let job = &self.book.jobs[&number];
-        let durable = !self.recording.contains_key(&number);
+        let durable = !self.undurable_jobs.contains_key(&number);
         let state = match job.outcome {
             Some(outcome) if durable => State::Over(outcome),
             _ if job.begun => State::Running,
--- a/ashtiller/src/workflow/core/line.rs
+++ b/ashtiller/src/workflow/core/line.rs
@@ -24,12 +24,12 @@
             self.pressure.note_limit(now.at);
             return;
         }
-        if self.line.is_empty() || now.at >= self.lined + SWEEP {
+        if self.order_queue.is_empty() || now.at >= self.order_queue_built_at + SWEEP {
             self.line_up(free, now);
         }
         for _ in 0..free {
             // Those that get nothing take no part of the window.
-            while let Some(life) = self.line.pop_front()
+            while let Some(life) = self.order_queue.pop_front()
                 && !self.send_next_order(&life, now)
             {}
         }
@@ -38,12 +38,12 @@
     /// Puts the workers for which there is an order into a line, those with the most pressing
     /// ones first where not all can go out.
     fn line_up(&mut self, free: usize, now: Now) {
-        self.lined = now.at;
+        self.order_queue_built_at = now.at;
         let waits =
             |worker: &&Worker| worker.fenced && !worker.runs.is_empty() && is_ready(worker, now);
         let waiting = self.workers.values().filter(waits);
         if waiting.clone().count() <= free {
-            self.line = waiting.map(|worker| worker.incarnation().clone()).collect();
+            self.order_queue = waiting.map(|worker| worker.incarnation().clone()).collect();
             return;
         }
         self.pressure.note_limit(now.at);
@@ -68,7 +68,7 @@
             ranked.truncate(first);
         }
         ranked.sort_unstable();
-        self.line = ranked.into_iter().map(|(_, life)| life.clone()).collect();
+        self.order_queue = ranked.into_iter().map(|(_, life)| life.clone()).collect();
     }
 
     /// What a worker's next order protects, and since when it waits; and until when that holds
--- a/ashtiller/src/workflow/core/lives.rs
+++ b/ashtiller/src/workflow/core/lives.rs
@@ -7,7 +7,7 @@
 
 use crate::workflow::agents::Order;
 use crate::workflow::config::ListedWorker;
-use crate::workflow::core::{Core, Effect, Now, Then};
+use crate::workflow::core::{Core, Effect, Now, OnDurable};
 use crate::workflow::fact::{End, Run};
 use crate::workflow::lease;
 use crate::workflow::life::Incarnation;
@@ -110,7 +110,7 @@
 
     /// Whether an entry names a life that was not found where it says, a moment ago.
     pub(super) fn is_stale_entry(&self, listed: &ListedWorker, now: Now) -> bool {
-        let known = self.strangers.get(&listed.incarnation);
+        let known = self.stale_entries.get(&listed.incarnation);
         known.is_some_and(|(entry, until)| entry == listed && now.at < *until)
     }
 
@@ -119,11 +119,11 @@
         let Some(worker) = self.workers.get(life) else {
             return;
         };
-        if self.strangers.len() >= STRANGERS_MAX {
-            self.strangers.clear();
+        if self.stale_entries.len() >= STRANGERS_MAX {
+            self.stale_entries.clear();
         }
         let entry = (worker.listed.clone(), now.at + STRANGER_PAUSE);
-        let fresh = self.strangers.insert(life.clone(), entry).is_none();
+        let fresh = self.stale_entries.insert(life.clone(), entry).is_none();
         if fresh && !worker.fenced {
             tracing::warn!(worker = %life, address = %worker.listed.address,
                 "entry names a life that is not there");
@@ -179,8 +179,8 @@
         let entry = self.workers.get(life).map(entry);
         self.succeed(life, life, now);
         // Ends of the former life, which the log has by then.
-        self.after
-            .retain(|(_, then)| !matches!(then, Then::Acknowledge(of, _) if of == life));
+        self.deferred
+            .retain(|(_, then)| !matches!(then, OnDurable::Acknowledge(of, _) if of == life));
         // An entry without a birth is of whichever life is there.
         if let Some(worker) = self.workers.get_mut(life)
             && let Some(entry) = entry
@@ -251,7 +251,7 @@
         if let Some(task) = guilty {
             self.fail_crashing_job(task, now);
         }
-        self.dirty = true;
+        self.needs_planning = true;
     }
 
     /// Whether a start of a run may be carried out later, by a life that knows nothing of it:
--- a/ashtiller/src/workflow/core/looks.rs
+++ b/ashtiller/src/workflow/core/looks.rs
@@ -29,10 +29,10 @@
 impl Core {
     /// Sends the looks that are due.
     pub(super) fn send_due_polls(&mut self, now: Now) {
-        if now.at < self.looked + LOOKS {
+        if now.at < self.last_poll_scan + LOOKS {
             return;
         }
-        self.looked = now.at;
+        self.last_poll_scan = now.at;
         let limit = self.pressure.timeout(POLL_TIMEOUT_MIN, POLL_TIMEOUT_MAX);
         for life in self.collect_looks(now) {
             let Some(look) = self.prepare_look(&life, now) else {
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -93,7 +93,7 @@
 
 /// Something that waits for an entry to be durable.
 #[derive(Clone, Debug)]
-enum Then {
+enum OnDurable {
     Answer(Ticket, Reply),
     Acknowledge(Incarnation, u64),
 }
@@ -148,60 +148,60 @@
     position: u64,
     in_flight: Option<(u64, Duration)>,
     durable: u64,
-    appended: Duration,
-    proof: Duration,
-    after: VecDeque<(u64, Then)>,
-    recording: BTreeMap<u32, u64>,
-    recorded: BTreeSet<Incarnation>,
-    dirty: bool,
-    planned: Duration,
+    last_append: Duration,
+    ownership_proved_at: Duration,
+    deferred: VecDeque<(u64, OnDurable)>,
+    undurable_jobs: BTreeMap<u32, u64>,
+    workers_to_wake: BTreeSet<Incarnation>,
+    needs_planning: bool,
+    last_planning: Duration,
     /// Steps that waited in the last round of placing.
     backlog: u32,
-    ghosts: bool,
-    swept: Duration,
+    awaits_unlisted_workers: bool,
+    last_sweep: Duration,
     superseded: bool,
     fences: fences::Fences,
     began: Duration,
     /// Since when no earlier owner grants leases.
-    cleared: Option<Duration>,
-    returned: Option<Duration>,
+    former_owner_ended_at: Option<Duration>,
+    store_returned_at: Option<Duration>,
     /// As of when the list of workers was last known to be whole.
     listed_at: Duration,
     /// Availability zones under evacuation.
     evacuation: evacuation::Evacuation,
     /// Since when starts wait.
-    held: Option<hold::StartHold>,
+    start_hold: Option<hold::StartHold>,
     effects: Vec<Effect>,
     advised: BTreeMap<StepKey, Advised>,
     waves: BTreeMap<u64, WaveProgress>,
-    tracks: BTreeMap<u32, HeadroomHistory>,
+    load_tracks: BTreeMap<u32, HeadroomHistory>,
     interference: Interference,
     summaries: fleet::Summaries,
     /// How much may be under way at workers.
     pressure: Congestion,
     /// Whether answers waited in a queue when that was last looked at.
-    queued: bool,
+    workers_queueing: bool,
     /// Workers for which there is an order, as of `lined`.
-    line: VecDeque<Incarnation>,
-    lined: Duration,
+    order_queue: VecDeque<Incarnation>,
+    order_queue_built_at: Duration,
     /// When looks that are due were last searched for.
-    looked: Duration,
+    last_poll_scan: Duration,
     /// Lasting steps that wait although there was room, by job, time and step.
     passed_over: BTreeMap<StepKey, room::PassedOver>,
     reserved: Option<room::Reserved>,
     /// Workers whose runs have left room since the last round, while lasting steps wait.
-    freed: BTreeSet<Incarnation>,
+    freed_workers: BTreeSet<Incarnation>,
     /// When it was last said of a step that it waits.
-    told: BTreeMap<StepKey, Duration>,
+    wait_logged_at: BTreeMap<StepKey, Duration>,
     /// When a step that is too late last went first.
-    rescued: Duration,
+    last_rescue: Duration,
     services: BTreeSet<Arc<str>>,
     ledger: times::Ledger,
     /// Times of jobs that ended, until they are counted.
-    ended: Vec<times::Times>,
-    taught: Duration,
+    ended_job_times: Vec<times::Times>,
+    lessons_recorded_at: Duration,
     /// Entries that name a life which is not there, passed over until then.
-    strangers: BTreeMap<Incarnation, (ListedWorker, Duration)>,
+    stale_entries: BTreeMap<Incarnation, (ListedWorker, Duration)>,
     /// Crashes of workers a moment ago.
     crashes: crash_record::CrashRecord,
     counts: Counts,
@@ -226,45 +226,45 @@
             position,
             in_flight: None,
             durable: position.saturating_sub(1),
-            appended: now.at,
-            proof: now.at,
-            after: VecDeque::new(),
-            recording: BTreeMap::new(),
-            recorded: BTreeSet::new(),
-            dirty: true,
-            planned: now.at,
+            last_append: now.at,
+            ownership_proved_at: now.at,
+            deferred: VecDeque::new(),
+            undurable_jobs: BTreeMap::new(),
+            workers_to_wake: BTreeSet::new(),
+            needs_planning: true,
+            last_planning: now.at,
             backlog: 0,
-            ghosts: true,
-            swept: now.at,
+            awaits_unlisted_workers: true,
+            last_sweep: now.at,
             superseded: false,
             fences: fences::Fences::new(epoch),
             began: now.at,
-            cleared: None,
-            returned: None,
+            former_owner_ended_at: None,
+            store_returned_at: None,
             listed_at: Duration::ZERO,
             evacuation: evacuation::Evacuation::default(),
-            held: None,
+            start_hold: None,
             effects: Vec::new(),
             advised: BTreeMap::new(),
             waves: BTreeMap::new(),
-            tracks: BTreeMap::new(),
+            load_tracks: BTreeMap::new(),
             interference: Interference::default(),
             summaries: fleet::Summaries::default(),
             pressure: Congestion::default(),
-            queued: false,
-            line: VecDeque::new(),
-            lined: now.at,
-            looked: now.at,
+            workers_queueing: false,
+            order_queue: VecDeque::new(),
+            order_queue_built_at: now.at,
+            last_poll_scan: now.at,
             passed_over: BTreeMap::new(),
             reserved: None,
-            freed: BTreeSet::new(),
-            told: BTreeMap::new(),
-            rescued: now.at,
+            freed_workers: BTreeSet::new(),
+            wait_logged_at: BTreeMap::new(),
+            last_rescue: now.at,
             services: BTreeSet::new(),
             ledger: times::Ledger::default(),
-            ended: Vec::new(),
-            taught: now.at,
-            strangers: BTreeMap::new(),
+            ended_job_times: Vec::new(),
+            lessons_recorded_at: now.at,
+            stale_entries: BTreeMap::new(),
             crashes: crash_record::CrashRecord::default(),
             counts: Counts::default(),
         };
@@ -277,7 +277,7 @@
     pub fn set_config(&mut self, config: Arc<Config>) {
         if config.version > self.config.version || self.config.queues.is_empty() {
             self.config = config;
-            self.dirty = true;
+            self.needs_planning = true;
         }
     }
 
@@ -339,9 +339,9 @@
     /// Everybody who waits for an answer, for when this owner ends.
     #[must_use]
     pub fn waiting(&self) -> Vec<Ticket> {
-        let answers = self.after.iter().filter_map(|(_, then)| match then {
-            Then::Answer(ticket, _) => Some(*ticket),
-            Then::Acknowledge(..) => None,
+        let answers = self.deferred.iter().filter_map(|(_, then)| match then {
+            OnDurable::Answer(ticket, _) => Some(*ticket),
+            OnDurable::Acknowledge(..) => None,
         });
         answers.collect()
     }
@@ -354,7 +354,7 @@
 
     /// How long ago ownership was proved.
     fn proof_age(&self, now: Now) -> Duration {
-        now.at.saturating_sub(self.proof)
+        now.at.saturating_sub(self.ownership_proved_at)
     }
 
     /// Whether leases may still be renewed: ownership was proved not long ago.
@@ -364,10 +364,10 @@
 
     /// Does what is due and returns what is to be done outside.
     pub fn poll(&mut self, now: Now) -> Vec<Effect> {
-        if now.at >= self.swept + SWEEP {
-            self.swept = now.at;
+        if now.at >= self.last_sweep + SWEEP {
+            self.last_sweep = now.at;
             self.pressure.forget_old(now.at);
-            self.tell_pressure();
+            self.log_pressure();
             self.expire_leases(now);
             self.clear_surviving_suspects(now);
             self.forget_absent_workers(now);
@@ -385,9 +385,9 @@
     }
 
     /// Says when answers of most workers begin or cease to wait in a queue.
-    fn tell_pressure(&mut self) {
+    fn log_pressure(&mut self) {
         let queued = self.pressure.is_congested();
-        if std::mem::replace(&mut self.queued, queued) == queued {
+        if std::mem::replace(&mut self.workers_queueing, queued) == queued {
             return;
         }
         tracing::info!(
@@ -401,7 +401,7 @@
 
     fn open_rounds(&mut self, now: Now) {
         let wall = now.wall.saturating_sub(self.terms.clock_slack);
-        self.dirty |= self.book.open_due_occurrences(wall);
+        self.needs_planning |= self.book.open_due_occurrences(wall);
     }
 
     pub(super) fn close_job(&mut self, number: u32, outcome: Outcome) {
@@ -412,8 +412,8 @@
                 work_ms = times.work.as_millis(), paced_ms = times.paced.as_millis(), "job ended");
         }
         self.advised.retain(|key, _| key.0 != number);
-        self.tracks.remove(&number);
-        self.told.retain(|key, _| key.0 != number);
+        self.load_tracks.remove(&number);
+        self.wait_logged_at.retain(|key, _| key.0 != number);
         self.stop_job(number, StopReason::Over);
     }
 }
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -110,7 +110,7 @@
     /// Learns about headrooms and pairs from what services reported beside these fills.
     fn learn(&mut self, services: &[Service], beside: &[NeighborFill], now: Now) {
         for service in services {
-            let track = self.tracks.entry(service.run.task.job).or_default();
+            let track = self.load_tracks.entry(service.run.task.job).or_default();
             let own = track.trend(now.at).map(|trend| trend.level);
             self.interference
                 .learn(service.image, service.times, own, beside);
@@ -212,7 +212,7 @@
             let pressure = self.interference.pressure(service.image, beside);
             let own = self.interference.headroom(service.image, service.times) + pressure;
             let follow = self.terms.switches.follow_slopes;
-            let track = self.tracks.get_mut(&service.run.task.job);
+            let track = self.load_tracks.get_mut(&service.run.task.job);
             let track = track.filter(|_| follow);
             let slope = track
                 .and_then(|track| track.trend(now.at))
--- a/ashtiller/src/workflow/core/place.rs
+++ b/ashtiller/src/workflow/core/place.rs
@@ -91,7 +91,7 @@
         }
         // What fills takes no processors that a lasting task could have.
         if !step.fills() && !self.passed_over.is_empty() {
-            self.freed.insert(live.worker.clone());
+            self.freed_workers.insert(live.worker.clone());
         }
         if !worker.pool.taken().fits(worker.pool.whole()) {
             // A start may have waited for the room.
@@ -126,7 +126,7 @@
         live.ticket = ticket;
         self.record(LogRecord::Placed(run, id.clone(), saved), now);
         self.runs.insert(run, live);
-        self.recorded.insert(id.clone());
+        self.workers_to_wake.insert(id.clone());
         self.seat(run, id);
     }
 }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -97,7 +97,7 @@
 impl Core {
     /// Places what waits and fits.
     pub(super) fn plan(&mut self, now: Now) {
-        self.freed.clear();
+        self.freed_workers.clear();
         let mut waiting = self.collect_waiting(now);
         self.backlog = u32::try_from(waiting.len()).unwrap_or(u32::MAX);
         if !self.terms.switches.short_first {
@@ -129,7 +129,7 @@
             self.plan_step(entry, &mut placing, now);
             if self.waiting_tasks(entry).is_empty() {
                 self.ledger.note_placed(entry.key());
-                self.told.remove(&entry.key());
+                self.wait_logged_at.remove(&entry.key());
             } else {
                 self.tell_wait(entry, &placing, now);
             }
@@ -251,7 +251,7 @@
                 .and_then(|tickets| tickets.get(&id).cloned());
             self.place(run, &id, ticket, now);
             if rescued {
-                self.rescued = now.at;
+                self.last_rescue = now.at;
             }
         }
     }
--- a/ashtiller/src/workflow/core/refill.rs
+++ b/ashtiller/src/workflow/core/refill.rs
@@ -11,7 +11,7 @@
     /// Rounds come less often the more waits, 5 times a second with 2,000 steps; until the next
     /// one, room that a lasting task could have would stand empty.
     pub(super) fn refill(&mut self, now: Now) {
-        let freed = std::mem::take(&mut self.freed);
+        let freed = std::mem::take(&mut self.freed_workers);
         if freed.is_empty() || !self.may_start(now) {
             return;
         }
@@ -33,14 +33,14 @@
             self.plan_step(entry, &mut placing, now);
             if self.waiting_tasks(entry).is_empty() {
                 self.ledger.note_placed(entry.key());
-                self.told.remove(&entry.key());
+                self.wait_logged_at.remove(&entry.key());
             }
         }
     }
 
     /// Whether runs have left room since the last entry that a lasting task may be waiting for.
     pub(super) fn has_room_to_refill(&self, now: Now) -> bool {
-        !self.freed.is_empty() && !self.collect_blocked(now).is_empty()
+        !self.freed_workers.is_empty() && !self.collect_blocked(now).is_empty()
     }
 
     /// A lasting step that waited in the last round, if tasks of it still do: by priority, then
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -7,7 +7,7 @@
 use crate::failure::Failure;
 use crate::workflow::agents::{Active, Finished, EndReason, PollReply, TaskName, Order};
 use crate::workflow::core::looks::POLL_TIMEOUT_MAX;
-use crate::workflow::core::{Core, Effect, Now, Then};
+use crate::workflow::core::{Core, Effect, Now, OnDurable};
 use crate::workflow::fact::{End, LogRecord, Run, Task};
 use crate::workflow::lease;
 use crate::workflow::life::Incarnation;
@@ -139,12 +139,12 @@
             if let Some(until) = worker.renewing {
                 worker.lease.extend(until + hold);
             }
-            self.dirty = true;
+            self.needs_planning = true;
         }
         worker.note_fence(asked.fence);
         if worker.doubted.is_some_and(|until| until <= asked.sent) {
             worker.doubted = None;
-            self.dirty = true;
+            self.needs_planning = true;
         }
         let again = !worker.answers;
         if again {
@@ -158,7 +158,7 @@
                     "worker answers again"
                 );
             }
-            self.dirty = true;
+            self.needs_planning = true;
         }
         worker.lease.hear(clock, now.at);
         if again {
@@ -215,7 +215,7 @@
         if highest > worker.ends_reported {
             worker.ends_reported = highest;
             let worker = worker.incarnation().clone();
-            self.defer(self.position, Then::Acknowledge(worker, highest), now);
+            self.defer(self.position, OnDurable::Acknowledge(worker, highest), now);
         }
     }
 
@@ -228,7 +228,7 @@
         tracing::info!(worker = %id, task = %run.task, run = run.number, ?end,
             "end is told after its run was given up");
         self.record(LogRecord::Ended(run, end, saved.clone()), now);
-        self.dirty = true;
+        self.needs_planning = true;
         match end {
             End::Done => self.stop_other_runs(run, StopReason::Copied),
             End::Failed => self.check_failure_limit(run, now),
@@ -349,7 +349,7 @@
             let id = live.worker.clone();
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.note_success();
-                self.dirty = true;
+                self.needs_planning = true;
             }
             return;
         }
--- a/ashtiller/src/workflow/core/room.rs
+++ b/ashtiller/src/workflow/core/room.rs
@@ -162,7 +162,7 @@
         placing: &mut Placing,
         now: Now,
     ) {
-        if now.at < self.rescued + RESCUE_PAUSE {
+        if now.at < self.last_rescue + RESCUE_PAUSE {
             return;
         }
         let late = waiting
--- a/ashtiller/src/workflow/core/roster.rs
+++ b/ashtiller/src/workflow/core/roster.rs
@@ -40,7 +40,7 @@
         if self.lacks_incarnation(&listed) || self.is_stale_entry(&listed, now) {
             return;
         }
-        self.dirty = true;
+        self.needs_planning = true;
         self.poll_former_incarnations(&listed, now);
         let life = listed.incarnation.clone();
         let bound = self.earlier_leases_end();
@@ -84,7 +84,7 @@
 
     /// Leases that earlier owners granted end by this time.
     pub(super) fn earlier_leases_end(&self) -> Duration {
-        let granted = self.cleared.unwrap_or(self.began + self.terms.horizon);
+        let granted = self.former_owner_ended_at.unwrap_or(self.began + self.terms.horizon);
         granted + lease::worst_case_elapsed(self.terms.lease)
     }
 
@@ -94,7 +94,7 @@
     /// for the longest time that one without the store may have gone on: 17 s, in which
     /// tasks on workers that are gone run nowhere.
     pub fn note_former_owner_ended(&mut self, former: u64, now: Now) {
-        if self.cleared.is_some() || self.book.cleared < former {
+        if self.former_owner_ended_at.is_some() || self.book.cleared < former {
             return;
         }
         self.note_cleared(now);
@@ -110,7 +110,7 @@
     }
 
     fn note_cleared(&mut self, now: Now) {
-        self.cleared = Some(now.at);
+        self.former_owner_ended_at = Some(now.at);
         self.record(LogRecord::Cleared(self.epoch), now);
     }
 
@@ -187,10 +187,10 @@
 
     /// Runs on a worker whose lease is over for certain are lost.
     pub(super) fn expire_leases(&mut self, now: Now) {
-        if self.ghosts && now.at >= self.earlier_leases_end() {
-            self.ghosts = false;
+        if self.awaits_unlisted_workers && now.at >= self.earlier_leases_end() {
+            self.awaits_unlisted_workers = false;
             self.lose_ghosts(now);
-            if self.cleared.is_none() {
+            if self.former_owner_ended_at.is_none() {
                 self.note_cleared(now);
             }
         }
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -85,7 +85,7 @@
                 worker = %live.worker, ?end, age_ms = age, stop = ?live.stop, percent = live.percent, "run ended");
         }
         self.record(LogRecord::Ended(run, end, saved.clone()), now);
-        self.dirty = true;
+        self.needs_planning = true;
         if end == End::Failed {
             self.check_failure_limit(run, now);
         }
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -122,12 +122,12 @@
     /// The times of a job that has ended, for its line in the log and the histograms.
     pub(super) fn time_job(&mut self, job: u32) -> Times {
         let times = self.ledger.close(job);
-        self.ended.push(times);
+        self.ended_job_times.push(times);
         times
     }
 
     /// The times of the jobs that have ended since this was asked last.
     pub fn take_times(&mut self) -> Vec<Times> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.ended_job_times)
     }
 }
--- a/ashtiller/src/workflow/core/waits.rs
+++ b/ashtiller/src/workflow/core/waits.rs
@@ -25,13 +25,13 @@
     pub(super) fn tell_wait(&mut self, entry: Waiting, placing: &Placing, now: Now) {
         let since = self.ledger.ready_since(entry.key()).unwrap_or(now.at);
         let due = self
-            .told
+            .wait_logged_at
             .get(&entry.key())
             .map_or(since + TOLD_FIRST, |at| *at + TOLD_AGAIN);
         if now.at < due || !self.is_lasting(&entry) {
             return;
         }
-        self.told.insert(entry.key(), now.at);
+        self.wait_logged_at.insert(entry.key(), now.at);
         let job = &self.book.jobs[&entry.job];
         let service = &job.policy.service;
         let step = &job.job.steps[usize::from(entry.step)];
