--- a/ashtiller/src/workflow/core/adopt.rs
+++ b/ashtiller/src/workflow/core/adopt.rs
@@ -48,8 +48,8 @@
     /// Takes over the runs that may be going on. Whether they were ever started is not
     /// known, so they are ordered again, but for those that nobody needs any more.
     pub(super) fn adopt_runs(&mut self, now: Now) {
-        let open = self.book.open();
-        let jobs = open.iter().map(|number| (*number, &self.book.jobs[number]));
+        let open = self.log_state.open();
+        let jobs = open.iter().map(|number| (*number, &self.log_state.jobs[number]));
         let found: Vec<Found> = jobs
             .flat_map(|(number, job)| find_runs(number, job))
             .collect();
@@ -75,7 +75,7 @@
     }
 
     fn step_of(&self, run: Run) -> Option<Step> {
-        let job = self.book.jobs.get(&run.task.job)?;
+        let job = self.log_state.jobs.get(&run.task.job)?;
         job.step(run.task).cloned()
     }
 }
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -131,7 +131,7 @@
             .iter()
             .map(|candidate| candidate.id.clone())
             .collect();
-        let Some(job) = self.book.jobs.get(&task.job) else {
+        let Some(job) = self.log_state.jobs.get(&task.job) else {
             return;
         };
         if workers.is_empty() {
@@ -165,7 +165,7 @@
 
     /// Time that the policy states for a question that names so many workers.
     fn stated_time(&self, key: StepKey, named: usize) -> Option<Duration> {
-        let advice = self.book.jobs.get(&key.0)?.policy.advice?;
+        let advice = self.log_state.jobs.get(&key.0)?.policy.advice?;
         let named = u32::try_from(named).ok().filter(|named| *named > 0)?;
         Some(advice.decide + advice.each * named)
     }
@@ -178,7 +178,7 @@
         answer: Result<Tickets, Failure>,
         now: Now,
     ) {
-        let valid = self.book.jobs.get(&key.0).and_then(|job| job.policy.advice);
+        let valid = self.log_state.jobs.get(&key.0).and_then(|job| job.policy.advice);
         let Some(advised) = self.advised.get_mut(&key) else {
             return;
         };
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -91,7 +91,7 @@
         // The machine's next life may have been summed up before.
         self.summaries.clear();
         self.counts.crashes += 1;
-        let suspects = self.book.suspects();
+        let suspects = self.log_state.suspects();
         let known = |task| suspects.get(&task);
         let guilty = alone.then(|| blame::find_culprit(&victims, known)).flatten();
         tracing::warn!(
@@ -240,13 +240,13 @@
 
     /// Gives up the job of a task that crashes its workers.
     pub(super) fn fail_crashing_job(&mut self, task: Task, now: Now) {
-        let Some(job) = self.book.jobs.get(&task.job) else {
+        let Some(job) = self.log_state.jobs.get(&task.job) else {
             return;
         };
         if job.outcome.is_some() {
             return;
         }
-        let crashes = self.book.suspects().get(&task).map_or(0, |it| it.crashes);
+        let crashes = self.log_state.suspects().get(&task).map_or(0, |it| it.crashes);
         tracing::warn!(job = %job.job.id, %task, crashes,
             "job given up: workers crash under one of its tasks");
         self.counts.convicted += 1;
@@ -263,14 +263,14 @@
 
     /// Whether a task that crashes its workers may not start any more.
     pub(super) fn has_reached_crash_limit(&self, task: Task) -> bool {
-        let suspect = self.book.suspects().get(&task);
-        let last = self.book.task(task).map_or(0, |(_, state)| state.last);
+        let suspect = self.log_state.suspects().get(&task);
+        let last = self.log_state.task(task).map_or(0, |(_, state)| state.last);
         suspect.is_some_and(|suspect| suspect.has_no_starts_left(last))
     }
 
     /// Clears tasks whose runs have lived for longer than at any crash before.
     pub(super) fn clear_surviving_suspects(&mut self, now: Now) {
-        let suspects = self.book.suspects().iter();
+        let suspects = self.log_state.suspects().iter();
         let living = suspects.filter(|(task, suspect)| self.has_lived(**task, suspect));
         let living: Vec<Task> = living.map(|(task, _)| *task).collect();
         for task in living {
@@ -282,7 +282,7 @@
     }
 
     fn has_lived(&self, task: Task, suspect: &Suspect) -> bool {
-        let Some((_, known)) = self.book.task(task) else {
+        let Some((_, known)) = self.log_state.task(task) else {
             return false;
         };
         known.live.iter().any(|live| {
@@ -300,17 +300,17 @@
 
     /// Whether workers crashed under a task, and it is not cleared.
     pub(super) fn is_suspect(&self, task: Task) -> bool {
-        self.book.suspects().contains_key(&task)
+        self.log_state.suspects().contains_key(&task)
     }
 
     /// Whether a task is to be tried apart from others.
     pub(super) fn is_strong_suspect(&self, task: Task) -> bool {
-        let suspect = self.book.suspects().get(&task);
+        let suspect = self.log_state.suspects().get(&task);
         suspect.is_some_and(Suspect::is_strong)
     }
 
     pub(super) fn count_suspects(&self, worker: &Worker) -> u32 {
-        if self.book.suspects().is_empty() {
+        if self.log_state.suspects().is_empty() {
             return 0;
         }
         let suspects = worker.runs.iter().filter(|run| self.is_suspect(run.task));
--- a/ashtiller/src/workflow/core/dump.rs
+++ b/ashtiller/src/workflow/core/dump.rs
@@ -9,9 +9,9 @@
     /// The state in short, for operators; at most some 100 jobs and all workers.
     #[must_use]
     pub fn dump(&self, now: Now) -> serde_json::Value {
-        let open = self.book.open().iter().take(DUMPED);
+        let open = self.log_state.open().iter().take(DUMPED);
         let jobs = open.map(|number| {
-            let job = &self.book.jobs[number];
+            let job = &self.log_state.jobs[number];
             let waiting: u32 = job
                 .occurrences
                 .values()
@@ -40,7 +40,7 @@
             "evacuation_age_ms": self.evacuation_age(now).map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             "usual_delay_ms": u64::try_from(self.pressure.usual().as_millis()).unwrap_or(u64::MAX),
             "orders_under_way": self.pressure.under_way(), "orders_window": self.pressure.window(),
-            "open_jobs": self.book.open().len(), "runs": self.runs.len(),
+            "open_jobs": self.log_state.open().len(), "runs": self.runs.len(),
             "waiting": self.dump_waits(DUMPED, now), "kept": self.kept_worker(),
             "jobs": jobs.collect::<Vec<_>>(), "workers": workers.collect::<Vec<_>>(),
         })
--- a/ashtiller/src/workflow/core/entries.rs
+++ b/ashtiller/src/workflow/core/entries.rs
@@ -111,8 +111,8 @@
         let Some(limit) = now.at.checked_sub(self.terms.keep) else {
             return;
         };
-        for number in self.book.ended_before(limit) {
-            if self.book.jobs.get(&number).is_some_and(|job| job.live == 0) {
+        for number in self.log_state.ended_before(limit) {
+            if self.log_state.jobs.get(&number).is_some_and(|job| job.live == 0) {
                 self.record(LogRecord::Forgotten(number), now);
             }
         }
@@ -132,7 +132,7 @@
 
     /// Applies a fact and puts it into the next entry.
     pub(super) fn record(&mut self, fact: LogRecord, now: Now) {
-        let effect = self.book.apply(&fact, now.at);
+        let effect = self.log_state.apply(&fact, now.at);
         self.pending.push(fact);
         if let book::Effect::Ended(number, outcome) = effect {
             self.undurable_jobs.insert(number, self.position);
--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -455,7 +455,7 @@
 /// Runs of a step on each worker, where that is bounded.
 pub(super) fn count_spread(core: &Core, task: Task) -> Spread {
     let mut counts = BTreeMap::new();
-    let Some((job, _)) = core.book.task(task) else {
+    let Some((job, _)) = core.log_state.task(task) else {
         return counts;
     };
     let Some(round) = job.occurrences.get(&task.occurrence) else {
--- a/ashtiller/src/workflow/core/gate.rs
+++ b/ashtiller/src/workflow/core/gate.rs
@@ -101,7 +101,7 @@
 
     pub(super) fn is_short(&self, run: Run) -> bool {
         let step = self
-            .book
+            .log_state
             .task(run.task)
             .and_then(|(job, _)| job.step(run.task));
         step.is_some_and(|step| !step.long_running)
--- a/ashtiller/src/workflow/core/intake.rs
+++ b/ashtiller/src/workflow/core/intake.rs
@@ -12,7 +12,7 @@
 impl Core {
     /// Accepts a job; the answer comes when that is durable.
     pub fn submit(&mut self, job: Job, ticket: Ticket, now: Now) {
-        if let Some(number) = self.book.find(&job.id) {
+        if let Some(number) = self.log_state.find(&job.id) {
             let position = self.undurable_jobs.get(&number).copied().unwrap_or(0);
             self.defer(position, OnDurable::Answer(ticket, Reply::Accepted), now);
             return;
@@ -41,7 +41,7 @@
                 continue;
             };
             let policy = queue.policy.clone();
-            let number = self.book.next;
+            let number = self.log_state.next;
             tracing::info!(job = %job.id, number, queue = %job.queue, steps = %Shape(&job),
                 position = self.position, config = self.config.version, "job accepted");
             self.undurable_jobs.insert(number, self.position);
@@ -76,7 +76,7 @@
 
     /// Why a job is not taken, if so.
     fn judge(&self, job: &Job, now: Now) -> Option<Reply> {
-        if self.is_stalled(now) || self.book.open().len() >= self.terms.jobs {
+        if self.is_stalled(now) || self.log_state.open().len() >= self.terms.jobs {
             return Some(self.refusal());
         }
         if let Err(reason) = job.check() {
@@ -90,12 +90,12 @@
         if self.arrivals.iter().any(|(job, _)| *job.id == *id) {
             self.take_arrivals(now);
         }
-        let Some(number) = self.book.find(id) else {
+        let Some(number) = self.log_state.find(id) else {
             tracing::info!(job = id, "cancel of an unknown job");
             self.effects.push(Effect::Answer(ticket, Reply::Missing));
             return;
         };
-        if self.book.jobs[&number].outcome.is_none() {
+        if self.log_state.jobs[&number].outcome.is_none() {
             tracing::info!(job = id, number, position = self.position, "job cancelled");
             self.undurable_jobs.insert(number, self.position);
             self.record(LogRecord::Cancelled(number), now);
@@ -108,7 +108,7 @@
     /// How a job stands. An outcome is told only once it is durable.
     #[must_use]
     pub fn state(&self, id: &str) -> Reply {
-        let Some(number) = self.book.find(id) else {
+        let Some(number) = self.log_state.find(id) else {
             let coming = self.arrivals.iter().any(|(job, _)| *job.id == *id);
             return if coming {
                 Reply::State(State::Queued)
@@ -116,7 +116,7 @@
                 Reply::Missing
             };
         };
-        let job = &self.book.jobs[&number];
+        let job = &self.log_state.jobs[&number];
         let durable = !self.undurable_jobs.contains_key(&number);
         let state = match job.outcome {
             Some(outcome) if durable => State::Over(outcome),
@@ -130,11 +130,11 @@
     #[must_use]
     pub fn count_pending(&self, queue: &str) -> Reply {
         let jobs = self
-            .book
+            .log_state
             .open()
             .iter()
-            .map(|number| &self.book.jobs[number]);
-        let open = self.book.open().iter().zip(jobs);
+            .map(|number| &self.log_state.jobs[number]);
+        let open = self.log_state.open().iter().zip(jobs);
         let waiting = open.filter(|(number, job)| {
             *job.job.queue == *queue
                 && job.outcome != Some(Outcome::Cancelled)
--- a/ashtiller/src/workflow/core/line.rs
+++ b/ashtiller/src/workflow/core/line.rs
@@ -96,7 +96,7 @@
             (Stop::None, Stage::Recorded(position)) if position > self.durable => OrderClass::Nothing,
             (Stop::None, Stage::Recorded(_) | Stage::Starting) => {
                 let step = self
-                    .book
+                    .log_state
                     .task(run.task)
                     .and_then(|(job, _)| job.step(run.task));
                 if step.is_some_and(|step| step.long_running) {
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -135,7 +135,7 @@
 pub struct Core {
     terms: Tuning,
     epoch: u64,
-    book: LogState,
+    log_state: LogState,
     workers: BTreeMap<Incarnation, Worker>,
     /// Where lives of workers were seen.
     places: places::Places,
@@ -215,7 +215,7 @@
         let mut core = Self {
             terms,
             epoch,
-            book,
+            log_state: book,
             workers: BTreeMap::new(),
             places: places::Places::default(),
             runs: BTreeMap::new(),
@@ -268,7 +268,7 @@
             crashes: crash_record::CrashRecord::default(),
             counts: Counts::default(),
         };
-        core.interference.import(&core.book.lessons);
+        core.interference.import(&core.log_state.lessons);
         core.adopt_runs(now);
         core
     }
@@ -289,8 +289,8 @@
 
     /// The book, for a snapshot or a dump.
     #[must_use]
-    pub fn book(&self) -> &LogState {
-        &self.book
+    pub fn log_state(&self) -> &LogState {
+        &self.log_state
     }
 
     /// Workers by id, for a dump.
@@ -401,12 +401,12 @@
 
     fn open_rounds(&mut self, now: Now) {
         let wall = now.wall.saturating_sub(self.terms.clock_slack);
-        self.needs_planning |= self.book.open_due_occurrences(wall);
+        self.needs_planning |= self.log_state.open_due_occurrences(wall);
     }
 
     pub(super) fn close_job(&mut self, number: u32, outcome: Outcome) {
         let times = self.time_job(number);
-        if let Some(job) = self.book.jobs.get(&number) {
+        if let Some(job) = self.log_state.jobs.get(&number) {
             tracing::info!(job = %job.job.id, ?outcome, position = self.position,
                 room_ms = times.room.as_millis(), answer_ms = times.answer.as_millis(),
                 work_ms = times.work.as_millis(), paced_ms = times.paced.as_millis(), "job ended");
--- a/ashtiller/src/workflow/core/moves.rs
+++ b/ashtiller/src/workflow/core/moves.rs
@@ -26,7 +26,7 @@
             .filter(|worker| worker.fenced && !worker.answers);
         let runs = silent.flat_map(|worker| worker.runs.iter());
         let copied = runs.filter(|run| {
-            self.book.task(run.task).is_some_and(|(job, task)| {
+            self.log_state.task(run.task).is_some_and(|(job, task)| {
                 let copies = job
                     .step(run.task)
                     .is_some_and(|step| step.speculative && !step.gang);
@@ -39,7 +39,7 @@
 
     /// Starts a copy rather than wait for the lease of a worker that says nothing.
     pub(super) fn place_copy(&mut self, task: Task, placing: &mut Placing, now: Now) {
-        let Some((job, state)) = self.book.task(task) else {
+        let Some((job, state)) = self.log_state.task(task) else {
             return;
         };
         if job.policy.advice.is_some() {
@@ -89,7 +89,7 @@
 
     /// Stops a run that stands still when there is a worker where it would go on.
     pub(super) fn consider_move(&mut self, run: Run, placing: &mut Placing, now: Now) {
-        let Some((job, state)) = self.book.task(run.task) else {
+        let Some((job, state)) = self.log_state.task(run.task) else {
             return;
         };
         let (service, spec) = (job.policy.service.clone(), job.job.clone());
--- a/ashtiller/src/workflow/core/order.rs
+++ b/ashtiller/src/workflow/core/order.rs
@@ -52,8 +52,8 @@
 impl Core {
     pub(super) fn collect_waiting(&self, now: Now) -> Vec<Waiting> {
         let mut found = Vec::new();
-        for number in self.book.open() {
-            let job = &self.book.jobs[number];
+        for number in self.log_state.open() {
+            let job = &self.log_state.jobs[number];
             if job.outcome.is_some() {
                 continue;
             }
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn waiting_tasks(&self, entry: Waiting) -> Vec<Task> {
-        let job = &self.book.jobs[&entry.job];
+        let job = &self.log_state.jobs[&entry.job];
         let state = &job.occurrences[&entry.time].steps[usize::from(entry.step)];
         let tasks = (0..).zip(&state.tasks).filter(|(_, task)| task.waits());
         tasks
@@ -80,7 +80,7 @@
 
     /// How late the job of a task is already: 0 in time, 1 late, 2 too late to earn.
     pub(super) fn lateness_of(&self, task: Task, now: Now) -> u8 {
-        let Some(job) = self.book.jobs.get(&task.job) else {
+        let Some(job) = self.log_state.jobs.get(&task.job) else {
             return 0;
         };
         let (due, objective) = objective_of(job, task.occurrence);
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -33,7 +33,7 @@
 impl Core {
     /// How workers know a task.
     pub(super) fn task_name(&self, run: Run) -> Option<TaskName> {
-        let job = self.book.jobs.get(&run.task.job)?;
+        let job = self.log_state.jobs.get(&run.task.job)?;
         Some(TaskName {
             job: job.job.id.clone(),
             occurrence: run.task.occurrence,
@@ -136,7 +136,7 @@
             return None;
         }
         let name = self.task_name(run)?;
-        let (job, task) = self.book.task(run.task)?;
+        let (job, task) = self.log_state.task(run.task)?;
         let payload = job.job.payload.clone();
         let saved = task.checkpoint.clone();
         let ticket = self.runs.get(&run).and_then(|live| live.ticket.clone());
--- a/ashtiller/src/workflow/core/place.rs
+++ b/ashtiller/src/workflow/core/place.rs
@@ -39,7 +39,7 @@
                 })
         });
         let rooms = withdrawn.filter_map(|other| {
-            let (job, _) = self.book.task(other.task)?;
+            let (job, _) = self.log_state.task(other.task)?;
             Some(job.step(other.task)?.room())
         });
         let later = rooms.fold(*taken, |left: Resources, room| left.minus(&room));
@@ -52,7 +52,7 @@
 
     /// Counts a run in its worker's room.
     pub(super) fn seat(&mut self, run: Run, id: &Incarnation) {
-        let Some((job, _)) = self.book.task(run.task) else {
+        let Some((job, _)) = self.log_state.task(run.task) else {
             return;
         };
         let Some(step) = job.step(run.task) else {
@@ -76,7 +76,7 @@
 
     /// Gives back the room of a run.
     pub(super) fn release(&mut self, run: Run, live: &LiveRun) {
-        let Some(job) = self.book.jobs.get(&run.task.job) else {
+        let Some(job) = self.log_state.jobs.get(&run.task.job) else {
             return;
         };
         let Some(step) = job.step(run.task) else {
@@ -110,7 +110,7 @@
 
     /// Gives a run to a worker.
     pub(super) fn place(&mut self, run: Run, id: &Incarnation, ticket: Option<Arc<str>>, now: Now) {
-        let Some((job, task)) = self.book.task(run.task) else {
+        let Some((job, task)) = self.log_state.task(run.task) else {
             return;
         };
         let Some(step) = job.step(run.task) else {
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -143,7 +143,7 @@
     }
 
     fn demand_of(&mut self, entry: Waiting, now: Now) -> Demand {
-        let job = &self.book.jobs[&entry.job];
+        let job = &self.log_state.jobs[&entry.job];
         let (service, spec) = (job.policy.service.clone(), job.job.clone());
         let step = &spec.steps[usize::from(entry.step)];
         let (share, _) = share_of(&mut self.interference, step);
@@ -164,7 +164,7 @@
         if placing.is_hopeless(&demand) {
             return;
         }
-        let job = &self.book.jobs[&entry.job];
+        let job = &self.log_state.jobs[&entry.job];
         let spec = job.job.clone();
         let advice = job.policy.advice.is_some();
         let step = &spec.steps[usize::from(entry.step)];
@@ -202,7 +202,7 @@
         let mut choices = None;
         for (done, task) in tasks.iter().enumerate() {
             let failed_on = self
-                .book
+                .log_state
                 .task(*task)
                 .map(|(_, state)| state.failed_on.clone());
             wish.failed_on = failed_on.unwrap_or_default();
@@ -366,6 +366,6 @@
     }
 
     pub(super) fn next_run(&self, task: Task) -> u32 {
-        self.book.task(task).map_or(1, |(_, state)| state.last + 1)
+        self.log_state.task(task).map_or(1, |(_, state)| state.last + 1)
     }
 }
--- a/ashtiller/src/workflow/core/refill.rs
+++ b/ashtiller/src/workflow/core/refill.rs
@@ -47,7 +47,7 @@
     /// the one for which a worker is kept, then the one that waits longest.
     fn find_waiting(&self, key: StepKey) -> Option<Waiting> {
         let (job, time, step) = key;
-        let state = self.book.jobs.get(&job)?;
+        let state = self.log_state.jobs.get(&job)?;
         let round = state.occurrences.get(&time)?;
         let waits = round.steps.get(usize::from(step))?.waiting > 0;
         if state.outcome.is_some() || !waits {
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -32,7 +32,7 @@
 impl Core {
     /// The run that a worker means.
     fn run_of(&self, name: &TaskName, number: u32) -> Option<Run> {
-        let job = self.book.find(&name.job)?;
+        let job = self.log_state.find(&name.job)?;
         let task = Task {
             job,
             occurrence: name.occurrence,
@@ -222,7 +222,7 @@
     /// Takes an end whose run was given up before its worker could tell it. Work that is
     /// done must not be done again, and the worker forgets the end once it is acknowledged.
     fn take_late_end(&mut self, id: &Incarnation, run: Run, end: End, saved: &Arc<str>, now: Now) {
-        if !self.book.late_end_matters(run, end) {
+        if !self.log_state.late_end_matters(run, end) {
             return;
         }
         tracing::info!(worker = %id, task = %run.task, run = run.number, ?end,
@@ -239,7 +239,7 @@
     /// Learns from an end whether the worker is well.
     fn note_health(&mut self, id: &Incarnation, run: Run, end: End, now: Now) {
         let first = self
-            .book
+            .log_state
             .task(run.task)
             .is_some_and(|(_, task)| task.failed.is_empty());
         // A lasting task that was at work has failed by itself.
@@ -310,7 +310,7 @@
 
     fn note_progress(&mut self, run: Run, row: &Active, now: Now) {
         let Some(step) = self
-            .book
+            .log_state
             .task(run.task)
             .and_then(|(job, _)| job.step(run.task))
         else {
--- a/ashtiller/src/workflow/core/room.rs
+++ b/ashtiller/src/workflow/core/room.rs
@@ -115,7 +115,7 @@
 
     /// Whether all tasks of a step that wait are to be tried apart from others.
     fn waits_for_trials(&self, entry: &Waiting) -> bool {
-        !self.book.suspects().is_empty()
+        !self.log_state.suspects().is_empty()
             && self
                 .waiting_tasks(*entry)
                 .iter()
@@ -181,7 +181,7 @@
     /// The worker on which short runs leave room soonest for a task of a step: one that
     /// gets nothing, or none of this step, would be kept in vain.
     fn find_emptying(&self, entry: &Waiting, fleet: &[Candidate]) -> Option<Incarnation> {
-        let job = &self.book.jobs[&entry.job];
+        let job = &self.log_state.jobs[&entry.job];
         let step = &job.job.steps[usize::from(entry.step)];
         let room = step.room();
         let spread = self.spread_of(entry);
@@ -196,7 +196,7 @@
             let mut short = 0;
             for run in &worker.runs {
                 let step = self
-                    .book
+                    .log_state
                     .task(run.task)
                     .and_then(|(job, _)| job.step(run.task));
                 if let Some(step) = step.filter(|step| !step.long_running && !step.fills()) {
@@ -233,12 +233,12 @@
     }
 
     pub(super) fn is_lasting(&self, entry: &Waiting) -> bool {
-        self.book.jobs[&entry.job].job.steps[usize::from(entry.step)].long_running
+        self.log_state.jobs[&entry.job].job.steps[usize::from(entry.step)].long_running
     }
 
     /// Runs of a waiting step on each worker, where that is bounded.
     fn spread_of(&self, entry: &Waiting) -> Spread {
-        let step = &self.book.jobs[&entry.job].job.steps[usize::from(entry.step)];
+        let step = &self.log_state.jobs[&entry.job].job.steps[usize::from(entry.step)];
         if step.spread == 0 {
             return Spread::new();
         }
@@ -258,7 +258,7 @@
 
     /// Whether some worker has room for a task of a step, and may have it.
     pub(super) fn has_room(&self, entry: &Waiting, fleet: &[Candidate]) -> bool {
-        let job = &self.book.jobs[&entry.job];
+        let job = &self.log_state.jobs[&entry.job];
         let step = &job.job.steps[usize::from(entry.step)];
         let (room, spread) = (step.room(), self.spread_of(entry));
         fleet.iter().any(|candidate| {
--- a/ashtiller/src/workflow/core/roster.rs
+++ b/ashtiller/src/workflow/core/roster.rs
@@ -94,7 +94,7 @@
     /// for the longest time that one without the store may have gone on: 17 s, in which
     /// tasks on workers that are gone run nowhere.
     pub fn note_former_owner_ended(&mut self, former: u64, now: Now) {
-        if self.former_owner_ended_at.is_some() || self.book.cleared < former {
+        if self.former_owner_ended_at.is_some() || self.log_state.cleared < former {
             return;
         }
         self.note_cleared(now);
@@ -289,7 +289,7 @@
 
     /// Whether a run will not end within `left`.
     fn outlives(&self, run: Run, left: Duration, now: Now) -> bool {
-        let Some((job, _)) = self.book.task(run.task) else {
+        let Some((job, _)) = self.log_state.task(run.task) else {
             return false;
         };
         let Some(step) = job.step(run.task) else {
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -79,7 +79,7 @@
         let saved = if saved.is_empty() { &live.checkpoint } else { saved };
         let age = now.at.saturating_sub(live.placed).as_millis();
         if end != End::Done
-            && let Some(job) = self.book.jobs.get(&run.task.job)
+            && let Some(job) = self.log_state.jobs.get(&run.task.job)
         {
             tracing::info!(job = %job.job.id, task = %run.task, run = run.number,
                 worker = %live.worker, ?end, age_ms = age, stop = ?live.stop, percent = live.percent, "run ended");
@@ -102,7 +102,7 @@
 
     /// Gives a job up when one of its tasks has failed too often.
     pub(super) fn check_failure_limit(&mut self, run: Run, now: Now) {
-        let Some((job, task)) = self.book.task(run.task) else {
+        let Some((job, task)) = self.log_state.task(run.task) else {
             return;
         };
         let gang = job.step(run.task).is_some_and(|step| step.gang);
@@ -121,7 +121,7 @@
     }
 
     pub(super) fn is_gang(&self, run: Run) -> bool {
-        self.book
+        self.log_state
             .task(run.task)
             .is_some_and(|(job, _)| job.step(run.task).is_some_and(|step| step.gang))
     }
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -66,7 +66,7 @@
     /// Whether a task is tried on a worker, so that nothing is started beside it.
     pub(super) fn has_trial(&self, worker: &Worker, now: Now) -> bool {
         let is_tried = |run: &Run| self.is_tried_run(*run, now);
-        !self.book.suspects().is_empty() && worker.runs.iter().any(is_tried)
+        !self.log_state.suspects().is_empty() && worker.runs.iter().any(is_tried)
     }
 
     /// Whether a step has waited for too long for its tasks to be tried one by one.
@@ -78,14 +78,14 @@
     /// Counts the trials that are going on, once for each round of placing.
     pub(super) fn count_trials(&self, fleet: &[Candidate], now: Now) -> ActiveTrials {
         let mut trials = ActiveTrials::default();
-        if self.book.suspects().is_empty() {
+        if self.log_state.suspects().is_empty() {
             return trials;
         }
         for candidate in fleet {
             *trials.workers.entry(candidate.service.clone()).or_insert(0) += 1;
         }
-        for task in self.book.suspects().keys() {
-            let live = self.book.task(*task).into_iter();
+        for task in self.log_state.suspects().keys() {
+            let live = self.log_state.task(*task).into_iter();
             for live in live.flat_map(|(_, state)| &state.live) {
                 let run = Run {
                     task: *task,
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -100,7 +100,7 @@
 impl Core {
     /// An operator asks for a wave.
     pub fn set_wave(&mut self, wave: Wave, now: Now) {
-        if self.book.waves_over.contains(&wave.number) {
+        if self.log_state.waves_over.contains(&wave.number) {
             return;
         }
         let going = self.waves.entry(wave.number);
@@ -122,7 +122,7 @@
     /// Waves that an operator asked for and that are not over, with those that are.
     #[must_use]
     pub fn wave_states(&self) -> BTreeMap<u64, bool> {
-        let over = self.book.waves_over.iter().map(|number| (*number, true));
+        let over = self.log_state.waves_over.iter().map(|number| (*number, true));
         let going = self.waves.keys().map(|number| (*number, false));
         over.chain(going).collect()
     }
@@ -169,7 +169,7 @@
     }
 
     fn is_upkept(&self, number: u64, machine: &Arc<str>) -> bool {
-        self.book.upkept.contains(&(number, machine.clone()))
+        self.log_state.upkept.contains(&(number, machine.clone()))
     }
 
     fn is_over(&self, going: &WaveProgress, now: Now) -> bool {
@@ -314,7 +314,7 @@
         };
         let runs: Vec<Run> = worker.runs.iter().copied().collect();
         for run in &runs {
-            let Some((job, _)) = self.book.task(run.task) else {
+            let Some((job, _)) = self.log_state.task(run.task) else {
                 continue;
             };
             let step = job.step(run.task);
@@ -335,7 +335,7 @@
     fn is_blocked(&self, id: &Incarnation, now: Now) -> bool {
         let mut runs = self.workers.get(id).into_iter().flat_map(|it| &it.runs);
         runs.any(|run| {
-            let task = self.book.task(run.task);
+            let task = self.log_state.task(run.task);
             let step = task.and_then(|(job, _)| job.step(run.task));
             step.is_some_and(|step| step.long_running) && !self.may_be_unavailable(*run, now)
         })
@@ -343,14 +343,14 @@
 
     /// Whether a run's step can miss it besides those that are away.
     pub(super) fn may_be_unavailable(&self, run: Run, now: Now) -> bool {
-        let job = self.book.jobs.get(&run.task.job);
+        let job = self.log_state.jobs.get(&run.task.job);
         let most = job.and_then(|job| job.step(run.task)?.away_max);
         most.is_none_or(|most| self.count_away(run, now) < most)
     }
 
     /// Other tasks of a run's step that are not at work.
     fn count_away(&self, run: Run, now: Now) -> u32 {
-        let Some((job, _)) = self.book.task(run.task) else {
+        let Some((job, _)) = self.log_state.task(run.task) else {
             return 0;
         };
         let Some(round) = job.occurrences.get(&run.task.occurrence) else {
--- a/ashtiller/src/workflow/core/waits.rs
+++ b/ashtiller/src/workflow/core/waits.rs
@@ -32,7 +32,7 @@
             return;
         }
         self.wait_logged_at.insert(entry.key(), now.at);
-        let job = &self.book.jobs[&entry.job];
+        let job = &self.log_state.jobs[&entry.job];
         let service = &job.policy.service;
         let step = &job.job.steps[usize::from(entry.step)];
         let rooms = placing.fleet.iter().filter(|it| it.service == *service);
@@ -67,7 +67,7 @@
         let longest = waiting.iter().take(most).map(|entry| {
             let waited = now.at.saturating_sub(since(entry)).as_millis();
             serde_json::json!({
-                "job": &*self.book.jobs[&entry.job].job.id, "time": entry.time, "step": entry.step,
+                "job": &*self.log_state.jobs[&entry.job].job.id, "time": entry.time, "step": entry.step,
                 "tasks": self.waiting_tasks(*entry).len(), "lasting": self.is_lasting(entry),
                 "waited_ms": u64::try_from(waited).unwrap_or(u64::MAX),
             })
--- a/ashtiller/src/workflow/owner/carry.rs
+++ b/ashtiller/src/workflow/owner/carry.rs
@@ -78,7 +78,7 @@
 
     pub(super) fn append(&mut self, position: u64, facts: Vec<LogRecord>) {
         if Log::wants_snapshot(position) {
-            match snapshot::encode(self.core.book()) {
+            match snapshot::encode(self.core.log_state()) {
                 Ok(bytes) => self.snapshot = Some((position, bytes)),
                 Err(error) => tracing::error!(%error, "snapshot not encoded"),
             }
--- a/ashtiller/tests/owner/crashes.rs
+++ b/ashtiller/tests/owner/crashes.rs
@@ -56,7 +56,7 @@
     }
 
     fn is_bad(&self, run: Run) -> bool {
-        let job = &self.driver.core.book().jobs[&run.task.job];
+        let job = &self.driver.core.log_state().jobs[&run.task.job];
         job.job.id.starts_with("bad")
     }
 
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -384,7 +384,7 @@
                 && !finished
                     .iter()
                     .any(|end| end.name == start.name && end.run == start.run)
-                && self.core.book().is_live(*run)
+                && self.core.log_state().is_live(*run)
                 && !self.is_stopped(*run)
                 && !active.iter().any(|row| row.name == start.name)
             {
@@ -469,7 +469,7 @@
     }
 
     pub fn name(&self, run: Run) -> TaskName {
-        let job = &self.core.book().jobs[&run.task.job];
+        let job = &self.core.log_state().jobs[&run.task.job];
         TaskName {
             job: job.job.id.clone(),
             occurrence: run.task.occurrence,
--- a/ashtiller/tests/owner/late_ends.rs
+++ b/ashtiller/tests/owner/late_ends.rs
@@ -28,7 +28,7 @@
     let (id, run) = driver.starts()[0].clone();
     driver.silent = Some(id);
     driver.pass(SILENCE);
-    assert!(!driver.core.book().is_live(run), "its lease is over");
+    assert!(!driver.core.log_state().is_live(run), "its lease is over");
     (driver, run)
 }
 
@@ -72,7 +72,7 @@
     let starts = driver.starts();
     assert_eq!(starts.len(), 2, "one failure of two is not the end");
     let failures = |driver: &Driver| {
-        let (_, task) = driver.core.book().task(run.task).expect("the task");
+        let (_, task) = driver.core.log_state().task(run.task).expect("the task");
         task.failures()
     };
     assert_eq!(failures(&driver), 1);
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -65,7 +65,7 @@
     let next = Incarnation::new("w0", Some(900));
     driver.reborn.insert(life.clone(), next.clone());
     driver.pass(200 * MS);
-    assert!(!driver.core.book().is_live(run), "nothing of it runs");
+    assert!(!driver.core.log_state().is_live(run), "nothing of it runs");
     assert_eq!(driver.core.counts().restarts, 1);
     let crashed = driver.facts.iter().any(|fact| match fact {
         LogRecord::Crashed(of, victims) => *of == life && victims.iter().any(|it| it.run == run),
@@ -157,7 +157,7 @@
         .core
         .list_all(vec![listed(0), born(1, 1000)], driver.now);
     driver.pass(Duration::from_secs(3));
-    assert!(driver.core.book().is_live(run));
+    assert!(driver.core.log_state().is_live(run));
     assert!(driver.core.workers()[&life].absent.is_none());
     assert!(driver.core.workers().keys().all(|it| it.born().is_some()));
 }
@@ -171,7 +171,7 @@
     heir.reborn.insert(life, next.incarnation.clone());
     heir.core.list_all(vec![next.clone()], heir.now);
     heir.pass(Duration::from_secs(1));
-    assert!(!heir.core.book().is_live(run));
+    assert!(!heir.core.log_state().is_live(run));
     let first = heir.orders.iter().find(|(at, ..)| *at == next.incarnation);
     let (_, of, order) = first.expect("an order");
     assert_eq!((*of, matches!(order, Order::Stop(..))), (run, true));
@@ -318,7 +318,7 @@
     heir.core.note_former_owner_ended(0, heir.now);
     heir.pass(LATE_MAX + terms.hold.saturating_sub(200 * MS));
     assert!(heir.starts().is_empty(), "it may still run");
-    assert!(heir.core.book().is_live(run));
+    assert!(heir.core.log_state().is_live(run));
     heir.pass(1500 * MS);
     assert_eq!(heir.starts().len(), 1);
 }
--- a/ashtiller/tests/owner/room.rs
+++ b/ashtiller/tests/owner/room.rs
@@ -34,7 +34,7 @@
 /// The newest start, with the id of its job.
 fn newest(driver: &Driver) -> (Incarnation, Run, Arc<str>) {
     let (id, run) = driver.starts().last().expect("a start").clone();
-    let job = driver.core.book().jobs[&run.task.job].job.id.clone();
+    let job = driver.core.log_state().jobs[&run.task.job].job.id.clone();
     (id, run, job)
 }
 
@@ -166,7 +166,7 @@
             }
             ended = starts.len();
         }
-        let book = driver.core.book();
+        let book = driver.core.log_state();
         let oldest = book.open().iter().next().copied().unwrap_or(book.next);
         assert!(oldest > 10, "seed {seed}: {oldest} of {} waits", book.next);
     }
--- a/ashtiller/tests/owner/shrinking.rs
+++ b/ashtiller/tests/owner/shrinking.rs
@@ -91,7 +91,7 @@
     driver.core.list_worker(shrunk(0, 2), driver.now);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(Duration::from_secs(1));
-    let job: u32 = driver.core.book().find("2").unwrap();
+    let job: u32 = driver.core.log_state().find("2").unwrap();
     let starts = driver.starts();
     assert!(starts.iter().all(|(_, run)| run.task.job != job));
 }
--- a/ashtiller/tests/owner/strangers.rs
+++ b/ashtiller/tests/owner/strangers.rs
@@ -33,7 +33,7 @@
     driver.crashed.insert("stranger".into());
     driver.core.list_worker(stranger(number), driver.now);
     driver.pass(Duration::from_secs(4));
-    assert!(driver.core.book().is_live(run), "its lease is not over");
+    assert!(driver.core.log_state().is_live(run), "its lease is not over");
     assert_eq!(driver.starts().len(), 1);
 }
 
@@ -47,7 +47,7 @@
         driver.core.list_all(all, driver.now);
         driver.pass(100 * MS);
     }
-    assert!(driver.core.book().is_live(run));
+    assert!(driver.core.log_state().is_live(run));
     let looks = driver.looked["stranger"];
     assert!(looks <= 4, "looked at {looks} times in 10 s");
 }
@@ -58,7 +58,7 @@
     driver.crash(&id);
     driver.core.list_worker(stranger(number), driver.now);
     driver.pass(100 * MS);
-    assert!(!driver.core.book().is_live(run));
+    assert!(!driver.core.log_state().is_live(run));
     assert_eq!(driver.starts().len(), 2);
 }
 
@@ -70,6 +70,6 @@
         .core
         .list_all_except_unreadable(vec![other], &[id.id().into()], driver.now);
     driver.pass(Duration::from_secs(12));
-    assert!(driver.core.book().is_live(run));
+    assert!(driver.core.log_state().is_live(run));
     assert!(driver.stops().is_empty());
 }
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -60,7 +60,7 @@
         starts.iter().all(|(_, it)| it.task.index != 0),
         "{starts:?}"
     );
-    assert!(!driver.core.book().is_live(run(2)), "its stop is recorded");
+    assert!(!driver.core.log_state().is_live(run(2)), "its stop is recorded");
 }
 
 /// A run that an owner took over is never started, though its worker answers and the store
--- a/ashtiller/tests/owner/trial.rs
+++ b/ashtiller/tests/owner/trial.rs
@@ -47,7 +47,7 @@
 }
 
 pub fn starts_of(driver: &Driver, id: &str) -> Vec<(Incarnation, Run)> {
-    let book = driver.core.book();
+    let book = driver.core.log_state();
     let mut starts = driver.starts();
     starts.retain(|(_, run)| {
         let job = book.jobs.get(&run.task.job);
