--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -6,7 +6,7 @@
 
 use crate::failure::Failure;
 use crate::workflow::advisor::Tickets;
-use crate::workflow::core::fleet::{Candidate, Wish};
+use crate::workflow::core::fleet::{Candidate, PlacementRequest};
 use crate::workflow::core::{Core, Effect, Now, fleet};
 use crate::workflow::fact::Task;
 use crate::workflow::job::Advice;
@@ -37,7 +37,7 @@
 
 /// A question to the advisor.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct AdviceRequest {
     /// Id of the job.
     pub job: Arc<str>,
     /// The step that is to run.
@@ -52,7 +52,7 @@
 
 /// What is known about a step.
 #[derive(Clone, Debug, Default)]
-pub struct Advised {
+pub struct AdviceState {
     /// Workers that may run it.
     good: BTreeMap<Incarnation, (Arc<str>, Duration)>,
     /// Workers that may not, for good.
@@ -86,12 +86,12 @@
     }
 
     /// Asks for the likely workers of a step, unless enough is known or asked.
-    pub(super) fn ask_advice(
+    pub(super) fn request_advice(
         &mut self,
         task: Task,
         tasks: usize,
         fleet: &[Candidate],
-        wish: &Wish<'_>,
+        wish: &PlacementRequest<'_>,
         now: Now,
     ) {
         let asking = self
@@ -109,17 +109,17 @@
             good.get(id)
                 .is_some_and(|(_, until)| *until > now.at + TICKET_MARGIN)
         };
-        let open = Wish {
+        let open = PlacementRequest {
             advised: None,
-            barred: None,
+            excluded: None,
             failed_on: BTreeSet::new(),
-            spread: BTreeMap::new(),
+            runs_per_worker: BTreeMap::new(),
             ..*wish
         };
         let mut likely: Vec<&Candidate> = fleet
             .iter()
             .filter(|candidate| !bad.contains(&candidate.id) && !fresh(&candidate.id))
-            .filter(|candidate| fleet::suits(candidate, &open))
+            .filter(|candidate| fleet::is_eligible(candidate, &open))
             .collect();
         // Known to be good, then roomy.
         likely.sort_by_key(|candidate| {
@@ -141,7 +141,7 @@
         if let Some(advised) = self.advised.get_mut(&key) {
             advised.asked.extend(workers.iter().cloned());
         }
-        self.effects.push(Effect::Advise(Question {
+        self.effects.push(Effect::Advise(AdviceRequest {
             job: id,
             key,
             workers,
@@ -171,7 +171,7 @@
     }
 
     /// Takes the advisor's answer to a question of `asked_at`.
-    pub fn take_advice(
+    pub fn handle_advice(
         &mut self,
         key: StepKey,
         asked_at: Duration,
--- a/ashtiller/src/workflow/core/dump.rs
+++ b/ashtiller/src/workflow/core/dump.rs
@@ -28,7 +28,7 @@
                 "id": worker.incarnation().id(), "born": worker.incarnation().born(), "runs": worker.runs.len(), "answers": worker.answers,
                 "silent_ms": u64::try_from(now.at.saturating_sub(worker.heard).as_millis()).unwrap_or(u64::MAX),
                 "draining": worker.draining.is_some(), "listed": worker.absent.is_none(),
-                "gate": self.gate(worker, now).name(),
+                "gate": self.eligibility(worker, now).name(),
                 "free": worker.pool.free().to_string(),
             })
         });
@@ -41,7 +41,7 @@
             "usual_delay_ms": u64::try_from(self.pressure.usual().as_millis()).unwrap_or(u64::MAX),
             "orders_under_way": self.pressure.under_way(), "orders_window": self.pressure.window(),
             "open_jobs": self.log_state.open().len(), "runs": self.runs.len(),
-            "waiting": self.dump_waits(DUMPED, now), "kept": self.kept_worker(),
+            "waiting": self.dump_waits(DUMPED, now), "kept": self.reserved_worker(),
             "jobs": jobs.collect::<Vec<_>>(), "workers": workers.collect::<Vec<_>>(),
         })
     }
--- a/ashtiller/src/workflow/core/entries.rs
+++ b/ashtiller/src/workflow/core/entries.rs
@@ -74,9 +74,9 @@
         }
     }
 
-    pub(super) fn append(&mut self, now: Now) {
+    pub(super) fn append_entry(&mut self, now: Now) {
         let since = now.at.saturating_sub(self.last_append);
-        let pause = if self.has_room_to_refill(now) {
+        let pause = if self.has_freed_capacity(now) {
             self.terms.commit.min(REFILL)
         } else {
             self.terms.commit
@@ -84,7 +84,7 @@
         if self.in_flight.is_some() || since < pause {
             return;
         }
-        self.take_arrivals(now);
+        self.record_arrivals(now);
         let pause = (ROUND_EACH * self.backlog).min(REPLAN);
         let dirty = self.needs_planning && now.at >= self.last_planning + pause;
         // Workers are let back, and services calm down, without an event.
@@ -93,9 +93,9 @@
             self.last_planning = now.at;
             self.plan(now);
         }
-        self.refill(now);
+        self.place_in_freed_capacity(now);
         self.forget_ended(now);
-        self.keep_lessons(now);
+        self.record_lessons(now);
         if self.pending.is_empty() && since < self.terms.proof {
             return;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Keeps what was learned, for a later owner.
-    pub(super) fn keep_lessons(&mut self, now: Now) {
+    pub(super) fn record_lessons(&mut self, now: Now) {
         if now.at < self.lessons_recorded_at + self.terms.teach {
             return;
         }
--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::resources::Resources;
-use crate::workflow::core::gate::Gate;
+use crate::workflow::core::gate::Eligibility;
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::{Run, Task};
 use crate::workflow::interference::{NeighborFill, Image, Interference};
@@ -55,10 +55,10 @@
 
 /// Workers summed up earlier, until something changes there: in one round of placing
 /// a tenth of a large fleet has changed.
-pub(super) type Summaries = HashMap<Incarnation, Candidate>;
+pub(super) type CandidateCache = HashMap<Incarnation, Candidate>;
 
 /// Runs of one step on each worker.
-pub(super) type Spread = BTreeMap<Incarnation, u32>;
+pub(super) type RunsPerWorker = BTreeMap<Incarnation, u32>;
 
 /// A worker that may get something now.
 #[derive(Clone, Debug)]
@@ -119,10 +119,10 @@
 /// Workers for the tasks of one step, best first. Where one task is placed only that worker
 /// changes, so that each further task costs one worker's comparison in place of all.
 #[derive(Default)]
-pub(super) struct Choices(BinaryHeap<Choice>);
+pub(super) struct CandidateRanking(BinaryHeap<Choice>);
 
 /// What a task wants of its worker.
-pub(super) struct Wish<'a> {
+pub(super) struct PlacementRequest<'a> {
     pub service: &'a Arc<str>,
     pub step: &'a Step,
     pub share: RunSharing,
@@ -130,20 +130,20 @@
     /// Workers on which it failed before.
     pub failed_on: BTreeSet<Incarnation>,
     /// Runs of the same step on each worker.
-    pub spread: Spread,
+    pub runs_per_worker: RunsPerWorker,
     /// Workers that the advisor lets run it, where one is asked.
     pub advised: Option<&'a BTreeMap<Incarnation, Arc<str>>>,
     /// A worker that is kept for another task.
-    pub barred: Option<Incarnation>,
+    pub excluded: Option<Incarnation>,
     /// Whether workers crashed under the task.
     pub suspect: bool,
     /// How selective a run that fills is about services beside it, from 0 to 1.
-    pub selective: f64,
+    pub selectivity: f64,
 }
 
 impl Core {
     /// Sums up the workers that may get something now.
-    pub(super) fn build_fleet(&mut self, now: Now) -> Vec<Candidate> {
+    pub(super) fn collect_candidates(&mut self, now: Now) -> Vec<Candidate> {
         let mut summaries = std::mem::take(&mut self.summaries);
         let open = self
             .workers
@@ -162,21 +162,21 @@
 
     /// Whether a worker may get something now.
     fn is_open(&self, worker: &Worker, now: Now) -> bool {
-        self.gate(worker, now) == Gate::Open
+        self.eligibility(worker, now) == Eligibility::Eligible
     }
 
     /// Whether a worker may start something, by what the platform lists of it.
-    pub(super) fn stays(&self, worker: &Worker, now: Now) -> bool {
+    pub(super) fn accepts_starts(&self, worker: &Worker, now: Now) -> bool {
         worker.entered
             && worker.draining.is_none()
             && worker
                 .absent
-                .is_none_or(|since| self.is_just_back(since, now))
+                .is_none_or(|since| self.may_be_relisted(since, now))
     }
 
     /// Whether a worker that is missing since then may be listed again: its entry may have
     /// lapsed while the store was away, which came back a moment ago.
-    pub(super) fn is_just_back(&self, since: Duration, now: Now) -> bool {
+    pub(super) fn may_be_relisted(&self, since: Duration, now: Now) -> bool {
         self.store_returned_at.is_some_and(|back| {
             let until = back + self.terms.relist;
             now.at < until && since < until && since + self.terms.relist > back
@@ -230,10 +230,10 @@
     }
 
     /// Finds the best worker for a task.
-    pub(super) fn choose(&self, fleet: &[Candidate], wish: &Wish<'_>) -> Option<usize> {
+    pub(super) fn choose_worker(&self, fleet: &[Candidate], wish: &PlacementRequest<'_>) -> Option<usize> {
         let mut best: Option<Choice> = None;
         for (place, candidate) in fleet.iter().enumerate() {
-            if let Some(cost) = self.weigh(candidate, wish)
+            if let Some(cost) = self.placement_cost(candidate, wish)
                 && best.is_none_or(|best| cost < best.cost)
             {
                 best = Some(Choice { cost, place });
@@ -243,8 +243,8 @@
     }
 
     /// What placing a task on a worker costs, where it may go there.
-    pub(super) fn weigh(&self, candidate: &Candidate, wish: &Wish<'_>) -> Option<f64> {
-        if !suits(candidate, wish) {
+    pub(super) fn placement_cost(&self, candidate: &Candidate, wish: &PlacementRequest<'_>) -> Option<f64> {
+        if !is_eligible(candidate, wish) {
             return None;
         }
         let cost = candidate.cost(wish, &self.interference, self.terms.switches);
@@ -255,52 +255,52 @@
     }
 
     /// Ranks all workers for the tasks of a step.
-    pub(super) fn rank_all(&self, fleet: &[Candidate], wish: &Wish<'_>) -> Choices {
-        rank_by(fleet, |candidate| self.weigh(candidate, wish))
+    pub(super) fn rank_candidates(&self, fleet: &[Candidate], wish: &PlacementRequest<'_>) -> CandidateRanking {
+        rank_by(fleet, |candidate| self.placement_cost(candidate, wish))
     }
 
     /// Ranks one worker again, which was taken out as the best and has changed.
-    pub(super) fn rank_again(
+    pub(super) fn rerank_candidate(
         &self,
-        choices: &mut Choices,
+        choices: &mut CandidateRanking,
         fleet: &[Candidate],
         place: usize,
-        wish: &Wish<'_>,
+        wish: &PlacementRequest<'_>,
     ) {
-        if let Some(cost) = self.weigh(&fleet[place], wish) {
+        if let Some(cost) = self.placement_cost(&fleet[place], wish) {
             choices.0.push(Choice { cost, place });
         }
     }
 }
 
 /// Ranks the workers for which there is a cost.
-pub(super) fn rank_by(fleet: &[Candidate], cost: impl Fn(&Candidate) -> Option<f64>) -> Choices {
+pub(super) fn rank_by(fleet: &[Candidate], cost: impl Fn(&Candidate) -> Option<f64>) -> CandidateRanking {
     let costs = fleet.iter().enumerate();
     let costs = costs.filter_map(|(place, candidate)| {
         let cost = cost(candidate)?;
         Some(Choice { cost, place })
     });
-    Choices(costs.collect())
+    CandidateRanking(costs.collect())
 }
 
 /// Whether a worker may run a task at all.
-pub(super) fn suits(candidate: &Candidate, wish: &Wish<'_>) -> bool {
+pub(super) fn is_eligible(candidate: &Candidate, wish: &PlacementRequest<'_>) -> bool {
     let advised = wish.advised;
-    candidate.has_room(wish.service, &wish.room)
-        && wish.barred.as_ref() != Some(&candidate.id)
-        && admits(candidate, wish.step, &wish.spread)
+    candidate.has_capacity(wish.service, &wish.room)
+        && wish.excluded.as_ref() != Some(&candidate.id)
+        && satisfies_constraints(candidate, wish.step, &wish.runs_per_worker)
         && advised.is_none_or(|good| good.contains_key(&candidate.id))
 }
 
 /// Whether a step may have one more task on a worker, whatever room there is.
-pub(super) fn admits(candidate: &Candidate, step: &Step, spread: &Spread) -> bool {
+pub(super) fn satisfies_constraints(candidate: &Candidate, step: &Step, spread: &RunsPerWorker) -> bool {
     let label = step.label.as_ref();
     let labelled = label.is_none_or(|label| candidate.has_label(label));
     let here = || spread.get(&candidate.id).copied().unwrap_or(0);
     labelled && (step.spread == 0 || here() < step.spread)
 }
 
-impl Choices {
+impl CandidateRanking {
     /// Takes out the best worker that is not closed; one may have got a trial since it was ranked.
     pub fn take(&mut self, fleet: &[Candidate]) -> Option<usize> {
         while let Some(best) = self.0.pop() {
@@ -318,7 +318,7 @@
     }
 
     /// Whether a task that wants this much of a service's worker fits here.
-    pub fn has_room(&self, service: &Arc<str>, room: &Resources) -> bool {
+    pub fn has_capacity(&self, service: &Arc<str>, room: &Resources) -> bool {
         !self.closed && room.fits(&self.free) && is_same(&self.service, service)
     }
 
@@ -345,7 +345,7 @@
     }
 
     /// What placing a run here costs, for comparison among workers.
-    fn cost(&self, wish: &Wish<'_>, known: &Interference, on: Switches) -> f64 {
+    fn cost(&self, wish: &PlacementRequest<'_>, known: &Interference, on: Switches) -> f64 {
         let mut cost = FAILURE_COST * f64::from(self.failures);
         if wish.failed_on.contains(&self.id) {
             cost += AGAIN_COST;
@@ -360,7 +360,7 @@
             .share_of(&self.whole);
         match wish.share {
             RunSharing::Fills(image) => {
-                cost += self.fill_cost(image, asked(wish.step), wish.selective, known, on);
+                cost += self.fill_cost(image, asked(wish.step), wish.selectivity, known, on);
             }
             // Services of one image on a worker bear the same fills; full workers leave
             // others free.
@@ -417,7 +417,7 @@
     }
 
     /// Counts a run that was placed here; false when it may get no more.
-    pub(super) fn take(&mut self, wish: &Wish<'_>, known: &Interference) -> bool {
+    pub(super) fn take(&mut self, wish: &PlacementRequest<'_>, known: &Interference) -> bool {
         self.free = self.free.minus(&wish.room);
         self.runs += 1;
         self.fresh = true;
@@ -453,7 +453,7 @@
 }
 
 /// Runs of a step on each worker, where that is bounded.
-pub(super) fn count_spread(core: &Core, task: Task) -> Spread {
+pub(super) fn count_runs_per_worker(core: &Core, task: Task) -> RunsPerWorker {
     let mut counts = BTreeMap::new();
     let Some((job, _)) = core.log_state.task(task) else {
         return counts;
--- a/ashtiller/src/workflow/core/gate.rs
+++ b/ashtiller/src/workflow/core/gate.rs
@@ -10,56 +10,56 @@
 
 /// Whether a worker may get runs.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Gate {
+pub enum Eligibility {
     /// It may.
-    Open,
+    Eligible,
     /// It has not answered under this owner's fence.
     Unfenced,
     /// Its last look was not answered.
     Silent,
     /// It has started again, and a call meant for the life before may still make it forget ends
     /// that nobody has read.
-    Forgetful,
+    MayLoseEnds,
     /// It is about to leave.
     Draining,
     /// Its availability zone is evacuated.
     Evacuated,
     /// It fails, stalls or is slow.
-    Aside,
+    Quarantined,
     /// It was put aside and has a run to show that it works again.
-    Trial,
+    Probation,
     /// It has a run that is suspected of crashing workers.
-    Tried,
+    RunsSuspect,
     /// It is emptied for an upkeep, or may have ended with one.
-    Held,
+    UnderUpkeep,
     /// The platform does not list it.
     Unlisted,
 }
 
-impl Gate {
+impl Eligibility {
     /// Its name in logs, metrics and dumps.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::Open => "open",
+            Self::Eligible => "open",
             Self::Unfenced => "unfenced",
             Self::Silent => "silent",
-            Self::Forgetful => "forgetful",
+            Self::MayLoseEnds => "forgetful",
             Self::Draining => "draining",
             Self::Evacuated => "evacuated",
-            Self::Aside => "aside",
-            Self::Trial => "trial",
-            Self::Tried => "tried",
-            Self::Held => "held",
+            Self::Quarantined => "aside",
+            Self::Probation => "trial",
+            Self::RunsSuspect => "tried",
+            Self::UnderUpkeep => "held",
             Self::Unlisted => "unlisted",
         }
     }
 }
 
 /// Workers by gate, as text: `open 40, trial 2`.
-pub(super) struct Gates(BTreeMap<Gate, u32>);
+pub(super) struct EligibilityCounts(BTreeMap<Eligibility, u32>);
 
-impl fmt::Display for Gates {
+impl fmt::Display for EligibilityCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut comma = "";
         for (gate, count) in &self.0 {
@@ -72,20 +72,20 @@
 
 impl Core {
     /// Whether a worker may get runs now.
-    pub(super) fn gate(&self, worker: &Worker, now: Now) -> Gate {
+    pub(super) fn eligibility(&self, worker: &Worker, now: Now) -> Eligibility {
         let aside = worker.quarantined_until.is_some_and(|until| until > now.at);
         match () {
-            () if !worker.fenced => Gate::Unfenced,
-            () if !worker.answers => Gate::Silent,
-            () if worker.forgetful.is_some_and(|until| until > now.at) => Gate::Forgetful,
-            () if worker.draining.is_some() => Gate::Draining,
-            () if !self.stays(worker, now) => Gate::Unlisted,
-            () if self.is_evacuated(worker) => Gate::Evacuated,
-            () if self.is_closed_for_upkeep(worker) => Gate::Held,
-            () if aside => Gate::Aside,
-            () if self.is_tried(worker, now) => Gate::Trial,
-            () if self.has_trial(worker, now) => Gate::Tried,
-            () => Gate::Open,
+            () if !worker.fenced => Eligibility::Unfenced,
+            () if !worker.answers => Eligibility::Silent,
+            () if worker.forgetful.is_some_and(|until| until > now.at) => Eligibility::MayLoseEnds,
+            () if worker.draining.is_some() => Eligibility::Draining,
+            () if !self.accepts_starts(worker, now) => Eligibility::Unlisted,
+            () if self.is_evacuated(worker) => Eligibility::Evacuated,
+            () if self.is_closed_for_upkeep(worker) => Eligibility::UnderUpkeep,
+            () if aside => Eligibility::Quarantined,
+            () if self.is_tried(worker, now) => Eligibility::Probation,
+            () if self.has_trial(worker, now) => Eligibility::RunsSuspect,
+            () => Eligibility::Eligible,
         }
     }
 
@@ -108,32 +108,32 @@
     }
 
     /// Workers of one service, or of all, by gate.
-    pub(super) fn count_gates(&self, service: Option<&str>, now: Now) -> Gates {
+    pub(super) fn count_by_eligibility(&self, service: Option<&str>, now: Now) -> EligibilityCounts {
         let mut gates = BTreeMap::new();
         let asked = |worker: &&Worker| service.is_none_or(|name| *worker.listed.service == *name);
         for worker in self.workers.values().filter(asked) {
-            *gates.entry(self.gate(worker, now)).or_insert(0) += 1;
+            *gates.entry(self.eligibility(worker, now)).or_insert(0) += 1;
         }
-        Gates(gates)
+        EligibilityCounts(gates)
     }
 
     /// Workers of a service that have room for a task and may not get it, by gate.
-    pub(super) fn count_shut(&self, service: &str, room: &Resources, now: Now) -> Gates {
+    pub(super) fn count_ineligible_with_capacity(&self, service: &str, room: &Resources, now: Now) -> EligibilityCounts {
         let mut gates = BTreeMap::new();
         let workers = self.workers.values();
         let roomy = workers
             .filter(|worker| *worker.listed.service == *service && room.fits(&worker.pool.free()));
-        for gate in roomy.map(|worker| self.gate(worker, now)) {
-            if gate != Gate::Open {
+        for gate in roomy.map(|worker| self.eligibility(worker, now)) {
+            if gate != Eligibility::Eligible {
                 *gates.entry(gate).or_insert(0) += 1;
             }
         }
-        Gates(gates)
+        EligibilityCounts(gates)
     }
 
     /// Workers by gate, for metrics.
     #[must_use]
-    pub fn worker_gates(&self, now: Now) -> BTreeMap<Gate, u32> {
-        self.count_gates(None, now).0
+    pub fn workers_by_eligibility(&self, now: Now) -> BTreeMap<Eligibility, u32> {
+        self.count_by_eligibility(None, now).0
     }
 }
--- a/ashtiller/src/workflow/core/hold.rs
+++ b/ashtiller/src/workflow/core/hold.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::workflow::core::waits::TOLD_AGAIN;
+use crate::workflow::core::waits::WAIT_LOG_INTERVAL;
 use crate::workflow::core::{Core, Now};
 
 /// Starts that wait.
@@ -47,7 +47,7 @@
 
     /// Nothing is planned meanwhile, so no other line tells what waits.
     fn tell_hold(&self, since: Duration, now: Now) {
-        let [(_, lasting), (_, short)] = self.sum_waits(now);
+        let [(_, lasting), (_, short)] = self.summarize_waits(now);
         tracing::info!(
             list_age_ms = self.list_age(now).as_millis(),
             proof_age_ms = self.proof_age(now).as_millis(),
@@ -65,7 +65,7 @@
         let Some(hold) = &mut self.start_hold else {
             return;
         };
-        if now.at < hold.told + TOLD_AGAIN {
+        if now.at < hold.told + WAIT_LOG_INTERVAL {
             return;
         }
         hold.told = now.at;
--- a/ashtiller/src/workflow/core/intake.rs
+++ b/ashtiller/src/workflow/core/intake.rs
@@ -32,7 +32,7 @@
     }
 
     /// Records the jobs that came since the last entry.
-    pub(super) fn take_arrivals(&mut self, now: Now) {
+    pub(super) fn record_arrivals(&mut self, now: Now) {
         for (job, tickets) in std::mem::take(&mut self.arrivals) {
             let Some(queue) = self.config.queue(&job.queue) else {
                 for ticket in tickets {
@@ -88,7 +88,7 @@
     /// Cancels a job; the answer comes when that is durable.
     pub fn cancel(&mut self, id: &str, ticket: Ticket, now: Now) {
         if self.arrivals.iter().any(|(job, _)| *job.id == *id) {
-            self.take_arrivals(now);
+            self.record_arrivals(now);
         }
         let Some(number) = self.log_state.find(id) else {
             tracing::info!(job = id, "cancel of an unknown job");
--- a/ashtiller/src/workflow/core/line.rs
+++ b/ashtiller/src/workflow/core/line.rs
@@ -18,7 +18,7 @@
 
 impl Core {
     /// Sends the orders that are due, as many as may be under way.
-    pub(super) fn drive_orders(&mut self, now: Now) {
+    pub(super) fn dispatch_orders(&mut self, now: Now) {
         let free = self.pressure.available_slots();
         if free == 0 {
             self.pressure.note_limit(now.at);
--- a/ashtiller/src/workflow/core/lives.rs
+++ b/ashtiller/src/workflow/core/lives.rs
@@ -282,7 +282,7 @@
             live.want_stop(StopReason::Restarted);
         }
         self.runs.insert(run, live);
-        self.seat(run, next);
+        self.allocate(run, next);
     }
 
     /// A run has ended here, and a start of it may still be carried out: not by this life, which
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -44,7 +44,7 @@
 use crate::workflow::agents::{Poll, Order, Target};
 use crate::workflow::book::LogState;
 use crate::workflow::config::{Config, ListedWorker};
-use crate::workflow::core::advice::{Advised, Question, StepKey};
+use crate::workflow::core::advice::{AdviceState, AdviceRequest, StepKey};
 use crate::workflow::core::upkeep::WaveProgress;
 use crate::workflow::fact::{LogRecord, Outcome, Run};
 use crate::workflow::interference::Interference;
@@ -84,7 +84,7 @@
     /// Look at a worker.
     Look(Target, Poll),
     /// Ask the advisor which workers may run a step.
-    Advise(Question),
+    Advise(AdviceRequest),
     /// Give a machine an order.
     Duty(Arc<str>, MachineOrder),
     /// Answer who waits.
@@ -138,7 +138,7 @@
     log_state: LogState,
     workers: BTreeMap<Incarnation, Worker>,
     /// Where lives of workers were seen.
-    places: places::Places,
+    places: places::LocationIndex,
     runs: BTreeMap<Run, LiveRun>,
     /// Runs of earlier owners whose workers were not listed yet.
     adopted: adopt::Adopted,
@@ -172,11 +172,11 @@
     /// Since when starts wait.
     start_hold: Option<hold::StartHold>,
     effects: Vec<Effect>,
-    advised: BTreeMap<StepKey, Advised>,
+    advised: BTreeMap<StepKey, AdviceState>,
     waves: BTreeMap<u64, WaveProgress>,
     load_tracks: BTreeMap<u32, HeadroomHistory>,
     interference: Interference,
-    summaries: fleet::Summaries,
+    summaries: fleet::CandidateCache,
     /// How much may be under way at workers.
     pressure: Congestion,
     /// Whether answers waited in a queue when that was last looked at.
@@ -187,8 +187,8 @@
     /// When looks that are due were last searched for.
     last_poll_scan: Duration,
     /// Lasting steps that wait although there was room, by job, time and step.
-    passed_over: BTreeMap<StepKey, room::PassedOver>,
-    reserved: Option<room::Reserved>,
+    passed_over: BTreeMap<StepKey, room::StarvationTracker>,
+    reserved: Option<room::WorkerReservation>,
     /// Workers whose runs have left room since the last round, while lasting steps wait.
     freed_workers: BTreeSet<Incarnation>,
     /// When it was last said of a step that it waits.
@@ -196,9 +196,9 @@
     /// When a step that is too late last went first.
     last_rescue: Duration,
     services: BTreeSet<Arc<str>>,
-    ledger: times::Ledger,
+    ledger: times::JobTimings,
     /// Times of jobs that ended, until they are counted.
-    ended_job_times: Vec<times::Times>,
+    ended_job_times: Vec<times::TimeBreakdown>,
     lessons_recorded_at: Duration,
     /// Entries that name a life which is not there, passed over until then.
     stale_entries: BTreeMap<Incarnation, (ListedWorker, Duration)>,
@@ -217,7 +217,7 @@
             epoch,
             log_state: book,
             workers: BTreeMap::new(),
-            places: places::Places::default(),
+            places: places::LocationIndex::default(),
             runs: BTreeMap::new(),
             adopted: adopt::Adopted::default(),
             config: Arc::default(),
@@ -249,7 +249,7 @@
             waves: BTreeMap::new(),
             load_tracks: BTreeMap::new(),
             interference: Interference::default(),
-            summaries: fleet::Summaries::default(),
+            summaries: fleet::CandidateCache::default(),
             pressure: Congestion::default(),
             workers_queueing: false,
             order_queue: VecDeque::new(),
@@ -261,7 +261,7 @@
             wait_logged_at: BTreeMap::new(),
             last_rescue: now.at,
             services: BTreeSet::new(),
-            ledger: times::Ledger::default(),
+            ledger: times::JobTimings::default(),
             ended_job_times: Vec::new(),
             lessons_recorded_at: now.at,
             stale_entries: BTreeMap::new(),
@@ -378,8 +378,8 @@
         }
         self.resume_starts(now);
         self.refuse_arrivals(now);
-        self.append(now);
-        self.drive_orders(now);
+        self.append_entry(now);
+        self.dispatch_orders(now);
         self.send_due_polls(now);
         std::mem::take(&mut self.effects)
     }
@@ -405,10 +405,10 @@
     }
 
     pub(super) fn close_job(&mut self, number: u32, outcome: Outcome) {
-        let times = self.time_job(number);
+        let times = self.finish_job_times(number);
         if let Some(job) = self.log_state.jobs.get(&number) {
             tracing::info!(job = %job.job.id, ?outcome, position = self.position,
-                room_ms = times.room.as_millis(), answer_ms = times.answer.as_millis(),
+                room_ms = times.room.as_millis(), answer_ms = times.start_delay.as_millis(),
                 work_ms = times.work.as_millis(), paced_ms = times.paced.as_millis(), "job ended");
         }
         self.advised.retain(|key, _| key.0 != number);
--- a/ashtiller/src/workflow/core/moves.rs
+++ b/ashtiller/src/workflow/core/moves.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::workflow::core::fleet::{self, Wish};
-use crate::workflow::core::plan::{Demand, Placing};
+use crate::workflow::core::fleet::{self, PlacementRequest};
+use crate::workflow::core::plan::{Demand, PlacementRound};
 use crate::workflow::core::{Core, Now, share_of};
 use crate::workflow::fact::{Run, Task};
 use crate::workflow::live::{StopReason, Stop};
@@ -19,7 +19,7 @@
 
 impl Core {
     /// Tasks that may have copies and whose only run is on a worker that says nothing.
-    pub(super) fn collect_silent(&self) -> Vec<Task> {
+    pub(super) fn collect_copyable_tasks(&self) -> Vec<Task> {
         let silent = self
             .workers
             .values()
@@ -38,7 +38,7 @@
     }
 
     /// Starts a copy rather than wait for the lease of a worker that says nothing.
-    pub(super) fn place_copy(&mut self, task: Task, placing: &mut Placing, now: Now) {
+    pub(super) fn place_copy(&mut self, task: Task, placing: &mut PlacementRound, now: Now) {
         let Some((job, state)) = self.log_state.task(task) else {
             return;
         };
@@ -52,32 +52,32 @@
         );
         let step = &spec.steps[usize::from(task.step)];
         let (share, _) = share_of(&mut self.interference, step);
-        let wish = Wish {
+        let wish = PlacementRequest {
             service: &service,
             step,
             share,
             room: step.room(),
             failed_on,
-            spread: fleet::count_spread(self, task),
+            runs_per_worker: fleet::count_runs_per_worker(self, task),
             advised: None,
-            barred: None,
+            excluded: None,
             suspect: false,
-            selective: 0.0,
+            selectivity: 0.0,
         };
-        let Some(place) = self.choose(&placing.fleet, &wish) else {
+        let Some(place) = self.choose_worker(&placing.fleet, &wish) else {
             return;
         };
         let id = placing.fleet[place].id.clone();
         if !placing.fleet[place].take(&wish, &self.interference) {
             placing.fleet[place].close();
         }
-        let number = self.next_run(task);
+        let number = self.next_run_number(task);
         tracing::info!(%task, run = number, worker = %id, "copy of a run whose worker does not answer");
-        self.place(Run { task, number }, &id, None, now);
+        self.place_run(Run { task, number }, &id, None, now);
     }
 
     /// Runs that fill and stand still for the services beside them.
-    pub(super) fn collect_crowded(&self, now: Now) -> Vec<Run> {
+    pub(super) fn collect_throttled_runs(&self, now: Now) -> Vec<Run> {
         if !self.terms.switches.move_fills {
             return Vec::new();
         }
@@ -88,7 +88,7 @@
     }
 
     /// Stops a run that stands still when there is a worker where it would go on.
-    pub(super) fn consider_move(&mut self, run: Run, placing: &mut Placing, now: Now) {
+    pub(super) fn consider_move(&mut self, run: Run, placing: &mut PlacementRound, now: Now) {
         let Some((job, state)) = self.log_state.task(run.task) else {
             return;
         };
@@ -108,25 +108,25 @@
             service: service.clone(),
             share: live.share,
             room: step.room(),
-            selective,
+            selectivity: selective,
         };
-        if placing.is_hopeless(&demand) {
+        if placing.is_known_unplaceable(&demand) {
             return;
         }
-        let wish = Wish {
+        let wish = PlacementRequest {
             service: &service,
             step,
             share: live.share,
             room: step.room(),
             failed_on: state.failed_on.clone(),
-            spread: BTreeMap::new(),
+            runs_per_worker: BTreeMap::new(),
             advised: None,
-            barred: None,
+            excluded: None,
             suspect: false,
-            selective,
+            selectivity: selective,
         };
-        let Some(place) = self.choose(&placing.fleet, &wish) else {
-            placing.refuse(demand);
+        let Some(place) = self.choose_worker(&placing.fleet, &wish) else {
+            placing.note_unplaceable(demand);
             return;
         };
         if placing.fleet[place].id == live.worker {
--- a/ashtiller/src/workflow/core/order.rs
+++ b/ashtiller/src/workflow/core/order.rs
@@ -18,28 +18,28 @@
 /// the time that is left to begin.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Urgency {
-    pub late: u8,
+    pub lateness: u8,
     pub priority: u32,
     pub slack: i64,
 }
 
 /// Tasks of one step of one time of a job that wait.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) struct Waiting {
+pub(super) struct WaitingStep {
     pub urgency: Urgency,
     pub job: u32,
     pub time: u32,
     pub step: u16,
 }
 
-impl Waiting {
+impl WaitingStep {
     pub fn key(&self) -> StepKey {
         (self.job, self.time, self.step)
     }
 
     /// Puts it first among its priority.
-    pub fn hasten(&mut self) {
-        self.urgency.late = 0;
+    pub fn promote(&mut self) {
+        self.urgency.lateness = 0;
         self.urgency.slack = i64::MIN;
     }
 
@@ -50,7 +50,7 @@
 }
 
 impl Core {
-    pub(super) fn collect_waiting(&self, now: Now) -> Vec<Waiting> {
+    pub(super) fn collect_waiting_steps(&self, now: Now) -> Vec<WaitingStep> {
         let mut found = Vec::new();
         for number in self.log_state.open() {
             let job = &self.log_state.jobs[number];
@@ -64,7 +64,7 @@
         found
     }
 
-    pub(super) fn waiting_tasks(&self, entry: Waiting) -> Vec<Task> {
+    pub(super) fn waiting_tasks(&self, entry: WaitingStep) -> Vec<Task> {
         let job = &self.log_state.jobs[&entry.job];
         let state = &job.occurrences[&entry.time].steps[usize::from(entry.step)];
         let tasks = (0..).zip(&state.tasks).filter(|(_, task)| task.waits());
@@ -99,7 +99,7 @@
 }
 
 fn collect_round(
-    found: &mut Vec<Waiting>,
+    found: &mut Vec<WaitingStep>,
     number: u32,
     time: u32,
     job: &JobState,
@@ -118,11 +118,11 @@
         }
         let (late, slack) = lateness(due, objective, *chain, now);
         let urgency = Urgency {
-            late: if asked.long_running { TOO_LATE } else { late },
+            lateness: if asked.long_running { TOO_LATE } else { late },
             priority: job.policy.priority,
             slack: if asked.long_running { i64::MAX } else { slack },
         };
-        found.push(Waiting {
+        found.push(WaitingStep {
             urgency,
             job: number,
             time,
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -6,7 +6,7 @@
 use crate::failure::{self, Failure};
 use crate::workflow::agents::{TaskName, ORDER_TIMEOUT_MIN, Order, Refusal, OrderReply, Start};
 use crate::workflow::core::looks::POLL_RETRY;
-use crate::workflow::core::place::Fits;
+use crate::workflow::core::place::FitsWhen;
 use crate::workflow::core::{Core, Effect, Now, line};
 use crate::workflow::fact::{End, Run};
 use crate::workflow::life::Incarnation;
@@ -143,13 +143,13 @@
         let list_age = self.list_age(now);
         // It may have left since the run was placed, or since a start that got no answer.
         let worker = self.workers.get(id)?;
-        if !self.stays(worker, now) || self.is_evacuated(worker) {
+        if !self.accepts_starts(worker, now) || self.is_evacuated(worker) {
             return None;
         }
-        match self.judge_room(run, id) {
-            Fits::Now => {}
-            Fits::Later => return None,
-            Fits::Never => {
+        match self.check_fit(run, id) {
+            FitsWhen::Now => {}
+            FitsWhen::Later => return None,
+            FitsWhen::Never => {
                 tracing::info!(task = %run.task, run = run.number, worker = %id,
                     "start is withdrawn: the worker's room has shrunk");
                 self.request_stop(run, StopReason::Shrunk);
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -166,7 +166,7 @@
     }
 
     /// Notes a fill that has ended, for the reports that still show it.
-    pub(super) fn note_left(&mut self, live: &LiveRun, now: Now) {
+    pub(super) fn note_fill_ended(&mut self, live: &LiveRun, now: Now) {
         let (RunSharing::Fills(image), Stage::Started(_)) = (live.share, live.stage) else {
             return;
         };
--- a/ashtiller/src/workflow/core/place.rs
+++ b/ashtiller/src/workflow/core/place.rs
@@ -11,7 +11,7 @@
 
 /// Whether a start still fits into its worker's room.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Fits {
+pub(super) enum FitsWhen {
     /// It does.
     Now,
     /// Once those that are withdrawn are known not to run.
@@ -23,13 +23,13 @@
 impl Core {
     /// Whether a run that was placed earlier may still be started: the worker's room may have
     /// shrunk. All that may run there counts, and so does what is being stopped.
-    pub(super) fn judge_room(&self, run: Run, id: &Incarnation) -> Fits {
+    pub(super) fn check_fit(&self, run: Run, id: &Incarnation) -> FitsWhen {
         let Some(worker) = self.workers.get(id) else {
-            return Fits::Never;
+            return FitsWhen::Never;
         };
         let (whole, taken) = (worker.pool.whole(), worker.pool.taken());
         if taken.fits(whole) {
-            return Fits::Now;
+            return FitsWhen::Now;
         }
         let withdrawn = worker.runs.iter().filter(|other| {
             let live = self.runs.get(other);
@@ -44,14 +44,14 @@
         });
         let later = rooms.fold(*taken, |left: Resources, room| left.minus(&room));
         if later.fits(whole) {
-            Fits::Later
+            FitsWhen::Later
         } else {
-            Fits::Never
+            FitsWhen::Never
         }
     }
 
     /// Counts a run in its worker's room.
-    pub(super) fn seat(&mut self, run: Run, id: &Incarnation) {
+    pub(super) fn allocate(&mut self, run: Run, id: &Incarnation) {
         let Some((job, _)) = self.log_state.task(run.task) else {
             return;
         };
@@ -109,7 +109,7 @@
     }
 
     /// Gives a run to a worker.
-    pub(super) fn place(&mut self, run: Run, id: &Incarnation, ticket: Option<Arc<str>>, now: Now) {
+    pub(super) fn place_run(&mut self, run: Run, id: &Incarnation, ticket: Option<Arc<str>>, now: Now) {
         let Some((job, task)) = self.log_state.task(run.task) else {
             return;
         };
@@ -119,7 +119,7 @@
         let saved = task.checkpoint.clone();
         let (share, processors) = share_of(&mut self.interference, step);
         self.counts.placed += 1;
-        self.time_place(run, now.at);
+        self.record_placement_time(run, now.at);
         let stage = Stage::Recorded(self.position);
         let mut live = LiveRun::new(id.clone(), stage, share, processors, now.at);
         live.checkpoint = saved.clone();
@@ -127,6 +127,6 @@
         self.record(LogRecord::Placed(run, id.clone(), saved), now);
         self.runs.insert(run, live);
         self.workers_to_wake.insert(id.clone());
-        self.seat(run, id);
+        self.allocate(run, id);
     }
 }
--- a/ashtiller/src/workflow/core/places.rs
+++ b/ashtiller/src/workflow/core/places.rs
@@ -12,12 +12,12 @@
 /// Lives by machine and by address. Entries of a worker change, so one that is found here may
 /// be elsewhere by now.
 #[derive(Debug, Default)]
-pub(super) struct Places {
+pub(super) struct LocationIndex {
     machines: HashMap<Arc<str>, Vec<Incarnation>>,
     addresses: HashMap<SocketAddr, Vec<Incarnation>>,
 }
 
-impl Places {
+impl LocationIndex {
     /// A life is where its entry says.
     pub fn note(&mut self, listed: &ListedWorker) {
         if let Some(machine) = &listed.machine {
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -5,8 +5,8 @@
 
 use crate::resources::Resources;
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::fleet::{self, Candidate, Wish};
-use crate::workflow::core::order::Waiting;
+use crate::workflow::core::fleet::{self, Candidate, PlacementRequest};
+use crate::workflow::core::order::WaitingStep;
 use crate::workflow::core::trials::{TrialResult, ActiveTrials};
 use crate::workflow::core::{Core, Now, share_of};
 use crate::workflow::fact::{Run, Task};
@@ -20,7 +20,7 @@
     pub share: RunSharing,
     pub room: Resources,
     /// How selective it is, if it fills.
-    pub selective: f64,
+    pub selectivity: f64,
 }
 
 impl Demand {
@@ -29,41 +29,41 @@
         self.service == other.service
             && self.share == other.share
             && self.room.fits(&other.room)
-            && self.selective <= other.selective
+            && self.selectivity <= other.selectivity
     }
 }
 
 /// One round of placing.
-pub(super) struct Placing {
+pub(super) struct PlacementRound {
     pub fleet: Vec<Candidate>,
     /// What found no worker.
     refused: Vec<Demand>,
     /// Worker that gets no short runs until a lasting one has room there.
     pub reserved: Option<Incarnation>,
     /// A step that is too late and goes first in this round.
-    pub rescued: Option<StepKey>,
+    pub promoted_late: Option<StepKey>,
     /// Trials of tasks that are suspected of crashing workers.
     pub trials: ActiveTrials,
 }
 
-impl Placing {
+impl PlacementRound {
     pub fn new(fleet: Vec<Candidate>, trials: ActiveTrials) -> Self {
         Self {
             fleet,
             refused: Vec::new(),
             reserved: None,
-            rescued: None,
+            promoted_late: None,
             trials,
         }
     }
 
     /// Whether a task like this, or one that wants less, found no worker before.
-    pub fn is_hopeless(&self, demand: &Demand) -> bool {
+    pub fn is_known_unplaceable(&self, demand: &Demand) -> bool {
         self.refused.iter().any(|refused| refused.is_within(demand))
     }
 
     /// Notes that no worker takes a task like this.
-    pub fn refuse(&mut self, demand: Demand) {
+    pub fn note_unplaceable(&mut self, demand: Demand) {
         self.refused.push(demand);
     }
 }
@@ -88,7 +88,7 @@
         }
     }
 
-    fn admits(&self, wish: &Wish<'_>) -> bool {
+    fn admits(&self, wish: &PlacementRequest<'_>) -> bool {
         let spread = wish.step.spread;
         wish.room.fits(&self.left) && (spread == 0 || self.here < spread)
     }
@@ -98,14 +98,14 @@
     /// Places what waits and fits.
     pub(super) fn plan(&mut self, now: Now) {
         self.freed_workers.clear();
-        let mut waiting = self.collect_waiting(now);
+        let mut waiting = self.collect_waiting_steps(now);
         self.backlog = u32::try_from(waiting.len()).unwrap_or(u32::MAX);
         if !self.terms.switches.short_first {
             let lasting = waiting.iter_mut().filter(|entry| self.is_lasting(entry));
-            lasting.for_each(Waiting::hasten);
+            lasting.for_each(WaitingStep::promote);
         }
-        let silent = self.collect_silent();
-        let crowded = self.collect_crowded(now);
+        let silent = self.collect_copyable_tasks();
+        let crowded = self.collect_throttled_runs(now);
         if waiting.is_empty() && silent.is_empty() && crowded.is_empty() {
             return;
         }
@@ -117,12 +117,12 @@
             self.hold_starts(now);
             return;
         }
-        let fleet = self.build_fleet(now);
+        let fleet = self.collect_candidates(now);
         let trials = self.count_trials(&fleet, now);
-        let mut placing = Placing::new(fleet, trials);
+        let mut placing = PlacementRound::new(fleet, trials);
         if self.terms.switches.room_in_time {
-            self.hasten_lasting(&mut waiting, &mut placing, now);
-            self.rescue_oldest(&mut waiting, &mut placing, now);
+            self.promote_lasting(&mut waiting, &mut placing, now);
+            self.promote_oldest_late(&mut waiting, &mut placing, now);
         }
         waiting.sort_unstable();
         for entry in waiting {
@@ -131,7 +131,7 @@
                 self.ledger.note_placed(entry.key());
                 self.wait_logged_at.remove(&entry.key());
             } else {
-                self.tell_wait(entry, &placing, now);
+                self.log_wait(entry, &placing, now);
             }
         }
         for task in silent {
@@ -142,7 +142,7 @@
         }
     }
 
-    fn demand_of(&mut self, entry: Waiting, now: Now) -> Demand {
+    fn demand_of(&mut self, entry: WaitingStep, now: Now) -> Demand {
         let job = &self.log_state.jobs[&entry.job];
         let (service, spec) = (job.policy.service.clone(), job.job.clone());
         let step = &spec.steps[usize::from(entry.step)];
@@ -151,7 +151,7 @@
             service: self.intern_service(&service),
             share,
             room: step.room(),
-            selective: if step.fills() {
+            selectivity: if step.fills() {
                 self.selectivity(entry.key(), now)
             } else {
                 0.0
@@ -159,9 +159,9 @@
         }
     }
 
-    pub(super) fn plan_step(&mut self, entry: Waiting, placing: &mut Placing, now: Now) {
+    pub(super) fn plan_step(&mut self, entry: WaitingStep, placing: &mut PlacementRound, now: Now) {
         let demand = self.demand_of(entry, now);
-        if placing.is_hopeless(&demand) {
+        if placing.is_known_unplaceable(&demand) {
             return;
         }
         let job = &self.log_state.jobs[&entry.job];
@@ -173,31 +173,31 @@
             return;
         };
         let tickets = advice.then(|| self.tickets(first, now));
-        let rescued = placing.rescued == Some(entry.key());
-        let mut wish = Wish {
+        let rescued = placing.promoted_late == Some(entry.key());
+        let mut wish = PlacementRequest {
             service: &demand.service,
             step,
             share: demand.share,
             room: demand.room,
             failed_on: BTreeSet::new(),
-            spread: BTreeMap::new(),
+            runs_per_worker: BTreeMap::new(),
             advised: tickets.as_ref(),
-            barred: placing
+            excluded: placing
                 .reserved
                 .clone()
                 .filter(|_| !step.long_running && !step.fills() && !rescued),
             suspect: tasks.iter().any(|task| self.is_suspect(*task)),
-            selective: demand.selective,
+            selectivity: demand.selectivity,
         };
         if step.gang {
             if !self.plan_gang(&tasks, &wish, placing, now) && advice {
-                self.ask_advice(first, tasks.len(), &placing.fleet, &wish, now);
+                self.request_advice(first, tasks.len(), &placing.fleet, &wish, now);
             }
             return;
         }
         let alike = step.label.is_none() && step.spread == 0 && !advice;
         if step.spread > 0 {
-            wish.spread = fleet::count_spread(self, first);
+            wish.runs_per_worker = fleet::count_runs_per_worker(self, first);
         }
         let mut choices = None;
         for (done, task) in tasks.iter().enumerate() {
@@ -212,44 +212,44 @@
             }
             let usual = wish.failed_on.is_empty();
             let place = if usual {
-                let choices = choices.get_or_insert_with(|| self.rank_all(&placing.fleet, &wish));
+                let choices = choices.get_or_insert_with(|| self.rank_candidates(&placing.fleet, &wish));
                 choices.take(&placing.fleet)
             } else {
-                self.choose(&placing.fleet, &wish)
+                self.choose_worker(&placing.fleet, &wish)
             };
-            debug_assert_eq!(place, self.choose(&placing.fleet, &wish));
+            debug_assert_eq!(place, self.choose_worker(&placing.fleet, &wish));
             let Some(place) = place else {
                 if alike {
-                    placing.refuse(demand.clone());
+                    placing.note_unplaceable(demand.clone());
                 }
                 if advice {
-                    self.ask_advice(first, tasks.len() - done, &placing.fleet, &wish, now);
+                    self.request_advice(first, tasks.len() - done, &placing.fleet, &wish, now);
                 }
                 return;
             };
             let id = placing.fleet[place].id.clone();
             let stays = placing.fleet[place].take(&wish, &self.interference);
             if step.spread > 0 {
-                *wish.spread.entry(id.clone()).or_insert(0) += 1;
+                *wish.runs_per_worker.entry(id.clone()).or_insert(0) += 1;
             }
             if !stays {
                 placing.fleet[place].close();
             }
             match &mut choices {
                 Some(choices) if usual => {
-                    self.rank_again(choices, &placing.fleet, place, &wish);
+                    self.rerank_candidate(choices, &placing.fleet, place, &wish);
                 }
                 // What is known of one worker has changed.
                 _ => choices = None,
             }
             let run = Run {
                 task: *task,
-                number: self.next_run(*task),
+                number: self.next_run_number(*task),
             };
             let ticket = tickets
                 .as_ref()
                 .and_then(|tickets| tickets.get(&id).cloned());
-            self.place(run, &id, ticket, now);
+            self.place_run(run, &id, ticket, now);
             if rescued {
                 self.last_rescue = now.at;
             }
@@ -260,8 +260,8 @@
     fn plan_gang(
         &mut self,
         tasks: &[Task],
-        wish: &Wish<'_>,
-        placing: &mut Placing,
+        wish: &PlacementRequest<'_>,
+        placing: &mut PlacementRound,
         now: Now,
     ) -> bool {
         if tasks.len() < wish.step.count as usize {
@@ -285,7 +285,7 @@
             };
             let number = tasks
                 .iter()
-                .map(|task| self.next_run(*task))
+                .map(|task| self.next_run_number(*task))
                 .max()
                 .unwrap_or(1);
             for (task, place) in tasks.iter().zip(&chosen) {
@@ -293,7 +293,7 @@
                 candidate.take(wish, &self.interference);
                 let id = candidate.id.clone();
                 let ticket = wish.advised.and_then(|tickets| tickets.get(&id).cloned());
-                self.place(
+                self.place_run(
                     Run {
                         task: *task,
                         number,
@@ -337,14 +337,14 @@
     fn choose_gang(
         &self,
         apart: &[bool],
-        wish: &Wish<'_>,
+        wish: &PlacementRequest<'_>,
         fleet: &[Candidate],
         rack: Option<&Arc<str>>,
     ) -> Option<Vec<usize>> {
         let mut free: Vec<Seat> = fleet
             .iter()
             .enumerate()
-            .filter(|(_, candidate)| fleet::suits(candidate, wish))
+            .filter(|(_, candidate)| fleet::is_eligible(candidate, wish))
             .filter(|(_, candidate)| {
                 let worker = self.workers.get(&candidate.id);
                 rack.is_none_or(|rack| worker.is_some_and(|worker| worker.has_label(rack)))
@@ -365,7 +365,7 @@
         Some(chosen)
     }
 
-    pub(super) fn next_run(&self, task: Task) -> u32 {
+    pub(super) fn next_run_number(&self, task: Task) -> u32 {
         self.log_state.task(task).map_or(1, |(_, state)| state.last + 1)
     }
 }
--- a/ashtiller/src/workflow/core/refill.rs
+++ b/ashtiller/src/workflow/core/refill.rs
@@ -2,32 +2,32 @@
 //! through all that waits.
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::order::{Urgency, Waiting};
-use crate::workflow::core::plan::Placing;
+use crate::workflow::core::order::{Urgency, WaitingStep};
+use crate::workflow::core::plan::PlacementRound;
 use crate::workflow::core::{Core, Now};
 
 impl Core {
     /// Gives room that runs have left since the last round to lasting tasks that go first.
     /// Rounds come less often the more waits, 5 times a second with 2,000 steps; until the next
     /// one, room that a lasting task could have would stand empty.
-    pub(super) fn refill(&mut self, now: Now) {
+    pub(super) fn place_in_freed_capacity(&mut self, now: Now) {
         let freed = std::mem::take(&mut self.freed_workers);
         if freed.is_empty() || !self.may_start(now) {
             return;
         }
-        let blocked = self.collect_blocked(now).into_iter();
+        let blocked = self.collect_starved(now).into_iter();
         let waiting = blocked.filter_map(|key| self.find_waiting(key));
-        let mut waiting: Vec<Waiting> = waiting.collect();
+        let mut waiting: Vec<WaitingStep> = waiting.collect();
         if waiting.is_empty() {
             return;
         }
         waiting.sort_unstable();
-        let mut fleet = self.build_fleet(now);
+        let mut fleet = self.collect_candidates(now);
         fleet.retain(|candidate| freed.contains(&candidate.id));
         let trials = self.count_trials(&fleet, now);
-        let mut placing = Placing::new(fleet, trials);
+        let mut placing = PlacementRound::new(fleet, trials);
         for entry in waiting {
-            if !self.has_room(&entry, &placing.fleet) {
+            if !self.has_capacity(&entry, &placing.fleet) {
                 continue;
             }
             self.plan_step(entry, &mut placing, now);
@@ -39,13 +39,13 @@
     }
 
     /// Whether runs have left room since the last entry that a lasting task may be waiting for.
-    pub(super) fn has_room_to_refill(&self, now: Now) -> bool {
-        !self.freed_workers.is_empty() && !self.collect_blocked(now).is_empty()
+    pub(super) fn has_freed_capacity(&self, now: Now) -> bool {
+        !self.freed_workers.is_empty() && !self.collect_starved(now).is_empty()
     }
 
     /// A lasting step that waited in the last round, if tasks of it still do: by priority, then
     /// the one for which a worker is kept, then the one that waits longest.
-    fn find_waiting(&self, key: StepKey) -> Option<Waiting> {
+    fn find_waiting(&self, key: StepKey) -> Option<WaitingStep> {
         let (job, time, step) = key;
         let state = self.log_state.jobs.get(&job)?;
         let round = state.occurrences.get(&time)?;
@@ -54,11 +54,11 @@
             return None;
         }
         let urgency = Urgency {
-            late: 0,
+            lateness: 0,
             priority: state.policy.priority,
-            slack: self.rank_passed(key),
+            slack: self.starvation_rank(key),
         };
-        Some(Waiting {
+        Some(WaitingStep {
             urgency,
             job,
             time,
--- a/ashtiller/src/workflow/core/room.rs
+++ b/ashtiller/src/workflow/core/room.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::fleet::{self, Candidate, Spread};
-use crate::workflow::core::order::{TOO_LATE, Waiting};
-use crate::workflow::core::plan::Placing;
+use crate::workflow::core::fleet::{self, Candidate, RunsPerWorker};
+use crate::workflow::core::order::{TOO_LATE, WaitingStep};
+use crate::workflow::core::plan::PlacementRound;
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::Task;
 use crate::workflow::life::Incarnation;
@@ -32,7 +32,7 @@
 
 /// How long a lasting step has waited.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PassedOver {
+pub(super) struct StarvationTracker {
     /// When it was first seen to wait.
     began: Duration,
     /// Since when there has been room for it, but for short gaps.
@@ -41,7 +41,7 @@
     last: Duration,
 }
 
-impl PassedOver {
+impl StarvationTracker {
     fn new(now: Duration) -> Self {
         Self {
             began: now,
@@ -76,7 +76,7 @@
 
 /// A worker that is kept for a lasting step.
 #[derive(Clone, Debug)]
-pub(super) struct Reserved {
+pub(super) struct WorkerReservation {
     step: StepKey,
     worker: Incarnation,
     since: Duration,
@@ -86,23 +86,23 @@
     /// A lasting step stands first when it begins to wait, and when there has been room for
     /// it all along, or none for long: what is placed before it takes that room again and again.
     /// The one that waits longest without room, and for which a worker can be emptied, gets one to itself.
-    pub(super) fn hasten_lasting(
+    pub(super) fn promote_lasting(
         &mut self,
-        waiting: &mut [Waiting],
-        placing: &mut Placing,
+        waiting: &mut [WaitingStep],
+        placing: &mut PlacementRound,
         now: Now,
     ) {
         let mut passed_over = std::mem::take(&mut self.passed_over);
-        let keys: BTreeSet<StepKey> = waiting.iter().map(Waiting::key).collect();
+        let keys: BTreeSet<StepKey> = waiting.iter().map(WaitingStep::key).collect();
         passed_over.retain(|key, _| keys.contains(key));
         for entry in waiting.iter_mut().filter(|entry| self.is_lasting(entry)) {
             let new = !passed_over.contains_key(&entry.key());
             let passed = passed_over
                 .entry(entry.key())
-                .or_insert(PassedOver::new(now.at));
-            passed.note(self.has_room(entry, &placing.fleet), now.at);
+                .or_insert(StarvationTracker::new(now.at));
+            passed.note(self.has_capacity(entry, &placing.fleet), now.at);
             if new || passed.is_overdue(now.at) || passed.is_blocked(now.at) {
-                entry.hasten();
+                entry.promote();
                 // A trial shuts its worker, and the next one would follow it at once.
                 if self.waits_for_trials(entry) {
                     entry.yield_to_equals();
@@ -114,7 +114,7 @@
     }
 
     /// Whether all tasks of a step that wait are to be tried apart from others.
-    fn waits_for_trials(&self, entry: &Waiting) -> bool {
+    fn waits_for_trials(&self, entry: &WaitingStep) -> bool {
         !self.log_state.suspects().is_empty()
             && self
                 .waiting_tasks(*entry)
@@ -123,14 +123,14 @@
     }
 
     /// Keeps a worker for the lasting step that has waited longest without room.
-    fn reserve(&mut self, waiting: &mut [Waiting], fleet: &[Candidate], now: Now) -> Option<Incarnation> {
+    fn reserve(&mut self, waiting: &mut [WaitingStep], fleet: &[Candidate], now: Now) -> Option<Incarnation> {
         if let Some(kept) = self.reserved.take()
             && now.at < kept.since + RESERVED_MAX
             && let Some(entry) = waiting.iter_mut().find(|entry| entry.key() == kept.step)
             && let Some(candidate) = fleet.iter().find(|it| it.id == kept.worker)
         {
             if self.fits_step(entry, candidate) {
-                entry.hasten();
+                entry.promote();
             }
             let worker = kept.worker.clone();
             self.reserved = Some(kept);
@@ -139,14 +139,14 @@
         let blocked = waiting.iter().filter_map(|entry| {
             Some((self.passed_over.get(&entry.key())?.blocked(now.at)?, entry))
         });
-        let mut blocked: Vec<(Duration, &Waiting)> = blocked.collect();
+        let mut blocked: Vec<(Duration, &WaitingStep)> = blocked.collect();
         blocked.sort_unstable();
         // One for which no worker can be emptied must not stop the others.
         let (entry, worker) = blocked
             .into_iter()
             .find_map(|(_, entry)| Some((entry, self.find_emptying(entry, fleet)?)))?;
         tracing::debug!(job = entry.job, %worker, "worker kept for a lasting task");
-        self.reserved = Some(Reserved {
+        self.reserved = Some(WorkerReservation {
             step: entry.key(),
             worker: worker.clone(),
             since: now.at,
@@ -156,10 +156,10 @@
 
     /// The oldest short step that is too late to earn anything goes first now and then, so
     /// that it still ends while newer ones keep coming.
-    pub(super) fn rescue_oldest(
+    pub(super) fn promote_oldest_late(
         &mut self,
-        waiting: &mut [Waiting],
-        placing: &mut Placing,
+        waiting: &mut [WaitingStep],
+        placing: &mut PlacementRound,
         now: Now,
     ) {
         if now.at < self.last_rescue + RESCUE_PAUSE {
@@ -167,20 +167,20 @@
         }
         let late = waiting
             .iter_mut()
-            .filter(|entry| entry.urgency.late == TOO_LATE && !self.is_lasting(entry));
+            .filter(|entry| entry.urgency.lateness == TOO_LATE && !self.is_lasting(entry));
         let Some(oldest) = late.min_by_key(|entry| (entry.job, entry.time)) else {
             return;
         };
-        oldest.hasten();
-        placing.rescued = Some(oldest.key());
-        if placing.reserved.is_none() && !self.has_room(oldest, &placing.fleet) {
+        oldest.promote();
+        placing.promoted_late = Some(oldest.key());
+        if placing.reserved.is_none() && !self.has_capacity(oldest, &placing.fleet) {
             placing.reserved = self.find_emptying(oldest, &placing.fleet);
         }
     }
 
     /// The worker on which short runs leave room soonest for a task of a step: one that
     /// gets nothing, or none of this step, would be kept in vain.
-    fn find_emptying(&self, entry: &Waiting, fleet: &[Candidate]) -> Option<Incarnation> {
+    fn find_emptying(&self, entry: &WaitingStep, fleet: &[Candidate]) -> Option<Incarnation> {
         let job = &self.log_state.jobs[&entry.job];
         let step = &job.job.steps[usize::from(entry.step)];
         let room = step.room();
@@ -188,7 +188,7 @@
         let open = fleet
             .iter()
             .filter(|it| it.service == job.policy.service && !it.is_closed())
-            .filter(|it| fleet::admits(it, step, &spread))
+            .filter(|it| fleet::satisfies_constraints(it, step, &spread))
             .filter(|it| !self.is_forbidden(entry.key(), &it.id))
             .filter_map(|it| self.workers.get(&it.id));
         let emptying = open.filter_map(|worker| {
@@ -210,7 +210,7 @@
     }
 
     /// Lasting steps that have waited for so long that they go first.
-    pub(super) fn collect_blocked(&self, now: Now) -> Vec<StepKey> {
+    pub(super) fn collect_starved(&self, now: Now) -> Vec<StepKey> {
         let passed = self.passed_over.iter();
         let blocked = passed.filter(|(_, passed)| passed.is_blocked(now.at));
         blocked.map(|(key, _)| *key).collect()
@@ -218,7 +218,7 @@
 
     /// Place of a lasting step among those that wait: first the one for which a worker is kept,
     /// then by when each was first seen to wait.
-    pub(super) fn rank_passed(&self, key: StepKey) -> i64 {
+    pub(super) fn starvation_rank(&self, key: StepKey) -> i64 {
         if self.reserved.as_ref().is_some_and(|kept| kept.step == key) {
             return i64::MIN;
         }
@@ -228,19 +228,19 @@
     }
 
     /// The worker that is kept for a lasting step.
-    pub(super) fn kept_worker(&self) -> Option<&str> {
+    pub(super) fn reserved_worker(&self) -> Option<&str> {
         self.reserved.as_ref().map(|kept| kept.worker.as_str())
     }
 
-    pub(super) fn is_lasting(&self, entry: &Waiting) -> bool {
+    pub(super) fn is_lasting(&self, entry: &WaitingStep) -> bool {
         self.log_state.jobs[&entry.job].job.steps[usize::from(entry.step)].long_running
     }
 
     /// Runs of a waiting step on each worker, where that is bounded.
-    fn spread_of(&self, entry: &Waiting) -> Spread {
+    fn spread_of(&self, entry: &WaitingStep) -> RunsPerWorker {
         let step = &self.log_state.jobs[&entry.job].job.steps[usize::from(entry.step)];
         if step.spread == 0 {
-            return Spread::new();
+            return RunsPerWorker::new();
         }
         let (job, time, step) = entry.key();
         let first = Task {
@@ -249,21 +249,21 @@
             step,
             index: 0,
         };
-        fleet::count_spread(self, first)
+        fleet::count_runs_per_worker(self, first)
     }
 
-    pub(super) fn fits_step(&self, entry: &Waiting, candidate: &Candidate) -> bool {
-        self.has_room(entry, std::slice::from_ref(candidate))
+    pub(super) fn fits_step(&self, entry: &WaitingStep, candidate: &Candidate) -> bool {
+        self.has_capacity(entry, std::slice::from_ref(candidate))
     }
 
     /// Whether some worker has room for a task of a step, and may have it.
-    pub(super) fn has_room(&self, entry: &Waiting, fleet: &[Candidate]) -> bool {
+    pub(super) fn has_capacity(&self, entry: &WaitingStep, fleet: &[Candidate]) -> bool {
         let job = &self.log_state.jobs[&entry.job];
         let step = &job.job.steps[usize::from(entry.step)];
         let (room, spread) = (step.room(), self.spread_of(entry));
         fleet.iter().any(|candidate| {
-            candidate.has_room(&job.policy.service, &room)
-                && fleet::admits(candidate, step, &spread)
+            candidate.has_capacity(&job.policy.service, &room)
+                && fleet::satisfies_constraints(candidate, step, &spread)
                 && !self.is_forbidden(entry.key(), &candidate.id)
         })
     }
--- a/ashtiller/src/workflow/core/roster.rs
+++ b/ashtiller/src/workflow/core/roster.rs
@@ -120,7 +120,7 @@
             let here = self.runs.get(&run).is_some_and(|live| live.worker == *id);
             let worker = self.workers.get(id);
             if here && worker.is_some_and(|worker| !worker.runs.contains(&run)) {
-                self.seat(run, id);
+                self.allocate(run, id);
             }
         }
     }
@@ -270,7 +270,7 @@
         }
         let since = worker.absent?;
         let known = now.at >= since + UNLISTED_MIN && !self.is_stalled(now);
-        (known && worker.answers && !self.is_just_back(since, now)).then_some(Leaving {
+        (known && worker.answers && !self.may_be_relisted(since, now)).then_some(Leaving {
             since,
             left: self.terms.drain,
             told: false,
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -68,8 +68,8 @@
         };
         self.release(run, &live);
         self.note_unconfirmed_start(run, &live, now);
-        self.note_left(&live, now);
-        self.time_end(run, &live, now.at);
+        self.note_fill_ended(&live, now);
+        self.record_run_time(run, &live, now.at);
         match end {
             End::Done => self.counts.done += 1,
             End::Failed => self.counts.failed += 1,
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -10,28 +10,28 @@
 
 /// Times of one step: of each kind the longest among its tasks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Times {
+pub struct TimeBreakdown {
     /// Without a worker, although nothing that it depends on was left.
     pub room: Duration,
     /// From being placed to the worker's confirmation.
-    pub answer: Duration,
+    pub start_delay: Duration,
     /// At work.
     pub work: Duration,
     /// Part of that which its pace took.
     pub paced: Duration,
 }
 
-impl Times {
+impl TimeBreakdown {
     fn widen(&mut self, other: Self) {
         self.room = self.room.max(other.room);
-        self.answer = self.answer.max(other.answer);
+        self.start_delay = self.start_delay.max(other.start_delay);
         self.work = self.work.max(other.work);
         self.paced = self.paced.max(other.paced);
     }
 
     fn add(&mut self, other: Self) {
         self.room += other.room;
-        self.answer += other.answer;
+        self.start_delay += other.start_delay;
         self.work += other.work;
         self.paced += other.paced;
     }
@@ -39,12 +39,12 @@
 
 /// Times of the steps of open jobs, on this owner's clock.
 #[derive(Debug, Default)]
-pub(super) struct Ledger {
+pub(super) struct JobTimings {
     ready: BTreeMap<StepKey, Duration>,
-    steps: BTreeMap<StepKey, Times>,
+    steps: BTreeMap<StepKey, TimeBreakdown>,
 }
 
-impl Ledger {
+impl JobTimings {
     /// A step has tasks that could start.
     pub fn note_ready(&mut self, step: StepKey, now: Duration) {
         self.ready.entry(step).or_insert(now);
@@ -60,19 +60,19 @@
         self.ready.get(&step).copied()
     }
 
-    fn note(&mut self, step: StepKey, times: Times) {
+    fn note(&mut self, step: StepKey, times: TimeBreakdown) {
         self.steps.entry(step).or_default().widen(times);
     }
 
     /// The times of a job, step after step, which is then forgotten.
-    fn close(&mut self, job: u32) -> Times {
+    fn close(&mut self, job: u32) -> TimeBreakdown {
         let keys = (job, 0, 0)..=(job, u32::MAX, u16::MAX);
         let steps: Vec<StepKey> = self
             .steps
             .range(keys.clone())
             .map(|(key, _)| *key)
             .collect();
-        let mut sum = Times::default();
+        let mut sum = TimeBreakdown::default();
         for step in steps {
             sum.add(self.steps.remove(&step).unwrap_or_default());
         }
@@ -90,7 +90,7 @@
 
 impl Core {
     /// A task gets a worker now.
-    pub(super) fn time_place(&mut self, run: Run, now: Duration) {
+    pub(super) fn record_placement_time(&mut self, run: Run, now: Duration) {
         let step = step_of(run);
         let Some(since) = self.ledger.ready.get(&step) else {
             return;
@@ -98,21 +98,21 @@
         let room = now.saturating_sub(*since);
         self.ledger.note(
             step,
-            Times {
+            TimeBreakdown {
                 room,
-                ..Times::default()
+                ..TimeBreakdown::default()
             },
         );
     }
 
     /// A run has ended.
-    pub(super) fn time_end(&mut self, run: Run, live: &LiveRun, now: Duration) {
+    pub(super) fn record_run_time(&mut self, run: Run, live: &LiveRun, now: Duration) {
         let Stage::Started(at) = live.stage else {
             return;
         };
-        let times = Times {
+        let times = TimeBreakdown {
             room: Duration::ZERO,
-            answer: at.saturating_sub(live.placed),
+            start_delay: at.saturating_sub(live.placed),
             work: now.saturating_sub(at),
             paced: live.paced + live.paced_since(now),
         };
@@ -120,14 +120,14 @@
     }
 
     /// The times of a job that has ended, for its line in the log and the histograms.
-    pub(super) fn time_job(&mut self, job: u32) -> Times {
+    pub(super) fn finish_job_times(&mut self, job: u32) -> TimeBreakdown {
         let times = self.ledger.close(job);
         self.ended_job_times.push(times);
         times
     }
 
     /// The times of the jobs that have ended since this was asked last.
-    pub fn take_times(&mut self) -> Vec<Times> {
+    pub fn drain_job_times(&mut self) -> Vec<TimeBreakdown> {
         std::mem::take(&mut self.ended_job_times)
     }
 }
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::fleet::{self, Candidate, Choices, Wish};
-use crate::workflow::core::plan::Placing;
+use crate::workflow::core::fleet::{self, Candidate, CandidateRanking, PlacementRequest};
+use crate::workflow::core::plan::PlacementRound;
 use crate::workflow::core::{Core, Now};
 use crate::workflow::fact::{Run, Task};
 use crate::workflow::worker::Worker;
@@ -52,7 +52,7 @@
     tried: BTreeMap<Arc<str>, usize>,
     jobs: BTreeMap<u32, usize>,
     /// Workers for the trials of one step that are left, best first.
-    ranked: Option<(StepKey, Choices)>,
+    ranked: Option<(StepKey, CandidateRanking)>,
 }
 
 impl ActiveTrials {
@@ -132,16 +132,16 @@
     }
 
     /// Ranks workers by what the trial of a task of a step costs there.
-    pub(super) fn rank_trials(&self, fleet: &[Candidate], wish: &Wish<'_>, now: Now) -> Choices {
+    pub(super) fn rank_trials(&self, fleet: &[Candidate], wish: &PlacementRequest<'_>, now: Now) -> CandidateRanking {
         fleet::rank_by(fleet, |candidate| self.weigh_trial(candidate, wish, now))
     }
 
     /// What the trial of a task costs at a worker, where all runs began a while ago.
-    fn weigh_trial(&self, candidate: &Candidate, wish: &Wish<'_>, now: Now) -> Option<f64> {
+    fn weigh_trial(&self, candidate: &Candidate, wish: &PlacementRequest<'_>, now: Now) -> Option<f64> {
         if !candidate.is_settled(SETTLED, now.at) {
             return None;
         }
-        let cost = self.weigh(candidate, wish)?;
+        let cost = self.placement_cost(candidate, wish)?;
         let lost = LOSS_COST * f64::from(candidate.runs);
         Some(cost + lost + CRASHED_COST * f64::from(candidate.crashes))
     }
@@ -149,8 +149,8 @@
     /// The best worker for a trial: one that has got something since may take it no more.
     fn choose_trial(
         &self,
-        placing: &mut Placing,
-        wish: &Wish<'_>,
+        placing: &mut PlacementRound,
+        wish: &PlacementRequest<'_>,
         step: StepKey,
         now: Now,
     ) -> Option<usize> {
@@ -174,8 +174,8 @@
     pub(super) fn try_suspect(
         &mut self,
         task: Task,
-        wish: &Wish<'_>,
-        placing: &mut Placing,
+        wish: &PlacementRequest<'_>,
+        placing: &mut PlacementRound,
         now: Now,
     ) -> TrialResult {
         match () {
@@ -190,8 +190,8 @@
     pub(super) fn place_suspect(
         &mut self,
         task: Task,
-        wish: &Wish<'_>,
-        placing: &mut Placing,
+        wish: &PlacementRequest<'_>,
+        placing: &mut PlacementRound,
         now: Now,
     ) -> bool {
         if !self.may_begin_trial(task, wish.service, &placing.trials, now) {
@@ -206,10 +206,10 @@
         let id = candidate.id.clone();
         placing.trials.add(wish.service, task.job);
         let ticket = wish.advised.and_then(|it| it.get(&id).cloned());
-        let number = self.next_run(task);
+        let number = self.next_run_number(task);
         tracing::info!(%task, run = number, worker = %id, "suspected task is tried apart");
         let run = Run { task, number };
-        self.place(run, &id, ticket, now);
+        self.place_run(run, &id, ticket, now);
         if let Some(live) = self.runs.get_mut(&run) {
             live.isolated = true;
         }
--- a/ashtiller/src/workflow/metrics.rs
+++ b/ashtiller/src/workflow/metrics.rs
@@ -10,9 +10,9 @@
 
 use crate::web;
 use crate::workflow::core::Counts;
-use crate::workflow::core::gate::Gate;
-use crate::workflow::core::times::Times;
-use crate::workflow::core::waits::Waits;
+use crate::workflow::core::gate::Eligibility;
+use crate::workflow::core::times::TimeBreakdown;
+use crate::workflow::core::waits::WaitSummary;
 use crate::workflow::message::Reply;
 use crate::workflow::pressure::Congestion;
 use crate::workflow::traffic;
@@ -189,10 +189,10 @@
     }
 
     /// A job has ended, and its time went there.
-    pub fn note_times(&self, times: &Times) {
+    pub fn note_times(&self, times: &TimeBreakdown) {
         let parts = [
             ("room", times.room),
-            ("answer", times.answer),
+            ("answer", times.start_delay),
             ("work", times.work),
             ("paced", times.paced),
         ];
@@ -204,7 +204,7 @@
     }
 
     /// What waits for workers, and which workers may get it, as the owner sees them.
-    pub fn note_waits(&self, waits: &[(&str, Waits)], gates: &BTreeMap<Gate, u32>) {
+    pub fn note_waits(&self, waits: &[(&str, WaitSummary)], gates: &BTreeMap<Eligibility, u32>) {
         for (kind, waits) in waits {
             let tasks = self.waiting.with_label_values(&[*kind]);
             tasks.set(waits.tasks.into());
--- a/ashtiller/src/workflow/owner/carry.rs
+++ b/ashtiller/src/workflow/owner/carry.rs
@@ -5,7 +5,7 @@
 
 use crate::failure::Failure;
 use crate::workflow::core::Effect;
-use crate::workflow::core::advice::Question;
+use crate::workflow::core::advice::AdviceRequest;
 use crate::workflow::fact::LogRecord;
 use crate::workflow::kv::Txn;
 use crate::workflow::log::Log;
@@ -36,7 +36,7 @@
             Effect::Advise(question) => {
                 let (advisor, sender) = (self.node.advisor.clone(), self.sender.clone());
                 task::spawn_local(async move {
-                    let Question { job, key, .. } = &question;
+                    let AdviceRequest { job, key, .. } = &question;
                     let answer = match advisor {
                         Some(advisor) => {
                             let (workers, limit) = (&question.workers, question.limit);
--- a/ashtiller/src/workflow/owner/inputs.rs
+++ b/ashtiller/src/workflow/owner/inputs.rs
@@ -61,7 +61,7 @@
                 }
             }
             Input::Advised(key, asked_at, answer) => {
-                self.core.take_advice(key, asked_at, answer, now);
+                self.core.handle_advice(key, asked_at, answer, now);
             }
             Input::HandedOver(done) => self.over |= done,
             Input::Cleared(former) => self.core.note_former_owner_ended(former, now),
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -303,14 +303,14 @@
         self.shown = Instant::now();
         let counts = self.core.counts();
         self.node.metrics.note_counts(&self.counted, &counts);
-        for times in self.core.take_times() {
+        for times in self.core.drain_job_times() {
             self.node.metrics.note_times(&times);
         }
         self.counted = counts;
-        let gates = self.core.worker_gates(now);
+        let gates = self.core.workers_by_eligibility(now);
         self.node
             .metrics
-            .note_waits(&self.core.sum_waits(now), &gates);
+            .note_waits(&self.core.summarize_waits(now), &gates);
         let calls = &self.node.calls;
         self.node.metrics.note_pressure(
             self.core.pressure(),
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -11,7 +11,7 @@
 };
 use ashtiller::workflow::book::LogState;
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
-use ashtiller::workflow::core::advice::Question;
+use ashtiller::workflow::core::advice::AdviceRequest;
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::evacuations::Zones;
 use ashtiller::workflow::fact::{LogRecord, Run};
@@ -96,7 +96,7 @@
     pub answers: Vec<(Ticket, Reply)>,
     /// Starts that were refused.
     pub refused: Vec<(Incarnation, Run)>,
-    pub asked: Vec<Question>,
+    pub asked: Vec<AdviceRequest>,
     /// What becomes of questions to the advisor.
     pub advisor: Advisor,
     pub duties: Vec<(Arc<str>, MachineOrder)>,
@@ -324,7 +324,7 @@
                 self.asked.push(question);
             }
             Effect::Advise(question) => {
-                let Question { key, asked_at, .. } = question;
+                let AdviceRequest { key, asked_at, .. } = question;
                 let only = self.advises.clone();
                 let allowed = |id: &&Incarnation| only.as_ref().is_none_or(|only| only == *id);
                 let good = question.workers.iter().filter(allowed).take(1);
@@ -334,7 +334,7 @@
                     _ => Ok(good.collect()),
                 };
                 self.asked.push(question);
-                self.core.take_advice(key, asked_at, answer, self.now);
+                self.core.handle_advice(key, asked_at, answer, self.now);
             }
             Effect::Duty(machine, duty) => {
                 let nothing = Failure::unknown("order machine", &machine, "no answer");
--- a/ashtiller/tests/owner/placing.rs
+++ b/ashtiller/tests/owner/placing.rs
@@ -5,7 +5,7 @@
 
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{EndReason, Order};
-use ashtiller::workflow::core::advice::Question;
+use ashtiller::workflow::core::advice::AdviceRequest;
 use ashtiller::workflow::job::{Advice, Policy, Sharing, Step};
 use ashtiller::workflow::life::Incarnation;
 
@@ -117,7 +117,7 @@
     }
 }
 
-fn stated(question: &Question) -> Duration {
+fn stated(question: &AdviceRequest) -> Duration {
     DECIDE + EACH * u32::try_from(question.workers.len()).unwrap()
 }
 
--- a/ashtiller/tests/owner/room.rs
+++ b/ashtiller/tests/owner/room.rs
@@ -130,12 +130,12 @@
     let (id, run, _) = newest(&driver);
     driver.end(&id, run, EndReason::Done, 2);
     driver.pass(300 * MS);
-    let times = driver.core.take_times();
+    let times = driver.core.drain_job_times();
     assert_eq!(times.len(), 2);
     assert!(times[0].room < 100 * MS, "{times:?}");
     assert!(times[1].room >= SECOND, "{times:?}");
     assert!(times[0].work >= SECOND, "{times:?}");
-    assert!(driver.core.take_times().is_empty());
+    assert!(driver.core.drain_job_times().is_empty());
 }
 
 #[test]
