--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -126,7 +126,7 @@
     pub service: &'a Arc<str>,
     pub step: &'a Step,
     pub share: RunSharing,
-    pub room: Resources,
+    pub resources: Resources,
     /// Workers on which it failed before.
     pub failed_on: BTreeSet<Incarnation>,
     /// Runs of the same step on each worker.
@@ -286,7 +286,7 @@
 /// Whether a worker may run a task at all.
 pub(super) fn is_eligible(candidate: &Candidate, wish: &PlacementRequest<'_>) -> bool {
     let advised = wish.advised;
-    candidate.has_capacity(wish.service, &wish.room)
+    candidate.has_capacity(wish.service, &wish.resources)
         && wish.excluded.as_ref() != Some(&candidate.id)
         && satisfies_constraints(candidate, wish.step, &wish.runs_per_worker)
         && advised.is_none_or(|good| good.contains_key(&candidate.id))
@@ -302,7 +302,7 @@
 
 impl CandidateRanking {
     /// Takes out the best worker that is not closed; one may have got a trial since it was ranked.
-    pub fn take(&mut self, fleet: &[Candidate]) -> Option<usize> {
+    pub fn pop_best(&mut self, fleet: &[Candidate]) -> Option<usize> {
         while let Some(best) = self.0.pop() {
             if !fleet[best.place].closed {
                 return Some(best.place);
@@ -356,7 +356,7 @@
         let used = self
             .whole
             .minus(&self.free)
-            .plus(&wish.room)
+            .plus(&wish.resources)
             .share_of(&self.whole);
         match wish.share {
             RunSharing::Fills(image) => {
@@ -418,7 +418,7 @@
 
     /// Counts a run that was placed here; false when it may get no more.
     pub(super) fn take(&mut self, wish: &PlacementRequest<'_>, known: &Interference) -> bool {
-        self.free = self.free.minus(&wish.room);
+        self.free = self.free.minus(&wish.resources);
         self.runs += 1;
         self.fresh = true;
         self.suspects += u32::from(wish.suspect);
--- a/ashtiller/src/workflow/core/moves.rs
+++ b/ashtiller/src/workflow/core/moves.rs
@@ -56,7 +56,7 @@
             service: &service,
             step,
             share,
-            room: step.room(),
+            resources: step.room(),
             failed_on,
             runs_per_worker: fleet::count_runs_per_worker(self, task),
             advised: None,
@@ -107,7 +107,7 @@
         let demand = Demand {
             service: service.clone(),
             share: live.share,
-            room: step.room(),
+            resources: step.room(),
             selectivity: selective,
         };
         if placing.is_known_unplaceable(&demand) {
@@ -117,7 +117,7 @@
             service: &service,
             step,
             share: live.share,
-            room: step.room(),
+            resources: step.room(),
             failed_on: state.failed_on.clone(),
             runs_per_worker: BTreeMap::new(),
             advised: None,
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -18,7 +18,7 @@
 pub(super) struct Demand {
     pub service: Arc<str>,
     pub share: RunSharing,
-    pub room: Resources,
+    pub resources: Resources,
     /// How selective it is, if it fills.
     pub selectivity: f64,
 }
@@ -28,7 +28,7 @@
     fn is_within(&self, other: &Self) -> bool {
         self.service == other.service
             && self.share == other.share
-            && self.room.fits(&other.room)
+            && self.resources.fits(&other.resources)
             && self.selectivity <= other.selectivity
     }
 }
@@ -90,7 +90,7 @@
 
     fn admits(&self, wish: &PlacementRequest<'_>) -> bool {
         let spread = wish.step.spread;
-        wish.room.fits(&self.left) && (spread == 0 || self.here < spread)
+        wish.resources.fits(&self.left) && (spread == 0 || self.here < spread)
     }
 }
 
@@ -150,7 +150,7 @@
         Demand {
             service: self.intern_service(&service),
             share,
-            room: step.room(),
+            resources: step.room(),
             selectivity: if step.fills() {
                 self.selectivity(entry.key(), now)
             } else {
@@ -178,7 +178,7 @@
             service: &demand.service,
             step,
             share: demand.share,
-            room: demand.room,
+            resources: demand.resources,
             failed_on: BTreeSet::new(),
             runs_per_worker: BTreeMap::new(),
             advised: tickets.as_ref(),
@@ -213,7 +213,7 @@
             let usual = wish.failed_on.is_empty();
             let place = if usual {
                 let choices = choices.get_or_insert_with(|| self.rank_candidates(&placing.fleet, &wish));
-                choices.take(&placing.fleet)
+                choices.pop_best(&placing.fleet)
             } else {
                 self.choose_worker(&placing.fleet, &wish)
             };
@@ -357,7 +357,7 @@
                 .iter_mut()
                 .filter(|seat| seat.admits(wish) && !(*apart && seat.tried))
                 .max_by_key(|seat| seat.left.processors)?;
-            best.left = best.left.minus(&wish.room);
+            best.left = best.left.minus(&wish.resources);
             best.here += 1;
             best.tried |= *apart;
             chosen.push(best.place);
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -161,7 +161,7 @@
         };
         let mut chosen = None;
         while chosen.is_none()
-            && let Some(place) = ranked.take(&placing.fleet)
+            && let Some(place) = ranked.pop_best(&placing.fleet)
         {
             let cost = self.weigh_trial(&placing.fleet[place], wish, now);
             chosen = cost.map(|_| place);
