--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -417,7 +417,7 @@
     }
 
     /// Counts a run that was placed here; false when it may get no more.
-    pub(super) fn take(&mut self, wish: &PlacementRequest<'_>, known: &Interference) -> bool {
+    pub(super) fn add_run(&mut self, wish: &PlacementRequest<'_>, known: &Interference) -> bool {
         self.free = self.free.minus(&wish.resources);
         self.runs += 1;
         self.fresh = true;
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -408,7 +408,7 @@
         let times = self.finish_job_times(number);
         if let Some(job) = self.log_state.jobs.get(&number) {
             tracing::info!(job = %job.job.id, ?outcome, position = self.position,
-                room_ms = times.room.as_millis(), answer_ms = times.start_delay.as_millis(),
+                room_ms = times.waiting.as_millis(), answer_ms = times.start_delay.as_millis(),
                 work_ms = times.work.as_millis(), paced_ms = times.paced.as_millis(), "job ended");
         }
         self.advised.retain(|key, _| key.0 != number);
--- a/ashtiller/src/workflow/core/moves.rs
+++ b/ashtiller/src/workflow/core/moves.rs
@@ -68,7 +68,7 @@
             return;
         };
         let id = placing.fleet[place].id.clone();
-        if !placing.fleet[place].take(&wish, &self.interference) {
+        if !placing.fleet[place].add_run(&wish, &self.interference) {
             placing.fleet[place].close();
         }
         let number = self.next_run_number(task);
@@ -133,7 +133,7 @@
             return;
         }
         tracing::debug!(task = %run.task, run = run.number, from = %live.worker, "run that stands still moves");
-        placing.fleet[place].take(&wish, &self.interference);
+        placing.fleet[place].add_run(&wish, &self.interference);
         self.request_stop(run, StopReason::Crowded);
     }
 }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -228,7 +228,7 @@
                 return;
             };
             let id = placing.fleet[place].id.clone();
-            let stays = placing.fleet[place].take(&wish, &self.interference);
+            let stays = placing.fleet[place].add_run(&wish, &self.interference);
             if step.spread > 0 {
                 *wish.runs_per_worker.entry(id.clone()).or_insert(0) += 1;
             }
@@ -290,7 +290,7 @@
                 .unwrap_or(1);
             for (task, place) in tasks.iter().zip(&chosen) {
                 let candidate = &mut placing.fleet[*place];
-                candidate.take(wish, &self.interference);
+                candidate.add_run(wish, &self.interference);
                 let id = candidate.id.clone();
                 let ticket = wish.advised.and_then(|tickets| tickets.get(&id).cloned());
                 self.place_run(
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TimeBreakdown {
     /// Without a worker, although nothing that it depends on was left.
-    pub room: Duration,
+    pub waiting: Duration,
     /// From being placed to the worker's confirmation.
     pub start_delay: Duration,
     /// At work.
@@ -23,14 +23,14 @@
 
 impl TimeBreakdown {
     fn widen(&mut self, other: Self) {
-        self.room = self.room.max(other.room);
+        self.waiting = self.waiting.max(other.waiting);
         self.start_delay = self.start_delay.max(other.start_delay);
         self.work = self.work.max(other.work);
         self.paced = self.paced.max(other.paced);
     }
 
     fn add(&mut self, other: Self) {
-        self.room += other.room;
+        self.waiting += other.waiting;
         self.start_delay += other.start_delay;
         self.work += other.work;
         self.paced += other.paced;
@@ -99,7 +99,7 @@
         self.ledger.note(
             step,
             TimeBreakdown {
-                room,
+                waiting: room,
                 ..TimeBreakdown::default()
             },
         );
@@ -111,7 +111,7 @@
             return;
         };
         let times = TimeBreakdown {
-            room: Duration::ZERO,
+            waiting: Duration::ZERO,
             start_delay: at.saturating_sub(live.placed),
             work: now.saturating_sub(at),
             paced: live.paced + live.paced_since(now),
--- a/ashtiller/src/workflow/metrics.rs
+++ b/ashtiller/src/workflow/metrics.rs
@@ -191,7 +191,7 @@
     /// A job has ended, and its time went there.
     pub fn note_times(&self, times: &TimeBreakdown) {
         let parts = [
-            ("room", times.room),
+            ("room", times.waiting),
             ("answer", times.start_delay),
             ("work", times.work),
             ("paced", times.paced),
--- a/ashtiller/tests/owner/room.rs
+++ b/ashtiller/tests/owner/room.rs
@@ -132,8 +132,8 @@
     driver.pass(300 * MS);
     let times = driver.core.drain_job_times();
     assert_eq!(times.len(), 2);
-    assert!(times[0].room < 100 * MS, "{times:?}");
-    assert!(times[1].room >= SECOND, "{times:?}");
+    assert!(times[0].waiting < 100 * MS, "{times:?}");
+    assert!(times[1].waiting >= SECOND, "{times:?}");
     assert!(times[0].work >= SECOND, "{times:?}");
     assert!(driver.core.drain_job_times().is_empty());
 }
