--- a/ashtiller/src/interference/fit.rs
+++ b/ashtiller/src/interference/fit.rs
@@ -4,7 +4,7 @@
 
 use crate::guard;
 use crate::harm::Harm;
-use crate::host::{Host, Work};
+use crate::host::{WorkerState, Work};
 use crate::resources::Resources;
 use crate::template::Class;
 
@@ -16,7 +16,7 @@
 /// What is known where a task is to be placed.
 pub struct Site<'a> {
     /// The worker, whose free resources suffice.
-    pub host: &'a Host,
+    pub host: &'a WorkerState,
     /// What the task needs.
     pub needs: &'a Resources,
     /// What kind of work it is.
--- a/ashtiller/src/interference/watch.rs
+++ b/ashtiller/src/interference/watch.rs
@@ -83,7 +83,7 @@
         .iter()
         .filter_map(|running| service(cell, worker, running));
     let listed = report.running.iter().filter_map(|running| {
-        let id = reconcile::id_of(&running.task)?;
+        let id = reconcile::parse_task_name(&running.task)?;
         let (task, _) = cell.task(id)?;
         (task.attempt == running.attempt).then_some((id, running.speed))
     });
@@ -105,7 +105,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "microseconds of a latency")]
 fn service(cell: &Cell, worker: &str, running: &Running) -> Option<Service> {
-    let id = reconcile::id_of(&running.task)?;
+    let id = reconcile::parse_task_name(&running.task)?;
     let (task, submission) = cell.task(id)?;
     let current = is_here(task, worker) && task.attempt == running.attempt;
     let (latency, target) = running.latency.zip(submission.target).filter(|_| current)?;
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -25,7 +25,7 @@
 use crate::failure::Failure;
 use crate::follow;
 use crate::front::{self, Front};
-use crate::jobs::Jobs;
+use crate::jobs::JobForwarder;
 use crate::lender::{self, Lender};
 use crate::members::Member;
 use crate::membership::{self, Membership};
@@ -59,7 +59,7 @@
 /// Parts that exist once the ports are open.
 struct Parts {
     membership: Arc<Membership>,
-    jobs: Jobs,
+    jobs: JobForwarder,
     front: Front,
 }
 
@@ -124,7 +124,7 @@
         clock,
         greeting: greeter(&shared),
     }));
-    let jobs = Jobs {
+    let jobs = JobForwarder {
         store,
         roster: instances.clone(),
         workers: settings.platform.workers.clone(),
--- a/ashtiller/src/task/agent.rs
+++ b/ashtiller/src/task/agent.rs
@@ -61,7 +61,7 @@
 
 /// Everything for one worker.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Sync {
+pub struct SyncRequest {
     /// Epoch of the cell's owner.
     pub epoch: u64,
     /// Number of this call within the epoch.
@@ -82,7 +82,7 @@
 /// How the worker says that an attempt ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
+pub enum ReportedEnd {
     /// All of its work is done.
     Finished,
     /// It failed by itself.
@@ -134,7 +134,7 @@
     /// Attempt.
     pub attempt: u32,
     /// How it ended.
-    pub end: Ending,
+    pub end: ReportedEnd,
     /// Progress that a later attempt can resume from, in milliseconds.
     pub progress: u64,
 }
@@ -167,9 +167,9 @@
 }
 
 /// A worker.
-pub trait Worker: Send + std::marker::Sync {
+pub trait WorkerClient: Send + std::marker::Sync {
     /// Makes one call.
-    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a Sync) -> Called<'a, Report>;
+    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report>;
 }
 
 struct Http {
@@ -179,15 +179,15 @@
 
 /// Opens a client that talks JSON over HTTP; each call may take `limit`.
 #[must_use]
-pub fn open(limit: Duration) -> Arc<dyn Worker> {
+pub fn open(limit: Duration) -> Arc<dyn WorkerClient> {
     Arc::new(Http {
         client: web::Client::default(),
         limit,
     })
 }
 
-impl Worker for Http {
-    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a Sync) -> Called<'a, Report> {
+impl WorkerClient for Http {
+    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report> {
         Box::pin(async move {
             let body =
                 serde_json::to_vec(sync).map_err(|error| Failure::none("sync", worker, error))?;
--- a/ashtiller/src/task/backlog.rs
+++ b/ashtiller/src/task/backlog.rs
@@ -9,7 +9,7 @@
 
 /// Order in which tasks start.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Rank {
+pub enum Priority {
     /// Marked urgent.
     Urgent,
     /// Latency-critical.
@@ -19,9 +19,9 @@
 }
 
 /// All ranks, first to last.
-pub const RANKS: [Rank; 3] = [Rank::Urgent, Rank::Critical, Rank::Batch];
+pub const PRIORITIES: [Priority; 3] = [Priority::Urgent, Priority::Critical, Priority::Batch];
 
-impl Rank {
+impl Priority {
     /// The rank of a job's tasks.
     #[must_use]
     pub fn of(submission: &Submission) -> Self {
@@ -36,7 +36,7 @@
 /// Queued tasks.
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
-    ranks: BTreeMap<Rank, BTreeMap<Arc<str>, VecDeque<TaskId>>>,
+    ranks: BTreeMap<Priority, BTreeMap<Arc<str>, VecDeque<TaskId>>>,
     size: usize,
 }
 
@@ -55,7 +55,7 @@
 
     /// Queued tasks of one rank.
     #[must_use]
-    pub fn rank_len(&self, rank: Rank) -> usize {
+    pub fn rank_len(&self, rank: Priority) -> usize {
         self.ranks
             .get(&rank)
             .map_or(0, |accounts| accounts.values().map(VecDeque::len).sum())
@@ -70,18 +70,18 @@
     }
 
     /// Adds a task behind those of its account.
-    pub fn push_back(&mut self, rank: Rank, account: &Arc<str>, task: TaskId) {
+    pub fn push_back(&mut self, rank: Priority, account: &Arc<str>, task: TaskId) {
         self.tasks(rank, account).push_back(task);
         self.size += 1;
     }
 
     /// Adds a task before those of its account, because it waited before.
-    pub fn push_front(&mut self, rank: Rank, account: &Arc<str>, task: TaskId) {
+    pub fn push_front(&mut self, rank: Priority, account: &Arc<str>, task: TaskId) {
         self.tasks(rank, account).push_front(task);
         self.size += 1;
     }
 
-    fn tasks(&mut self, rank: Rank, account: &Arc<str>) -> &mut VecDeque<TaskId> {
+    fn tasks(&mut self, rank: Priority, account: &Arc<str>) -> &mut VecDeque<TaskId> {
         self.ranks
             .entry(rank)
             .or_default()
@@ -90,12 +90,12 @@
     }
 
     /// Accounts with queued tasks of a rank.
-    pub fn accounts(&self, rank: Rank) -> impl Iterator<Item = &Arc<str>> {
+    pub fn accounts(&self, rank: Priority) -> impl Iterator<Item = &Arc<str>> {
         self.ranks.get(&rank).into_iter().flat_map(BTreeMap::keys)
     }
 
     /// Queued tasks of an account, in order.
-    pub fn queued(&self, rank: Rank, account: &str) -> impl Iterator<Item = TaskId> {
+    pub fn queued(&self, rank: Priority, account: &str) -> impl Iterator<Item = TaskId> {
         let tasks = self
             .ranks
             .get(&rank)
@@ -104,7 +104,7 @@
     }
 
     /// Removes one task.
-    pub fn remove(&mut self, rank: Rank, account: &str, task: TaskId) {
+    pub fn remove(&mut self, rank: Priority, account: &str, task: TaskId) {
         let Some(accounts) = self.ranks.get_mut(&rank) else {
             return;
         };
--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -10,11 +10,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::backlog::{Backlog, Rank};
+use crate::backlog::{Backlog, Priority};
 use crate::fact::{Attempt, End, Fact, TaskId};
 use crate::harm::Kinds;
-use crate::host::{Host, Work};
-use crate::job::{Job, Phase, Place, Task};
+use crate::host::{WorkerState, Work};
+use crate::job::{Job, Phase, Placement, Task};
 use crate::peer::Submission;
 use crate::resources::{Pool, Resources};
 use crate::session::Session;
@@ -60,7 +60,7 @@
 
 /// The part of a cell that lasts.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Lasting {
+pub struct DurableState {
     /// Number of the next job.
     pub next_job: u32,
     /// Jobs by number.
@@ -70,11 +70,11 @@
 /// One cell.
 #[derive(Clone, Debug, Default)]
 pub struct Cell {
-    lasting: Lasting,
+    lasting: DurableState,
     names: BTreeMap<(Arc<str>, Arc<str>), u32>,
     accounts: BTreeMap<Arc<str>, Account>,
     /// Workers by name.
-    pub hosts: BTreeMap<Arc<str>, Host>,
+    pub hosts: BTreeMap<Arc<str>, WorkerState>,
     backlog: Backlog,
     running: usize,
     counts: Counts,
@@ -84,11 +84,11 @@
 impl Cell {
     /// Rebuilds a cell from the part that lasts.
     #[must_use]
-    pub fn restore(lasting: Lasting) -> Self {
+    pub fn restore(lasting: DurableState) -> Self {
         let mut cell = Self {
-            lasting: Lasting {
+            lasting: DurableState {
                 next_job: lasting.next_job,
-                ..Lasting::default()
+                ..DurableState::default()
             },
             ..Self::default()
         };
@@ -113,7 +113,7 @@
         held.jobs += 1;
         held.evictions = submission.evictions;
         held.pool.resize(submission.quota);
-        let (rank, needs) = (Rank::of(submission), submission.needs);
+        let (rank, needs) = (Priority::of(submission), submission.needs);
         for (index, task) in (0..).zip(&job.tasks) {
             let id = TaskId { job: number, index };
             if let Some(place) = task.phase.place() {
@@ -132,7 +132,7 @@
 
     /// The part that lasts.
     #[must_use]
-    pub fn lasting(&self) -> &Lasting {
+    pub fn lasting(&self) -> &DurableState {
         &self.lasting
     }
 
@@ -193,7 +193,7 @@
                 worker,
                 boot,
             } => {
-                let place = Place {
+                let place = Placement {
                     worker: worker.clone(),
                     boot: *boot,
                     position,
@@ -206,7 +206,7 @@
         }
     }
 
-    fn place(&mut self, attempt: Attempt, place: Place) {
+    fn place(&mut self, attempt: Attempt, place: Placement) {
         let id = attempt.task;
         let Some(job) = self.lasting.jobs.get_mut(&id.job) else {
             return;
@@ -215,7 +215,7 @@
             return;
         };
         let (account, needs) = (job.submission.account.clone(), job.submission.needs);
-        self.backlog.remove(Rank::of(&job.submission), &account, id);
+        self.backlog.remove(Priority::of(&job.submission), &account, id);
         self.counts.placed += 1;
         self.counts.resumed += u64::from(task.progress > 0);
         self.running += 1;
@@ -245,7 +245,7 @@
             return;
         };
         if let Phase::Placed(place) = &task.phase {
-            task.phase = Phase::Evicting(Place {
+            task.phase = Phase::Evicting(Placement {
                 position,
                 ..place.clone()
             });
@@ -294,7 +294,7 @@
             job.over += 1;
             job.ended = job.is_over().then_some(now);
         } else {
-            let rank = Rank::of(&job.submission);
+            let rank = Priority::of(&job.submission);
             self.backlog.push_front(rank, &job.submission.account, id);
         }
     }
@@ -304,7 +304,7 @@
             return;
         };
         job.cancelled = true;
-        let rank = Rank::of(&job.submission);
+        let rank = Priority::of(&job.submission);
         for (index, task) in (0..).zip(&mut job.tasks) {
             match &task.phase {
                 Phase::Queued => {
@@ -314,7 +314,7 @@
                     job.over += 1;
                 }
                 Phase::Placed(place) | Phase::Evicting(place) => {
-                    task.phase = Phase::Stopping(Place {
+                    task.phase = Phase::Stopping(Placement {
                         position,
                         ..place.clone()
                     });
@@ -370,7 +370,7 @@
 fn settle_task(
     task: &mut Task,
     submission: &Submission,
-    place: &Place,
+    place: &Placement,
     end: End,
     cancelled: bool,
     now: Duration,
--- a/ashtiller/src/task/events.rs
+++ b/ashtiller/src/task/events.rs
@@ -9,7 +9,7 @@
 use crate::agent::Report;
 use crate::explain;
 use crate::failure::Failure;
-use crate::journal::{Appended, Journal};
+use crate::journal::{AppendOutcome, Journal};
 use crate::owner::{Owner, PENDING_MAX};
 use crate::peer::{Submission, Verdict};
 use crate::plan;
@@ -37,7 +37,7 @@
 }
 
 /// The platform's list of the cell's workers.
-pub(crate) struct Listed {
+pub(crate) struct WorkersListed {
     pub(crate) instances: Vec<roster::Instance>,
 }
 
@@ -48,28 +48,28 @@
 pub(crate) struct HandOver;
 
 /// An entry's fate is known.
-pub(crate) struct Wrote {
+pub(crate) struct EntryWritten {
     pub(crate) position: u64,
     pub(crate) began: Duration,
-    pub(crate) appended: Appended,
+    pub(crate) appended: AppendOutcome,
     pub(crate) last: bool,
 }
 
 /// A worker answered, or did not.
-pub(crate) struct Called {
+pub(crate) struct WorkerAnswered {
     pub(crate) worker: Arc<str>,
     pub(crate) answer: Result<Report, Failure>,
 }
 
 /// The position of the next entry was looked at.
-pub(crate) struct Checked {
+pub(crate) struct OwnershipChecked {
     pub(crate) began: Duration,
     pub(crate) position: u64,
     pub(crate) free: Result<bool, Failure>,
 }
 
 /// A snapshot was written, or not.
-pub(crate) struct Snapped {
+pub(crate) struct SnapshotWritten {
     pub(crate) done: Result<Journal, Failure>,
 }
 
@@ -136,10 +136,10 @@
     }
 }
 
-impl Message<Listed> for Owner {
+impl Message<WorkersListed> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, listed: Listed, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, listed: WorkersListed, _: &mut Context<Self, ()>) {
         self.list(&listed.instances);
     }
 }
@@ -153,13 +153,13 @@
     }
 }
 
-impl Message<Wrote> for Owner {
+impl Message<EntryWritten> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, wrote: Wrote, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, wrote: EntryWritten, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
         self.writing = false;
-        if wrote.appended == Appended::Superseded {
+        if wrote.appended == AppendOutcome::Superseded {
             self.step_down("another owner has written", &actor);
             return;
         }
@@ -176,10 +176,10 @@
     }
 }
 
-impl Message<Called> for Owner {
+impl Message<WorkerAnswered> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, called: Called, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, called: WorkerAnswered, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
         let moment = self.moment();
         if let Some(host) = self.cell.hosts.get_mut(&called.worker) {
@@ -191,7 +191,7 @@
         };
         let terms = self.terms;
         let (change, facts) =
-            reconcile::take_report(&mut self.cell, &called.worker, &report, &terms, moment);
+            reconcile::apply_report(&mut self.cell, &called.worker, &report, &terms, moment);
         self.pending.extend(facts);
         let taken = !matches!(change, Change::Superseded | Change::Stale);
         if taken && report.epoch == moment.epoch {
@@ -209,10 +209,10 @@
     }
 }
 
-impl Message<Checked> for Owner {
+impl Message<OwnershipChecked> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, checked: Checked, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, checked: OwnershipChecked, context: &mut Context<Self, ()>) {
         self.checking = false;
         match checked.free {
             Ok(true) => self.confirmed = self.confirmed.max(checked.began),
@@ -227,10 +227,10 @@
     }
 }
 
-impl Message<Snapped> for Owner {
+impl Message<SnapshotWritten> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, snapped: Snapped, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, snapped: SnapshotWritten, _: &mut Context<Self, ()>) {
         self.snapshotting = false;
         match snapped.done {
             Ok(journal) => self.journal = journal,
--- a/ashtiller/src/task/evict.rs
+++ b/ashtiller/src/task/evict.rs
@@ -5,10 +5,10 @@
 
 use crate::cell::Cell;
 use crate::fact::{Attempt, TaskId};
-use crate::host::Host;
+use crate::host::WorkerState;
 use crate::job::Phase;
 use crate::resources::Resources;
-use crate::session::Terms;
+use crate::session::LeaseTerms;
 use crate::template::Class;
 
 /// Window of an account's eviction budget.
@@ -27,10 +27,10 @@
 /// go first, so that accounts bear evictions alike; an account whose budget is
 /// spent is passed over.
 #[must_use]
-pub fn choose(
+pub fn choose_victims(
     cell: &Cell,
     needs: &Resources,
-    terms: &Terms,
+    terms: &LeaseTerms,
     now: Duration,
 ) -> Option<(Arc<str>, Vec<Attempt>)> {
     let mut best: Option<(Arc<str>, Vec<Attempt>)> = None;
@@ -48,7 +48,7 @@
     best
 }
 
-fn victims_on(cell: &Cell, host: &Host, needs: &Resources, now: Duration) -> Option<Vec<Attempt>> {
+fn victims_on(cell: &Cell, host: &WorkerState, needs: &Resources, now: Duration) -> Option<Vec<Attempt>> {
     if !needs.fits(host.pool().whole()) {
         return None;
     }
--- a/ashtiller/src/task/explain.rs
+++ b/ashtiller/src/task/explain.rs
@@ -5,13 +5,13 @@
 
 use serde::Serialize;
 
-use crate::backlog::{RANKS, Rank};
+use crate::backlog::{PRIORITIES, Priority};
 use crate::cell::{Cell, Counts};
 use crate::fact::TaskId;
 use crate::job::{Phase, Task};
 use crate::peer::Submission;
 use crate::resources::Resources;
-use crate::session::Terms;
+use crate::session::LeaseTerms;
 
 /// Entries of a list that are shown.
 const SHOWN: usize = 100;
@@ -76,19 +76,19 @@
     cell: &Cell,
     account: &str,
     job: &str,
-    terms: &Terms,
+    terms: &LeaseTerms,
     now: Duration,
 ) -> String {
     let wanted = |found: &str, asked: &str| asked.is_empty() || found == asked;
     let whole = account.is_empty();
-    let rank = |rank: Rank| cell.backlog().rank_len(rank);
+    let rank = |rank: Priority| cell.backlog().rank_len(rank);
     let view = CellView {
         cell: name.clone(),
         running: cell.running(),
         queued: cell.backlog().len(),
-        queued_urgent: rank(RANKS[0]),
-        queued_critical: rank(RANKS[1]),
-        queued_batch: rank(RANKS[2]),
+        queued_urgent: rank(PRIORITIES[0]),
+        queued_critical: rank(PRIORITIES[1]),
+        queued_batch: rank(PRIORITIES[2]),
         counts: cell.counts(),
         workers: if whole {
             show_hosts(cell, terms, now)
@@ -109,7 +109,7 @@
     serde_json::to_string(&view).unwrap_or_default()
 }
 
-fn show_hosts(cell: &Cell, terms: &Terms, now: Duration) -> Vec<HostView> {
+fn show_hosts(cell: &Cell, terms: &LeaseTerms, now: Duration) -> Vec<HostView> {
     let shown = cell.hosts.iter().take(SHOWN);
     shown
         .map(|(worker, host)| HostView {
@@ -145,7 +145,7 @@
         .collect()
 }
 
-fn show_job(cell: &Cell, number: u32, terms: &Terms, now: Duration) -> JobView {
+fn show_job(cell: &Cell, number: u32, terms: &LeaseTerms, now: Duration) -> JobView {
     let Some(job) = cell.job(number) else {
         return JobView {
             account: "".into(),
@@ -166,7 +166,7 @@
                 attempt: task.attempt,
                 progress_ms: task.progress,
                 worker: task.phase.place().map(|place| place.worker.clone()),
-                waits: why_waits(cell, TaskId { job: number, index }, terms, now),
+                waits: waiting_reason(cell, TaskId { job: number, index }, terms, now),
             })
             .collect(),
     }
@@ -174,7 +174,7 @@
 
 /// Why a task waits, in one line; `None` when it does not.
 #[must_use]
-pub fn why_waits(cell: &Cell, id: TaskId, terms: &Terms, now: Duration) -> Option<String> {
+pub fn waiting_reason(cell: &Cell, id: TaskId, terms: &LeaseTerms, now: Duration) -> Option<String> {
     let (task, submission) = cell.task(id)?;
     if task.phase != Phase::Queued {
         return None;
@@ -187,7 +187,7 @@
     task: &Task,
     submission: &Submission,
     id: TaskId,
-    terms: &Terms,
+    terms: &LeaseTerms,
     now: Duration,
 ) -> String {
     let needs = submission.needs;
@@ -205,7 +205,7 @@
         return "no live worker in this cell".to_owned();
     }
     if live().any(|host| host.pool().grants(&needs)) {
-        let rank = Rank::of(submission);
+        let rank = Priority::of(submission);
         let queued = cell.backlog().queued(rank, &submission.account);
         let ahead = queued.take_while(|queued| *queued != id).count();
         return format!("in turn: {ahead} tasks of the account are before it");
--- a/ashtiller/src/task/host.rs
+++ b/ashtiller/src/task/host.rs
@@ -11,7 +11,7 @@
 use crate::harm::Kind;
 use crate::reconcile::Ack;
 use crate::resources::{Pool, Resources};
-use crate::session::{Session, Terms};
+use crate::session::{Session, LeaseTerms};
 use crate::template::Class;
 
 /// Failures in a row, of different tasks, after which a worker is quarantined.
@@ -32,7 +32,7 @@
 
 /// One worker.
 #[derive(Clone, Debug)]
-pub struct Host {
+pub struct WorkerState {
     pool: Pool,
     /// Tasks that may run on it.
     pub tasks: BTreeSet<TaskId>,
@@ -73,7 +73,7 @@
     quarantines: u32,
 }
 
-impl Default for Host {
+impl Default for WorkerState {
     fn default() -> Self {
         Self {
             pool: Pool::default(),
@@ -101,7 +101,7 @@
     }
 }
 
-impl Host {
+impl WorkerState {
     /// What it has and has handed out.
     #[must_use]
     pub fn pool(&self) -> &Pool {
@@ -142,7 +142,7 @@
     /// Whether a new attempt may be placed here: the worker is listed, answers, and
     /// holds a lease that has not ended.
     #[must_use]
-    pub fn takes(&self, now: Duration, terms: &Terms) -> bool {
+    pub fn takes(&self, now: Duration, terms: &LeaseTerms) -> bool {
         self.listed == Phase::Live
             && self.absent.is_none()
             && self.address.is_some()
--- a/ashtiller/src/task/job.rs
+++ b/ashtiller/src/task/job.rs
@@ -14,11 +14,11 @@
     /// It waits for a worker.
     Queued,
     /// An attempt was given to a worker.
-    Placed(Place),
+    Placed(Placement),
     /// The attempt is to be checkpointed and stopped.
-    Evicting(Place),
+    Evicting(Placement),
     /// The attempt is to be stopped, because the job was cancelled.
-    Stopping(Place),
+    Stopping(Placement),
     /// Its work is done.
     Finished,
     /// It failed too often.
@@ -29,7 +29,7 @@
 
 /// Where an attempt was placed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Place {
+pub struct Placement {
     /// Worker.
     pub worker: Arc<str>,
     /// Boot number of the worker.
@@ -41,7 +41,7 @@
 impl Phase {
     /// The place of an attempt that may run.
     #[must_use]
-    pub fn place(&self) -> Option<&Place> {
+    pub fn place(&self) -> Option<&Placement> {
         match self {
             Self::Placed(place) | Self::Evicting(place) | Self::Stopping(place) => Some(place),
             _ => None,
--- a/ashtiller/src/task/jobs.rs
+++ b/ashtiller/src/task/jobs.rs
@@ -29,7 +29,7 @@
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// Forwards jobs.
-pub struct Jobs {
+pub struct JobForwarder {
     /// Key-value service.
     pub store: Arc<dyn Store>,
     /// The platform's list.
@@ -46,7 +46,7 @@
     pub homes: Mutex<BTreeMap<Arc<str>, Arc<str>>>,
 }
 
-impl Jobs {
+impl JobForwarder {
     /// Carries out a command on jobs; `None` when it is none.
     pub async fn command(&self, command: &Command) -> Option<Said> {
         let path: Vec<&str> = command.path.iter().map(|part| &**part).collect();
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 use tokio::time;
 
-use crate::cell::{Cell, Lasting};
+use crate::cell::{Cell, DurableState};
 use crate::fact::{Body, Entry};
 use crate::failure::{Effect, Failure};
-use crate::record::{self, Damage};
-use crate::session::Terms;
+use crate::record::{self, RecordError};
+use crate::session::LeaseTerms;
 use crate::store::Store;
 
 /// Prefix of all cells.
@@ -47,7 +47,7 @@
         /// Key of the record.
         key: String,
         /// What is wrong with it.
-        damage: Damage,
+        damage: RecordError,
     },
     /// A position is missing; another owner cuts the log just now, or it is damaged.
     #[error("log of cell {cell}: position {position} is missing")]
@@ -69,7 +69,7 @@
 
 /// What became of an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Appended {
+pub enum AppendOutcome {
     /// It is durable.
     Durable,
     /// Another owner's entry stands there.
@@ -91,7 +91,7 @@
 }
 
 /// An opened cell.
-pub struct Opened {
+pub struct OpenedCell {
     /// Its log.
     pub journal: Journal,
     /// Its state.
@@ -119,9 +119,9 @@
     store: Arc<dyn Store>,
     cell: Arc<str>,
     owner: Arc<str>,
-    terms: &Terms,
+    terms: &LeaseTerms,
     horizon: Duration,
-) -> Result<Opened, OpenError> {
+) -> Result<OpenedCell, OpenError> {
     let (head, head_index) = read_head(&*store, &cell).await?;
     let lasting = read_snapshot(&*store, &cell, &head).await?;
     let mut replay = Replay {
@@ -155,11 +155,11 @@
         let position = replay.next;
         let bytes = journal.encode(seal)?;
         match journal.append(position, bytes).await {
-            Appended::Durable => {
+            AppendOutcome::Durable => {
                 journal.seals = replay.seals;
                 journal.seals.insert(position, now_secs());
                 let Replay { cell, former, .. } = replay;
-                return Ok(Opened {
+                return Ok(OpenedCell {
                     journal,
                     cell,
                     next: position + 1,
@@ -167,7 +167,7 @@
                 });
             }
             // The old owner, or a faster successor, wrote first.
-            Appended::Superseded => read_log(&*journal.store, &journal.cell, &mut replay).await?,
+            AppendOutcome::Superseded => read_log(&*journal.store, &journal.cell, &mut replay).await?,
         }
     }
 }
@@ -180,9 +180,9 @@
     }
 }
 
-async fn read_snapshot(store: &dyn Store, cell: &str, head: &Head) -> Result<Lasting, OpenError> {
+async fn read_snapshot(store: &dyn Store, cell: &str, head: &Head) -> Result<DurableState, OpenError> {
     if head.chunks == 0 {
-        return Ok(Lasting::default());
+        return Ok(DurableState::default());
     }
     let prefix = snapshot_prefix(cell, head.position, head.epoch);
     let view = store.list(&prefix).await?;
@@ -279,14 +279,14 @@
     /// Writes an entry and returns when its fate is known, however long the store
     /// is down: an unknown outcome is read back, and the same bytes are written
     /// again only where nothing stands.
-    pub async fn append(&self, position: u64, bytes: Bytes) -> Appended {
+    pub async fn append(&self, position: u64, bytes: Bytes) -> AppendOutcome {
         let key = log_key(&self.cell, position);
         let mut pause = PAUSE_MIN;
         loop {
             let swapped = self.store.swap(&key, bytes.clone(), 0).await;
             match self.fate(&key, &bytes, swapped).await {
-                Fate::Known(appended) => return appended,
-                Fate::Unknown => {
+                WriteOutcome::Known(appended) => return appended,
+                WriteOutcome::Unknown => {
                     time::sleep(pause).await;
                     pause = (pause * 2).min(PAUSE_MAX);
                 }
@@ -294,16 +294,16 @@
         }
     }
 
-    async fn fate(&self, key: &str, bytes: &Bytes, swapped: Result<bool, Failure>) -> Fate {
+    async fn fate(&self, key: &str, bytes: &Bytes, swapped: Result<bool, Failure>) -> WriteOutcome {
         match swapped {
-            Ok(true) => return Fate::Known(Appended::Durable),
-            Err(failure) if failure.effect == Effect::None => return Fate::Unknown,
+            Ok(true) => return WriteOutcome::Known(AppendOutcome::Durable),
+            Err(failure) if failure.effect == Effect::None => return WriteOutcome::Unknown,
             _ => {}
         }
         match self.store.get(key).await {
-            Ok(Some(item)) if item.value == *bytes => Fate::Known(Appended::Durable),
-            Ok(Some(_)) => Fate::Known(Appended::Superseded),
-            Ok(None) | Err(_) => Fate::Unknown,
+            Ok(Some(item)) if item.value == *bytes => WriteOutcome::Known(AppendOutcome::Durable),
+            Ok(Some(_)) => WriteOutcome::Known(AppendOutcome::Superseded),
+            Ok(None) | Err(_) => WriteOutcome::Unknown,
         }
     }
 
@@ -383,8 +383,8 @@
     }
 }
 
-enum Fate {
-    Known(Appended),
+enum WriteOutcome {
+    Known(AppendOutcome),
     Unknown,
 }
 
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -14,22 +14,22 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time;
 
-use crate::agent::Worker;
+use crate::agent::WorkerClient;
 use crate::cell::Cell;
 use crate::clock::Clock;
 use crate::events::{
-    Called, Cancel, Checked, HandOver, Listed, Show, Snapped, Submit, Tick, Wrote,
+    WorkerAnswered, Cancel, OwnershipChecked, HandOver, WorkersListed, Show, SnapshotWritten, Submit, Tick, EntryWritten,
 };
 use crate::fact::{Body, Fact};
 use crate::fit::Gentle;
-use crate::journal::{Journal, Opened};
+use crate::journal::{Journal, OpenedCell};
 use crate::peer::{Submission, Verdict};
 use crate::plan::{self, Planner};
-use crate::reconcile::{self, Moment};
+use crate::reconcile::{self, StepContext};
 use crate::record;
 use crate::roster;
-use crate::score::Score;
-use crate::session::{Session, Terms};
+use crate::score::SchedulerMetrics;
+use crate::session::{Session, LeaseTerms};
 use crate::settings;
 
 /// How often the owner decides.
@@ -39,26 +39,26 @@
 /// A worker that does not answer is called at most this often.
 const RETRY_EVERY: Duration = Duration::from_millis(500);
 /// Facts that may wait for the log before new jobs are turned away.
-pub(crate) const PENDING_MAX: usize = plan::FACTS_MAX;
+pub(crate) const PENDING_MAX: usize = plan::MAX_FACTS_PER_ROUND;
 
 /// What an owner needs besides its opened cell.
 #[derive(Clone)]
-pub struct Tools {
+pub struct OwnerDeps {
     /// Name of the cell.
     pub name: Arc<str>,
     /// Settings of the role.
     pub settings: settings::Scheduler,
     /// Workers.
-    pub worker: Arc<dyn Worker>,
+    pub worker: Arc<dyn WorkerClient>,
     /// Time.
     pub clock: Arc<dyn Clock>,
     /// Counters.
-    pub tally: Arc<Score>,
+    pub tally: Arc<SchedulerMetrics>,
 }
 
 /// Whether an owner still owns its cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum OwnerStatus {
     /// It owns the cell.
     Owner,
     /// It has handed the cell over, or was superseded.
@@ -67,16 +67,16 @@
 
 /// A running owner.
 #[derive(Clone)]
-pub struct Handle {
+pub struct OwnerHandle {
     actor: ActorRef<Owner>,
-    standing: watch::Receiver<Standing>,
+    standing: watch::Receiver<OwnerStatus>,
 }
 
-impl Handle {
+impl OwnerHandle {
     /// Whether it still owns its cell.
     #[must_use]
     pub fn is_owner(&self) -> bool {
-        *self.standing.borrow() == Standing::Owner
+        *self.standing.borrow() == OwnerStatus::Owner
     }
 
     /// Submits a job; the verdict comes once it is durable.
@@ -107,7 +107,7 @@
 
     /// Takes the platform's list of this cell's workers.
     pub async fn list(&self, instances: Vec<roster::Instance>) {
-        let _ = self.actor.tell(Listed { instances }).await;
+        let _ = self.actor.tell(WorkersListed { instances }).await;
     }
 
     /// Hands the cell over in a planned way and waits for it.
@@ -115,7 +115,7 @@
         let _ = self.actor.tell(HandOver).await;
         let mut standing = self.standing.clone();
         let _ = standing
-            .wait_for(|standing| *standing == Standing::Ended)
+            .wait_for(|standing| *standing == OwnerStatus::Ended)
             .await;
     }
 
@@ -127,14 +127,14 @@
 
 /// Starts the owner of an opened cell.
 #[must_use]
-pub fn spawn(opened: Opened, tools: Tools) -> Handle {
-    let (sender, standing) = watch::channel(Standing::Owner);
+pub fn spawn(opened: OpenedCell, tools: OwnerDeps) -> OwnerHandle {
+    let (sender, standing) = watch::channel(OwnerStatus::Owner);
     let now = tools.clock.now();
-    let terms = Terms {
+    let terms = LeaseTerms {
         lease: tools.settings.lease,
         margin: tools.settings.margin,
     };
-    let Opened {
+    let OpenedCell {
         journal,
         mut cell,
         next,
@@ -163,15 +163,15 @@
     };
     let actor = Owner::spawn(owner);
     tokio::spawn(tick(actor.clone(), standing.clone()));
-    Handle { actor, standing }
+    OwnerHandle { actor, standing }
 }
 
-async fn tick(actor: ActorRef<Owner>, standing: watch::Receiver<Standing>) {
+async fn tick(actor: ActorRef<Owner>, standing: watch::Receiver<OwnerStatus>) {
     let mut ticks = time::interval(TICK);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if *standing.borrow() == Standing::Ended || actor.ask(Tick).await.is_err() {
+        if *standing.borrow() == OwnerStatus::Ended || actor.ask(Tick).await.is_err() {
             return;
         }
     }
@@ -182,8 +182,8 @@
     reason = "each is a call under way, or the end"
 )]
 pub(crate) struct Owner {
-    pub(crate) tools: Tools,
-    pub(crate) terms: Terms,
+    pub(crate) tools: OwnerDeps,
+    pub(crate) terms: LeaseTerms,
     pub(crate) planner: Planner,
     pub(crate) cell: Cell,
     /// Leases of earlier owners end by this time.
@@ -202,7 +202,7 @@
     pub(crate) snapshotting: bool,
     pub(crate) handing: bool,
     pub(crate) journal: Journal,
-    pub(crate) standing: watch::Sender<Standing>,
+    pub(crate) standing: watch::Sender<OwnerStatus>,
 }
 
 impl Actor for Owner {
@@ -218,7 +218,7 @@
         _: kameo::actor::WeakActorRef<Self>,
         _: kameo::error::ActorStopReason,
     ) -> Result<(), Self::Error> {
-        self.standing.send_replace(Standing::Ended);
+        self.standing.send_replace(OwnerStatus::Ended);
         Ok(())
     }
 }
@@ -228,8 +228,8 @@
         self.tools.clock.now()
     }
 
-    pub(crate) fn moment(&self) -> Moment {
-        Moment {
+    pub(crate) fn moment(&self) -> StepContext {
+        StepContext {
             epoch: self.journal.epoch(),
             position: self.position,
             durable: self.durable,
@@ -238,7 +238,7 @@
     }
 
     pub(crate) fn step_down(&mut self, why: &'static str, actor: &ActorRef<Self>) {
-        if self.standing.send_replace(Standing::Ended) == Standing::Owner {
+        if self.standing.send_replace(OwnerStatus::Ended) == OwnerStatus::Owner {
             tracing::info!(cell = %self.tools.name, epoch = self.journal.epoch(), why, "cell released");
         }
         actor.kill();
@@ -275,7 +275,7 @@
         tokio::spawn(async move {
             let appended = journal.append(position, bytes).await;
             let _ = actor
-                .tell(Wrote {
+                .tell(EntryWritten {
                     position,
                     began,
                     appended,
@@ -332,20 +332,20 @@
         }
     }
 
-    pub(crate) fn is_due(&self, name: &Arc<str>, host: &crate::host::Host, now: Duration) -> bool {
+    pub(crate) fn is_due(&self, name: &Arc<str>, host: &crate::host::WorkerState, now: Duration) -> bool {
         let Some(called) = host.called else {
             return true;
         };
         let since = now.saturating_sub(called);
         let silent = host.session.silence(now) > self.tools.settings.renew * 2;
-        let news = !silent && reconcile::has_news(&self.cell, name, self.durable);
+        let news = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
         !host.calling
             && (news || since >= self.tools.settings.renew || silent && since >= RETRY_EVERY)
     }
 
     pub(crate) fn call(&mut self, worker: &Arc<str>, renew: bool, actor: &ActorRef<Self>) {
         let moment = self.moment();
-        let Some(sync) = reconcile::prepare(&mut self.cell, worker, &self.terms, renew, moment)
+        let Some(sync) = reconcile::prepare_sync(&mut self.cell, worker, &self.terms, renew, moment)
         else {
             return;
         };
@@ -359,7 +359,7 @@
         let (tool, actor, worker) = (self.tools.worker.clone(), actor.clone(), worker.clone());
         tokio::spawn(async move {
             let answer = tool.sync(address, &sync).await;
-            let _ = actor.tell(Called { worker, answer }).await;
+            let _ = actor.tell(WorkerAnswered { worker, answer }).await;
         });
     }
 
@@ -374,7 +374,7 @@
         tokio::spawn(async move {
             let free = journal.is_free(position).await;
             let _ = actor
-                .tell(Checked {
+                .tell(OwnershipChecked {
                     began: now,
                     position,
                     free,
@@ -399,7 +399,7 @@
         let (journal, actor, position) = (self.journal.clone(), actor.clone(), self.durable);
         tokio::spawn(async move {
             let done = journal.snapshot(position, state.into()).await;
-            let _ = actor.tell(Snapped { done }).await;
+            let _ = actor.tell(SnapshotWritten { done }).await;
         });
     }
 
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::agent::Report;
-use crate::backlog::{RANKS, Rank};
+use crate::backlog::{PRIORITIES, Priority};
 use crate::cell::Cell;
 use crate::endpoint;
 use crate::evict;
@@ -17,28 +17,28 @@
 use crate::fit::{Fit, Site};
 use crate::guard::Act;
 use crate::harm::Harm;
-use crate::host::{Host, Work};
+use crate::host::{WorkerState, Work};
 use crate::job::Phase;
 use crate::peer::{Submission, Verdict};
 use crate::resources::Resources;
-use crate::session::Terms;
+use crate::session::LeaseTerms;
 use crate::template::Class;
 use crate::watch;
 
 /// Queued tasks of one account that are looked at for one that may start.
 const LOOK_AHEAD: usize = 16;
 /// Facts in one round, so that a log entry stays small.
-pub const FACTS_MAX: usize = 2000;
+pub const MAX_FACTS_PER_ROUND: usize = 2000;
 /// An ended job is shown this long.
-const REMEMBER: Duration = Duration::from_mins(30);
+const ENDED_JOB_RETENTION: Duration = Duration::from_mins(30);
 /// Cost of a worker on which the task failed before.
-const AGAIN: f64 = 1000.0;
+const FAILED_BEFORE_COST: f64 = 1000.0;
 /// A worker held back for an urgent task is let go after this time.
-const PLEDGE: Duration = Duration::from_secs(30);
+const RESERVATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A worker held back until a task can start on it.
 #[derive(Clone, Debug)]
-struct Pledge {
+struct Reservation {
     worker: Arc<str>,
     until: Duration,
 }
@@ -46,9 +46,9 @@
 /// Decides for one cell.
 pub struct Planner {
     fit: Box<dyn Fit>,
-    terms: Terms,
+    terms: LeaseTerms,
     harm: Harm,
-    pledges: BTreeMap<TaskId, Pledge>,
+    pledges: BTreeMap<TaskId, Reservation>,
     /// Shapes that found no worker in this round. A round only takes room away, so
     /// what did not fit once does not fit again.
     full: Vec<(Resources, Class)>,
@@ -59,7 +59,7 @@
 impl Planner {
     /// A planner that chooses workers by `fit`.
     #[must_use]
-    pub fn new(fit: Box<dyn Fit>, terms: Terms) -> Self {
+    pub fn new(fit: Box<dyn Fit>, terms: LeaseTerms) -> Self {
         Self {
             fit,
             terms,
@@ -84,7 +84,7 @@
         });
         self.full.clear();
         self.crowded.clear();
-        for rank in RANKS {
+        for rank in PRIORITIES {
             self.place_rank(cell, rank, &mut facts, position, now);
         }
         facts
@@ -120,7 +120,7 @@
             .values()
             .filter(|host| self.is_lost(host, now))
             .flat_map(|host| host.tasks.iter().copied())
-            .take(FACTS_MAX)
+            .take(MAX_FACTS_PER_ROUND)
             .collect();
         for id in lost {
             let Some((task, _)) = cell.task(id) else {
@@ -135,7 +135,7 @@
     }
 
     /// Whether every lease that the worker may hold has ended for certain.
-    fn is_lost(&self, host: &Host, now: Duration) -> bool {
+    fn is_lost(&self, host: &WorkerState, now: Duration) -> bool {
         let lapsed = now >= host.session.bound();
         let wait = self.terms.lease + self.terms.margin;
         let gone = host.absent.is_some_and(|since| now >= since + wait);
@@ -145,7 +145,7 @@
     fn place_rank(
         &mut self,
         cell: &mut Cell,
-        rank: Rank,
+        rank: Priority,
         facts: &mut Vec<Fact>,
         position: u64,
         now: Duration,
@@ -156,7 +156,7 @@
             .map(|name| turn(cell, name))
             .collect();
         while let Some(Reverse((_, account))) = turns.pop() {
-            if facts.len() >= FACTS_MAX {
+            if facts.len() >= MAX_FACTS_PER_ROUND {
                 return;
             }
             if self.place_one(cell, rank, &account, facts, position, now) {
@@ -169,7 +169,7 @@
     fn place_one(
         &mut self,
         cell: &mut Cell,
-        rank: Rank,
+        rank: Priority,
         account: &Arc<str>,
         facts: &mut Vec<Fact>,
         position: u64,
@@ -219,7 +219,7 @@
             if !full && !self.pledges.contains_key(&id) {
                 self.full.push((needs, class));
             }
-            if rank != Rank::Batch && !self.crowded.contains(&needs) {
+            if rank != Priority::Batch && !self.crowded.contains(&needs) {
                 self.make_room(cell, id, facts, position, now);
             }
         }
@@ -230,7 +230,7 @@
         &self,
         cell: &Cell,
         id: TaskId,
-        rank: Rank,
+        rank: Priority,
         now: Duration,
     ) -> Option<(Arc<str>, u64)> {
         let (task, submission) = cell.task(id)?;
@@ -261,7 +261,7 @@
             };
             // A task that failed somewhere goes elsewhere while there is an elsewhere.
             let again = f64::from(u8::from(task.failed_on.contains(name)));
-            let cost = cost + AGAIN * again;
+            let cost = cost + FAILED_BEFORE_COST * again;
             if best.is_none_or(|(least, _, _)| cost < least) {
                 best = Some((cost, name, boot));
             }
@@ -302,8 +302,8 @@
     }
 
     /// Workers held back for others.
-    fn pledged(&self, id: TaskId, rank: Rank) -> BTreeSet<Arc<str>> {
-        if rank == Rank::Urgent || self.pledges.is_empty() {
+    fn pledged(&self, id: TaskId, rank: Priority) -> BTreeSet<Arc<str>> {
+        if rank == Priority::Urgent || self.pledges.is_empty() {
             return BTreeSet::new();
         }
         let others = self.pledges.iter().filter(|(task, _)| **task != id);
@@ -325,7 +325,7 @@
             return;
         };
         let needs = submission.needs;
-        let Some((worker, victims)) = evict::choose(cell, &needs, &self.terms, now) else {
+        let Some((worker, victims)) = evict::choose_victims(cell, &needs, &self.terms, now) else {
             self.crowded.push(needs);
             return;
         };
@@ -334,9 +334,9 @@
         }
         self.pledges.insert(
             id,
-            Pledge {
+            Reservation {
                 worker,
-                until: now + PLEDGE,
+                until: now + RESERVATION_TIMEOUT,
             },
         );
     }
@@ -384,9 +384,9 @@
         .lasting()
         .jobs
         .iter()
-        .filter(|(_, job)| job.is_over() && job.ended.unwrap_or_default() + REMEMBER < now)
+        .filter(|(_, job)| job.is_over() && job.ended.unwrap_or_default() + ENDED_JOB_RETENTION < now)
         .map(|(number, _)| *number)
-        .take(FACTS_MAX)
+        .take(MAX_FACTS_PER_ROUND)
         .collect();
     for number in old {
         record(cell, facts, Fact::Forgotten(number), position, now);
--- a/ashtiller/src/task/reconcile.rs
+++ b/ashtiller/src/task/reconcile.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::agent::{Command, Ended, Ending, Report, Sync};
+use crate::agent::{Command, Ended, ReportedEnd, Report, SyncRequest};
 use crate::cell::Cell;
 use crate::fact::{Attempt, End, Fact, TaskId};
 use crate::job::Phase;
-use crate::session::{Answer, Change, Grant, Terms};
+use crate::session::{ReportHeader, Change, Grant, LeaseTerms};
 
 /// An end that a worker reported; acknowledged once its position is durable.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -23,7 +23,7 @@
 
 /// Position and time of a step, and the owner's epoch.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
+pub struct StepContext {
     /// Epoch of the owner.
     pub epoch: u64,
     /// Position of the entry that new facts go to.
@@ -36,13 +36,13 @@
 
 /// The name of a task at workers.
 #[must_use]
-pub fn name_of(account: &str, job: &str, id: TaskId) -> Arc<str> {
+pub fn task_name(account: &str, job: &str, id: TaskId) -> Arc<str> {
     format!("{account}/{job}/{id}").into()
 }
 
 /// Reads the number back from a task's name.
 #[must_use]
-pub fn id_of(name: &str) -> Option<TaskId> {
+pub fn parse_task_name(name: &str) -> Option<TaskId> {
     let (job, index) = name.rsplit_once('/')?.1.split_once('.')?;
     Some(TaskId {
         job: job.parse().ok()?,
@@ -51,13 +51,13 @@
 }
 
 /// Builds the next call to a worker; `renew` extends its lease.
-pub fn prepare(
+pub fn prepare_sync(
     cell: &mut Cell,
     worker: &Arc<str>,
-    terms: &Terms,
+    terms: &LeaseTerms,
     renew: bool,
-    moment: Moment,
-) -> Option<Sync> {
+    moment: StepContext,
+) -> Option<SyncRequest> {
     let host = cell.hosts.get_mut(worker)?;
     let grant = host.session.grant(terms, renew);
     let acks = host
@@ -78,7 +78,7 @@
         }));
     }
     let Grant { seq, boot, until } = grant;
-    Some(Sync {
+    Some(SyncRequest {
         epoch: moment.epoch,
         seq,
         boot,
@@ -96,7 +96,7 @@
     if place.position > durable || Some(place.boot) != host.session.boot() {
         return None;
     }
-    let name = name_of(&submission.account, &submission.job, id);
+    let name = task_name(&submission.account, &submission.job, id);
     let attempt = task.attempt;
     match task.phase {
         Phase::Placed(_) if host.seen.contains_key(&id) => {
@@ -132,7 +132,7 @@
 
 /// Whether the next call to a worker would carry commands or acknowledgements.
 #[must_use]
-pub fn has_news(cell: &Cell, worker: &Arc<str>, durable: u64) -> bool {
+pub fn has_pending_updates(cell: &Cell, worker: &Arc<str>, durable: u64) -> bool {
     let Some(host) = cell.hosts.get(worker) else {
         return false;
     };
@@ -145,18 +145,18 @@
 }
 
 /// Takes a worker's answer; the facts are applied already.
-pub fn take_report(
+pub fn apply_report(
     cell: &mut Cell,
     worker: &Arc<str>,
     report: &Report,
-    terms: &Terms,
-    moment: Moment,
+    terms: &LeaseTerms,
+    moment: StepContext,
 ) -> (Change, Vec<Fact>) {
-    let Moment { epoch, now, .. } = moment;
+    let StepContext { epoch, now, .. } = moment;
     let Some(host) = cell.hosts.get_mut(worker) else {
         return (Change::Same, Vec::new());
     };
-    let answer = Answer {
+    let answer = ReportHeader {
         epoch: report.epoch,
         seq: report.seq,
         boot: report.boot,
@@ -193,7 +193,7 @@
     worker: &Arc<str>,
     boot: u64,
     facts: &mut Vec<Fact>,
-    moment: Moment,
+    moment: StepContext,
 ) {
     let Some(host) = cell.hosts.get(worker) else {
         return;
@@ -219,7 +219,7 @@
     let mut seen = BTreeMap::new();
     let mut strays = Vec::new();
     for running in &report.running {
-        let id = id_of(&running.task);
+        let id = parse_task_name(&running.task);
         let ours = id.is_some_and(|id| is_ours(cell, worker, id, running.attempt));
         match id {
             Some(id) if ours => {
@@ -250,16 +250,16 @@
     worker: &Arc<str>,
     ended: &Ended,
     facts: &mut Vec<Fact>,
-    moment: Moment,
+    moment: StepContext,
 ) {
-    let active = id_of(&ended.task).filter(|id| is_ours(cell, worker, *id, ended.attempt));
+    let active = parse_task_name(&ended.task).filter(|id| is_ours(cell, worker, *id, ended.attempt));
     if let Some(id) = active {
         let end = match ended.end {
-            Ending::Finished => End::Finished,
-            Ending::Failed => End::Failed,
-            Ending::Evicted => End::Evicted(ended.progress),
-            Ending::Stopped => End::Stopped,
-            Ending::Lapsed => End::Lost,
+            ReportedEnd::Finished => End::Finished,
+            ReportedEnd::Failed => End::Failed,
+            ReportedEnd::Evicted => End::Evicted(ended.progress),
+            ReportedEnd::Stopped => End::Stopped,
+            ReportedEnd::Lapsed => End::Lost,
         };
         let attempt = Attempt {
             task: id,
@@ -298,7 +298,7 @@
     }
 }
 
-fn record(cell: &mut Cell, facts: &mut Vec<Fact>, fact: Fact, moment: Moment) {
+fn record(cell: &mut Cell, facts: &mut Vec<Fact>, fact: Fact, moment: StepContext) {
     cell.apply(&fact, moment.position, moment.now);
     facts.push(fact);
 }
--- a/ashtiller/src/task/record.rs
+++ b/ashtiller/src/task/record.rs
@@ -10,7 +10,7 @@
 
 /// Why a record cannot be used.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum Damage {
+pub enum RecordError {
     /// Shorter than its prefix.
     #[error("the record has {0} bytes, fewer than its prefix")]
     Short(usize),
@@ -29,8 +29,8 @@
 ///
 /// # Errors
 /// The value cannot be written.
-pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, Damage> {
-    let body = postcard::to_stdvec(value).map_err(|error| Damage::Body(error.to_string()))?;
+pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, RecordError> {
+    let body = postcard::to_stdvec(value).map_err(|error| RecordError::Body(error.to_string()))?;
     let mut record = Vec::with_capacity(PREFIX + body.len());
     record.push(VERSION);
     record.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -42,15 +42,15 @@
 ///
 /// # Errors
 /// The record is damaged or from a newer program.
-pub fn decode<T: DeserializeOwned>(record: &[u8]) -> Result<T, Damage> {
+pub fn decode<T: DeserializeOwned>(record: &[u8]) -> Result<T, RecordError> {
     let Some((prefix, body)) = record.split_at_checked(PREFIX) else {
-        return Err(Damage::Short(record.len()));
+        return Err(RecordError::Short(record.len()));
     };
     if prefix[0] != VERSION {
-        return Err(Damage::Version(prefix[0]));
+        return Err(RecordError::Version(prefix[0]));
     }
     if prefix[1..] != crc32fast::hash(body).to_le_bytes() {
-        return Err(Damage::Checksum);
+        return Err(RecordError::Checksum);
     }
-    postcard::from_bytes(body).map_err(|error| Damage::Body(error.to_string()))
+    postcard::from_bytes(body).map_err(|error| RecordError::Body(error.to_string()))
 }
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time;
 
-use crate::agent::{self, Worker};
+use crate::agent::{self, WorkerClient};
 use crate::clock::{self, Clock};
 use crate::config::{self, Config};
 use crate::consul;
@@ -24,12 +24,12 @@
 use crate::members::{Member, Members};
 use crate::membership::{self, Membership};
 use crate::ops::{self, Command, Health, Operated, Ops, Said};
-use crate::owner::{self, Handle, Tools};
+use crate::owner::{self, OwnerHandle, OwnerDeps};
 use crate::peer::{Ask, Greeting, Peer, Role, Submission, Verdict};
 use crate::rendezvous;
 use crate::roster::{Instance, Roster};
-use crate::score::Score;
-use crate::session::Terms;
+use crate::score::SchedulerMetrics;
+use crate::session::LeaseTerms;
 use crate::settings::Settings;
 use crate::store::{Called, Store};
 use crate::wire;
@@ -49,12 +49,12 @@
     settings: Settings,
     store: Arc<dyn Store>,
     roster: Arc<dyn Roster>,
-    worker: Arc<dyn Worker>,
+    worker: Arc<dyn WorkerClient>,
     config: Arc<Config>,
     registry: Registry,
-    score: Arc<Score>,
+    score: Arc<SchedulerMetrics>,
     clock: Arc<dyn Clock>,
-    owned: Mutex<BTreeMap<Arc<str>, Handle>>,
+    owned: Mutex<BTreeMap<Arc<str>, OwnerHandle>>,
     damaged: Mutex<BTreeMap<Arc<str>, (String, Duration)>>,
     leaving: AtomicBool,
     membership: OnceLock<Arc<Membership>>,
@@ -62,7 +62,7 @@
 
 /// What to do about a cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum CellAction {
     /// Leave it as it is.
     Rest,
     /// Take it over.
@@ -73,15 +73,15 @@
 
 /// Decides about one cell. `owner` is the present scheduler that says it owns it.
 #[must_use]
-pub fn decide(own: &str, owns: bool, owner: Option<&str>, first: Option<&str>) -> Next {
+pub fn decide(own: &str, owns: bool, owner: Option<&str>, first: Option<&str>) -> CellAction {
     // While another says that it owns the cell, the log decides between the two.
     if owner.is_some() {
-        return Next::Rest;
+        return CellAction::Rest;
     }
     match (owns, first) {
-        (true, Some(first)) if first != own => Next::HandOver,
-        (false, Some(first)) if first == own => Next::Open,
-        _ => Next::Rest,
+        (true, Some(first)) if first != own => CellAction::HandOver,
+        (false, Some(first)) if first == own => CellAction::Open,
+        _ => CellAction::Rest,
     }
 }
 
@@ -109,7 +109,7 @@
         roster: consul,
         worker: agent::open(limit),
         config: config.clone(),
-        score: Score::open(&registry)?,
+        score: SchedulerMetrics::open(&registry)?,
         registry,
         clock: clock.clone(),
         owned: Mutex::default(),
@@ -186,7 +186,7 @@
     /// Stops in a planned way: hands every cell over, then leaves.
     pub async fn stop(self) {
         self.shared.leaving.store(true, Ordering::SeqCst);
-        let handles: Vec<Handle> = self.shared.owned.lock().values().cloned().collect();
+        let handles: Vec<OwnerHandle> = self.shared.owned.lock().values().cloned().collect();
         let mut moves = JoinSet::new();
         for handle in handles {
             moves.spawn(async move { handle.hand_over().await });
@@ -237,7 +237,7 @@
         }
     }
 
-    fn handle(&self, cell: &str) -> Option<Handle> {
+    fn handle(&self, cell: &str) -> Option<OwnerHandle> {
         self.owned
             .lock()
             .get(cell)
@@ -252,7 +252,7 @@
             .unwrap_or_default()
     }
 
-    fn decide(&self, cell: &Arc<str>) -> Next {
+    fn decide(&self, cell: &Arc<str>) -> CellAction {
         let own = &self.settings.instance.name;
         let members = self.members();
         let mut present = members.present(Role::Scheduler);
@@ -270,7 +270,7 @@
 
     async fn open(&self, cell: &Arc<str>) {
         let settings = &self.settings.scheduler;
-        let terms = Terms {
+        let terms = LeaseTerms {
             lease: settings.lease,
             margin: settings.margin,
         };
@@ -295,8 +295,8 @@
         }
     }
 
-    fn tools(&self, cell: &Arc<str>) -> Tools {
-        Tools {
+    fn tools(&self, cell: &Arc<str>) -> OwnerDeps {
+        OwnerDeps {
             name: cell.clone(),
             settings: self.settings.scheduler.clone(),
             worker: self.worker.clone(),
@@ -336,8 +336,8 @@
         forget_released(&shared);
         for (cell, workers) in &cells {
             match shared.decide(cell) {
-                Next::Open if shared.may_open(cell) => shared.open(cell).await,
-                Next::HandOver => {
+                CellAction::Open if shared.may_open(cell) => shared.open(cell).await,
+                CellAction::HandOver => {
                     let now = shared.clock.now();
                     if moved.is_none_or(|last| now >= last + MOVE_EVERY) {
                         moved = Some(now);
--- a/ashtiller/src/task/score.rs
+++ b/ashtiller/src/task/score.rs
@@ -8,7 +8,7 @@
 use crate::counters::Counters;
 
 /// Counters of one scheduler, each registered under `ashtiller_scheduler_`.
-pub struct Score {
+pub struct SchedulerMetrics {
     /// Log entries written.
     pub entries: IntCounter,
     /// Bytes of log entries.
@@ -24,7 +24,7 @@
     tasks: IntGaugeVec,
 }
 
-impl Score {
+impl SchedulerMetrics {
     /// Registers the counters.
     ///
     /// # Errors
--- a/ashtiller/src/task/session.rs
+++ b/ashtiller/src/task/session.rs
@@ -9,7 +9,7 @@
 
 /// Where a worker stands towards this owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Contact {
+pub enum FenceState {
     /// It has not answered this owner yet.
     Unfenced,
     /// It has answered under this owner's epoch.
@@ -21,7 +21,7 @@
 
 /// Times that a session uses.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// Length of a lease.
     pub lease: Duration,
     /// Allowance for drift.
@@ -56,7 +56,7 @@
 
 /// What an answer says of the worker itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Answer {
+pub struct ReportHeader {
     /// Highest epoch that the worker has seen.
     pub epoch: u64,
     /// Highest number that it has seen in that epoch.
@@ -70,7 +70,7 @@
 /// One worker's lease.
 #[derive(Clone, Debug)]
 pub struct Session {
-    contact: Contact,
+    contact: FenceState,
     seq: u64,
     heard: u64,
     former: Vec<u64>,
@@ -83,7 +83,7 @@
     #[must_use]
     pub fn new(bound: Duration) -> Self {
         Self {
-            contact: Contact::Unfenced,
+            contact: FenceState::Unfenced,
             seq: 0,
             heard: 0,
             former: Vec::new(),
@@ -94,7 +94,7 @@
 
     /// Where the worker stands.
     #[must_use]
-    pub fn contact(&self) -> Contact {
+    pub fn contact(&self) -> FenceState {
         self.contact
     }
 
@@ -102,8 +102,8 @@
     #[must_use]
     pub fn boot(&self) -> Option<u64> {
         match self.contact {
-            Contact::Unfenced => None,
-            Contact::Fenced { boot } => Some(boot),
+            FenceState::Unfenced => None,
+            FenceState::Fenced { boot } => Some(boot),
         }
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Prepares the next grant. Without `renew` it grants nothing new.
-    pub fn grant(&mut self, terms: &Terms, renew: bool) -> Grant {
+    pub fn grant(&mut self, terms: &LeaseTerms, renew: bool) -> Grant {
         self.seq += 1;
         let boot = self.boot().unwrap_or(0);
         let Some((clock, at)) = self.stamp.filter(|_| renew && boot != 0) else {
@@ -140,7 +140,7 @@
     }
 
     /// Takes an answer that arrived at `now`; `epoch` is this owner's.
-    pub fn answered(&mut self, epoch: u64, answer: Answer, terms: &Terms, now: Duration) -> Change {
+    pub fn answered(&mut self, epoch: u64, answer: ReportHeader, terms: &LeaseTerms, now: Duration) -> Change {
         if answer.epoch > epoch {
             return Change::Superseded;
         }
@@ -149,8 +149,8 @@
         }
         let fenced = answer.epoch == epoch;
         let change = match self.contact {
-            Contact::Fenced { boot } if boot != answer.boot => Change::Rebooted,
-            Contact::Unfenced if fenced => Change::Fenced,
+            FenceState::Fenced { boot } if boot != answer.boot => Change::Rebooted,
+            FenceState::Unfenced if fenced => Change::Fenced,
             _ => Change::Same,
         };
         if fenced {
@@ -164,7 +164,7 @@
             self.bound = now + terms.lease + terms.margin;
         }
         if fenced || change == Change::Rebooted {
-            self.contact = Contact::Fenced { boot: answer.boot };
+            self.contact = FenceState::Fenced { boot: answer.boot };
             self.stamp = Some((answer.clock, now));
         }
         change
@@ -172,7 +172,7 @@
 
     /// Answers may overtake each other. Within an epoch their numbers tell; a life
     /// of the worker that has ended does not come back.
-    fn is_stale(&self, epoch: u64, answer: Answer) -> bool {
+    fn is_stale(&self, epoch: u64, answer: ReportHeader) -> bool {
         let older = answer.epoch == epoch && answer.seq <= self.heard;
         let rebooted = self.boot().is_some_and(|boot| boot != answer.boot);
         self.former.contains(&answer.boot) || (older && !rebooted)
--- a/ashtiller/tests/fleet/mod.rs
+++ b/ashtiller/tests/fleet/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::agent::{Report, Sync};
+use ashtiller::agent::{Report, SyncRequest};
 use ashtiller::fact::{Body, End, Entry, Fact, TaskId};
 use ashtiller::peer::Submission;
 use ashtiller::resources::Resources;
@@ -34,7 +34,7 @@
     ToWorker {
         owner: usize,
         worker: Arc<str>,
-        sync: Sync,
+        sync: SyncRequest,
     },
     ToOwner {
         owner: usize,
@@ -145,7 +145,7 @@
             self.check()?;
         }
         for task in &self.finished {
-            let id = ashtiller::reconcile::id_of(task).ok_or("a task without number")?;
+            let id = ashtiller::reconcile::parse_task_name(task).ok_or("a task without number")?;
             if self
                 .ends_in_log(id)
                 .filter(|end| *end == End::Finished)
@@ -380,7 +380,7 @@
         if !self.started.insert((task.clone(), attempt)) {
             return Err(format!("{task} attempt {attempt} started twice"));
         }
-        let id = ashtiller::reconcile::id_of(task).ok_or("a task without number")?;
+        let id = ashtiller::reconcile::parse_task_name(task).ok_or("a task without number")?;
         if self.ends_in_log(id).any(|end| end == End::Finished) {
             return Err(format!("{task} started after the log had it finished"));
         }
@@ -531,7 +531,7 @@
 
     /// Needs of a task by the log, which records every job before it can start.
     fn needs_of(&self, task: &str) -> Option<u64> {
-        let id = ashtiller::reconcile::id_of(task)?;
+        let id = ashtiller::reconcile::parse_task_name(task)?;
         let entries = self.log.iter().filter_map(|entry| match &entry.body {
             Body::Facts(facts) => Some(facts),
             _ => None,
--- a/ashtiller/tests/fleet/node.rs
+++ b/ashtiller/tests/fleet/node.rs
@@ -3,16 +3,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::agent::{Report, Sync};
+use ashtiller::agent::{Report, SyncRequest};
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
 use ashtiller::fact::{Body, Entry, Fact};
 use ashtiller::fit::Gentle;
 use ashtiller::peer::Submission;
 use ashtiller::plan::{self, Planner};
-use ashtiller::reconcile::{self, Moment};
+use ashtiller::reconcile::{self, StepContext};
 use ashtiller::resources::Resources;
-use ashtiller::session::{Change, Session, Terms};
+use ashtiller::session::{Change, Session, LeaseTerms};
 
 use super::millis;
 
@@ -32,7 +32,7 @@
     pub superseded: bool,
     pub cell: Cell,
     planner: Planner,
-    terms: Terms,
+    terms: LeaseTerms,
     epoch: u64,
     writer: u64,
     bound: Duration,
@@ -47,7 +47,7 @@
 impl Node {
     /// Replays the log, whose last entry is this owner's seal.
     pub fn open(log: &[Entry], epoch: u64, writer: u64, now: Duration) -> Self {
-        let terms = Terms {
+        let terms = LeaseTerms {
             lease: millis(LEASE),
             margin: millis(MARGIN),
         };
@@ -99,8 +99,8 @@
         }
     }
 
-    fn moment(&self, now: Duration) -> Moment {
-        Moment {
+    fn moment(&self, now: Duration) -> StepContext {
+        StepContext {
             epoch: self.epoch,
             position: self.position,
             durable: self.durable,
@@ -109,7 +109,7 @@
     }
 
     /// Decides and returns calls to workers.
-    pub fn tick(&mut self, now: Duration) -> Vec<(Arc<str>, Sync)> {
+    pub fn tick(&mut self, now: Duration) -> Vec<(Arc<str>, SyncRequest)> {
         let facts = self.planner.round(&mut self.cell, self.position, now);
         self.pending.extend(facts);
         self.flush(now);
@@ -122,7 +122,7 @@
                 let old = host
                     .called
                     .is_none_or(|called| now >= called + millis(RENEW));
-                old || reconcile::has_news(&self.cell, name, self.durable)
+                old || reconcile::has_pending_updates(&self.cell, name, self.durable)
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -132,7 +132,7 @@
             if let Some(host) = self.cell.hosts.get_mut(&name) {
                 host.called = Some(now);
             }
-            let sync = reconcile::prepare(&mut self.cell, &name, &self.terms, renewing, moment);
+            let sync = reconcile::prepare_sync(&mut self.cell, &name, &self.terms, renewing, moment);
             calls.extend(sync.map(|sync| (name, sync)));
         }
         calls
@@ -171,7 +171,7 @@
     pub fn take(&mut self, worker: &Arc<str>, report: &Report, now: Duration) {
         let (moment, terms) = (self.moment(now), self.terms);
         let (change, facts) =
-            reconcile::take_report(&mut self.cell, worker, report, &terms, moment);
+            reconcile::apply_report(&mut self.cell, worker, report, &terms, moment);
         self.pending.extend(facts);
         if change == Change::Superseded {
             self.alive = false;
--- a/ashtiller/tests/fleet/worker.rs
+++ b/ashtiller/tests/fleet/worker.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::agent::{Command, Ended, Ending, Report, Running, Sync};
+use ashtiller::agent::{Command, Ended, ReportedEnd, Report, Running, SyncRequest};
 use ashtiller::resources::Resources;
 
 /// What every worker has.
@@ -69,7 +69,7 @@
         if self.clock(now) >= self.until {
             let tasks: Vec<Arc<str>> = self.running.keys().cloned().collect();
             for task in tasks {
-                self.end(&task, Ending::Lapsed);
+                self.end(&task, ReportedEnd::Lapsed);
             }
         }
     }
@@ -86,11 +86,11 @@
         };
     }
 
-    fn end(&mut self, task: &Arc<str>, end: Ending) {
+    fn end(&mut self, task: &Arc<str>, end: ReportedEnd) {
         let Some(attempt) = self.running.remove(task) else {
             return;
         };
-        if end == Ending::Evicted {
+        if end == ReportedEnd::Evicted {
             self.saved.push((task.clone(), attempt.progress));
         }
         let (number, progress) = (attempt.number, attempt.progress);
@@ -104,7 +104,7 @@
     }
 
     /// Obeys a call; returns the attempts that it started.
-    pub fn sync(&mut self, sync: &Sync, now: Duration) -> Vec<(Arc<str>, u32, u64)> {
+    pub fn sync(&mut self, sync: &SyncRequest, now: Duration) -> Vec<(Arc<str>, u32, u64)> {
         self.advance(now);
         let other_life = sync.boot != 0 && sync.boot != self.boot;
         if other_life || (sync.epoch, sync.seq) <= (self.epoch, self.seq) {
@@ -136,15 +136,15 @@
                         started.push((task.clone(), *attempt, *progress));
                     }
                 }
-                Command::Evict { task, attempt } => self.stop(task, *attempt, Ending::Evicted),
-                Command::Stop { task, attempt } => self.stop(task, *attempt, Ending::Stopped),
+                Command::Evict { task, attempt } => self.stop(task, *attempt, ReportedEnd::Evicted),
+                Command::Stop { task, attempt } => self.stop(task, *attempt, ReportedEnd::Stopped),
                 Command::Throttle { .. } => {}
             }
         }
         started
     }
 
-    fn stop(&mut self, task: &Arc<str>, number: u32, end: Ending) {
+    fn stop(&mut self, task: &Arc<str>, number: u32, end: ReportedEnd) {
         if self
             .running
             .get(task)
@@ -156,7 +156,7 @@
         let never = Ended {
             task: task.clone(),
             attempt: number,
-            end: Ending::Stopped,
+            end: ReportedEnd::Stopped,
             progress: 0,
         };
         self.ended.entry((task.clone(), number)).or_insert(never);
@@ -206,11 +206,11 @@
         }
         match luck % 4 {
             1 => {
-                self.end(&task, Ending::Finished);
+                self.end(&task, ReportedEnd::Finished);
                 Some(task)
             }
             2 => {
-                self.end(&task, Ending::Failed);
+                self.end(&task, ReportedEnd::Failed);
                 None
             }
             _ => None,
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -18,7 +18,7 @@
 use ashtiller::pool::Pool;
 use ashtiller::rendezvous;
 use ashtiller::resources::{Pool as Room, Resources};
-use ashtiller::session::{Answer, Change, Session, Terms};
+use ashtiller::session::{ReportHeader, Change, Session, LeaseTerms};
 use ashtiller::template::Class;
 
 struct Still;
@@ -161,12 +161,12 @@
 
 #[test]
 fn a_late_grant_extends_no_lease() {
-    let terms = Terms {
+    let terms = LeaseTerms {
         lease: Duration::from_secs(10),
         margin: Duration::from_secs(1),
     };
     let mut session = Session::new(Duration::ZERO);
-    let answer = Answer {
+    let answer = ReportHeader {
         epoch: 3,
         seq: 1,
         boot: 9,
@@ -185,13 +185,13 @@
 
 #[test]
 fn an_answer_from_a_former_life_is_stale() {
-    let terms = Terms {
+    let terms = LeaseTerms {
         lease: Duration::from_secs(10),
         margin: Duration::from_secs(1),
     };
     let mut session = Session::new(Duration::ZERO);
     let at = Duration::from_secs(100);
-    let answer = |epoch, seq, boot| Answer {
+    let answer = |epoch, seq, boot| ReportHeader {
         epoch,
         seq,
         boot,
--- a/bench/src/cells.rs
+++ b/bench/src/cells.rs
@@ -11,7 +11,7 @@
 use ashtiller::plan::{self, Planner};
 use ashtiller::record;
 use ashtiller::resources::Resources;
-use ashtiller::session::{Answer, Session, Terms};
+use ashtiller::session::{ReportHeader, Session, LeaseTerms};
 use ashtiller::template::Class;
 use hdrhistogram::Histogram;
 use pico_args::Arguments;
@@ -21,7 +21,7 @@
 /// Rounds that are timed one by one.
 const ROUNDS: usize = 400;
 /// Terms of leases in these measurements.
-pub const TERMS: Terms = Terms {
+pub const TERMS: LeaseTerms = LeaseTerms {
     lease: Duration::from_secs(12),
     margin: Duration::from_secs(1),
 };
@@ -80,7 +80,7 @@
             host.address = Some(([127, 0, 0, 1], 1).into());
             host.listed = Phase::Live;
             let mut session = Session::new(Duration::ZERO);
-            let answer = Answer {
+            let answer = ReportHeader {
                 epoch: 1,
                 seq: 1,
                 boot: 1,
--- a/bench/src/replay/world.rs
+++ b/bench/src/replay/world.rs
@@ -4,15 +4,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::agent::{Command, Ended, Ending, Report, Running};
+use ashtiller::agent::{Command, Ended, ReportedEnd, Report, Running};
 use ashtiller::cell::Cell;
 use ashtiller::fact::{Attempt, Fact, TaskId};
 use ashtiller::job::Phase;
 use ashtiller::peer::Submission;
 use ashtiller::plan::{self, Planner};
-use ashtiller::reconcile::{self, Moment};
+use ashtiller::reconcile::{self, StepContext};
 use ashtiller::resources::Resources;
-use ashtiller::session::{Session, Terms};
+use ashtiller::session::{Session, LeaseTerms};
 use ashtiller::template::Class;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -25,7 +25,7 @@
 const REPORT_EVERY: u64 = 3;
 /// Spread of the measurements' noise.
 const NOISE: f64 = 0.03;
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     lease: Duration::from_secs(12),
     margin: Duration::from_secs(1),
 };
@@ -248,16 +248,16 @@
             .map(|(task, _)| task.clone())
             .collect();
         for task in done {
-            self.end(worker, &task, Ending::Finished);
+            self.end(worker, &task, ReportedEnd::Finished);
         }
     }
 
-    fn end(&mut self, worker: usize, task: &Arc<str>, end: Ending) {
+    fn end(&mut self, worker: usize, task: &Arc<str>, end: ReportedEnd) {
         let node = &mut self.nodes[worker];
         let Some(run) = node.running.remove(task) else {
             return;
         };
-        if end == Ending::Evicted {
+        if end == ReportedEnd::Evicted {
             self.score.evictions += 1;
             *self.evicted.entry(run.account).or_default() += 1;
         }
@@ -280,13 +280,13 @@
         let (name, now) = (name_of(worker), Duration::from_secs(at + 1));
         self.seq += 1;
         let report = self.report_of(worker, at);
-        let moment = Moment {
+        let moment = StepContext {
             epoch: 1,
             position: 1,
             durable: 1,
             now,
         };
-        reconcile::take_report(&mut self.cell, &name, &report, &TERMS, moment);
+        reconcile::apply_report(&mut self.cell, &name, &report, &TERMS, moment);
         match self.policy {
             Policy::Product => {
                 self.planner.observe(&mut self.cell, &name, &report, 1, now);
@@ -294,7 +294,7 @@
             Policy::Threshold => self.evict_newest(worker, &name, &report, now),
             _ => {}
         }
-        let Some(sync) = reconcile::prepare(&mut self.cell, &name, &TERMS, true, moment) else {
+        let Some(sync) = reconcile::prepare_sync(&mut self.cell, &name, &TERMS, true, moment) else {
             return;
         };
         let node = &mut self.nodes[worker];
@@ -347,8 +347,8 @@
                     self.nodes[worker].running.insert(task, run);
                 }
             }
-            Command::Evict { task, .. } => self.end(worker, &task, Ending::Evicted),
-            Command::Stop { task, .. } => self.end(worker, &task, Ending::Stopped),
+            Command::Evict { task, .. } => self.end(worker, &task, ReportedEnd::Evicted),
+            Command::Stop { task, .. } => self.end(worker, &task, ReportedEnd::Stopped),
             Command::Throttle { task, percent, .. } => {
                 if let Some(run) = self.nodes[worker].running.get_mut(&task) {
                     run.percent = percent;
@@ -359,7 +359,7 @@
 
     #[expect(clippy::cast_precision_loss, reason = "seconds of a trace")]
     fn run_of(&self, task: &str, attempt: u32, progress: u64, at: u64) -> Option<Run> {
-        let (_, submission) = self.cell.task(reconcile::id_of(task)?)?;
+        let (_, submission) = self.cell.task(reconcile::parse_task_name(task)?)?;
         let real = self
             .trace
             .reals
@@ -381,7 +381,7 @@
     /// The baseline's controller: evict the newest batch task when a service is over.
     fn evict_newest(&mut self, worker: usize, name: &Arc<str>, report: &Report, now: Duration) {
         let over = report.running.iter().any(|running| {
-            let target = reconcile::id_of(&running.task)
+            let target = reconcile::parse_task_name(&running.task)
                 .and_then(|id| self.cell.task(id)?.1.target)
                 .map(|target| target.as_micros());
             running
@@ -399,7 +399,7 @@
         let Some((task, number)) = newest.filter(|_| over) else {
             return;
         };
-        let Some(id) = reconcile::id_of(&task) else {
+        let Some(id) = reconcile::parse_task_name(&task) else {
             return;
         };
         let placed = self.cell.task(id).is_some_and(
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ashtiller::agent::{Report, Running, Sync};
+use ashtiller::agent::{Report, Running, SyncRequest};
 use ashtiller::balance::Kind;
 use ashtiller::cell::Cell;
 use ashtiller::dispatch::{self, Dispatch, Limits, Next};
@@ -18,7 +18,7 @@
 use ashtiller::line::Ticket;
 use ashtiller::peer::{Ask, Greeting, Peer, Submission, Verdict};
 use ashtiller::plan::Planner;
-use ashtiller::reconcile::{self, Moment};
+use ashtiller::reconcile::{self, StepContext};
 use ashtiller::record;
 use ashtiller::store::Called;
 use ashtiller::template::Class;
@@ -237,12 +237,12 @@
 const HEADS: usize = 70 + 80;
 
 fn sync_bytes(tasks: usize) -> f64 {
-    let sync = Sync {
+    let sync = SyncRequest {
         epoch: 12,
         seq: 100_000,
         boot: 1,
         until: 1_234_567_890,
-        ..Sync::default()
+        ..SyncRequest::default()
     };
     as_f64(serde_json_len(&sync) + serde_json_len(&report_of(tasks)) + HEADS)
 }
@@ -250,13 +250,13 @@
 /// A call and its answer when nothing has changed since the last.
 fn quiet_bytes() -> f64 {
     let known = u64::MAX / 3;
-    let sync = Sync {
+    let sync = SyncRequest {
         epoch: 12,
         seq: 100_000,
         boot: 1,
         until: 1_234_567_890,
         known,
-        ..Sync::default()
+        ..SyncRequest::default()
     };
     let report = Report {
         unchanged: true,
@@ -316,7 +316,7 @@
     let mut cell = cell_with(1, tasks);
     let worker: Arc<str> = "worker-0".into();
     let report = report_of(tasks);
-    let moment = Moment {
+    let moment = StepContext {
         epoch: 1,
         position: 2,
         durable: 1,
@@ -324,9 +324,9 @@
     };
     let began = Instant::now();
     for _ in 0..REPEAT {
-        let sync = reconcile::prepare(&mut cell, &worker, &cells::TERMS, true, moment);
+        let sync = reconcile::prepare_sync(&mut cell, &worker, &cells::TERMS, true, moment);
         std::hint::black_box(serde_json_len(&sync));
-        reconcile::take_report(&mut cell, &worker, &report, &cells::TERMS, moment);
+        reconcile::apply_report(&mut cell, &worker, &report, &cells::TERMS, moment);
     }
     micros_each(began, REPEAT)
 }
