--- a/ashtiller/src/interference/fit.rs
+++ b/ashtiller/src/interference/fit.rs
@@ -54,7 +54,7 @@
     pub fn feared(&self) -> f64 {
         let beside = self
             .host
-            .mix
+            .work_counts
             .iter()
             .filter(|(other, _)| other.class != self.work.class);
         let fears = beside.map(|(other, count)| {
@@ -77,14 +77,14 @@
     pub fn speed(&self) -> u32 {
         let services = self
             .host
-            .mix
+            .work_counts
             .keys()
             .filter(|work| work.class == Class::LatencyCritical);
-        let coming: f64 = self.host.coming.iter().map(|(_, harm)| harm).sum();
+        let coming: f64 = self.host.pending_interference.iter().map(|(_, harm)| harm).sum();
         let speeds = services.map(|service| {
             let load = self.host.load(service.kind);
             let fear = self.harm.fear(service.kind, self.work.kind, load, self.now);
-            guard::bearable(self.host.worst + coming, fear, 0)
+            guard::bearable(self.host.worst_latency_ratio + coming, fear, 0)
         });
         speeds.min().unwrap_or(100)
     }
--- a/ashtiller/src/interference/watch.rs
+++ b/ashtiller/src/interference/watch.rs
@@ -54,7 +54,7 @@
         .iter()
         .map(|service| service.ratio)
         .fold(0.0, f64::max);
-    let Some(host) = cell.hosts.get_mut(worker) else {
+    let Some(host) = cell.workers.get_mut(worker) else {
         return Act::Rest;
     };
     host.loads = services
@@ -62,8 +62,8 @@
         .map(|service| (service.kind, service.load))
         .collect();
     let lag = Duration::from_millis(report.lag);
-    host.worst = worst;
-    host.coming
+    host.worst_latency_ratio = worst;
+    host.pending_interference
         .retain(|(placed, _)| *placed + lag + SHOWN > now);
     host.guard.look(
         Sight {
@@ -87,10 +87,10 @@
         let (task, _) = cell.task(id)?;
         (task.attempt == running.attempt).then_some((id, running.speed))
     });
-    let host = cell.hosts.get(worker).filter(|_| report.unchanged);
+    let host = cell.workers.get(worker).filter(|_| report.unchanged);
     let known = host
         .into_iter()
-        .flat_map(|host| host.seen.iter().map(|(id, speed)| (*id, *speed)));
+        .flat_map(|host| host.reported_speeds.iter().map(|(id, speed)| (*id, *speed)));
     let batches = listed
         .chain(known)
         .filter_map(|(id, speed)| batch(cell, worker, id, speed));
@@ -99,7 +99,7 @@
 
 fn is_here(task: &Task, worker: &str) -> bool {
     task.phase
-        .place()
+        .placement()
         .is_some_and(|place| &*place.worker == worker)
 }
 
@@ -110,7 +110,7 @@
     let current = is_here(task, worker) && task.attempt == running.attempt;
     let (latency, target) = running.latency.zip(submission.target).filter(|_| current)?;
     Some(Service {
-        kind: cell.job(id.job)?.sort,
+        kind: cell.job(id.job)?.kind_id,
         ratio: latency as f64 / 1e6 / target.as_secs_f64(),
         load: f64::from(running.load) / 100.0,
     })
@@ -119,7 +119,7 @@
 fn batch(cell: &Cell, worker: &str, id: TaskId, speed: u32) -> Option<Batch> {
     let (task, submission) = cell.task(id)?;
     let counts = submission.class == Class::Batch && is_here(task, worker);
-    let kind = cell.job(id.job)?.sort;
+    let kind = cell.job(id.job)?.kind_id;
     counts.then(|| Batch {
         task: id,
         kind,
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -131,7 +131,7 @@
         config,
         membership: membership.clone(),
         wire: served.wire().clone(),
-        homes: Mutex::default(),
+        home_cells: Mutex::default(),
     };
     let _ = shared.parts.set(Parts {
         membership,
--- a/ashtiller/src/task/backlog.rs
+++ b/ashtiller/src/task/backlog.rs
@@ -55,7 +55,7 @@
 
     /// Queued tasks of one rank.
     #[must_use]
-    pub fn rank_len(&self, rank: Priority) -> usize {
+    pub fn priority_len(&self, rank: Priority) -> usize {
         self.ranks
             .get(&rank)
             .map_or(0, |accounts| accounts.values().map(VecDeque::len).sum())
--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -32,9 +32,9 @@
     /// Quota and what its running tasks hold.
     pub pool: Pool,
     /// Evictions allowed in an hour.
-    pub evictions: u32,
+    pub evictions_per_hour: u32,
     /// Times of recent evictions on the owner's clock.
-    pub evicted: Vec<Duration>,
+    pub eviction_times: Vec<Duration>,
     /// Jobs that are not forgotten.
     pub jobs: u32,
 }
@@ -74,7 +74,7 @@
     names: BTreeMap<(Arc<str>, Arc<str>), u32>,
     accounts: BTreeMap<Arc<str>, Account>,
     /// Workers by name.
-    pub hosts: BTreeMap<Arc<str>, WorkerState>,
+    pub workers: BTreeMap<Arc<str>, WorkerState>,
     backlog: Backlog,
     running: usize,
     counts: Counts,
@@ -99,29 +99,29 @@
     }
 
     fn add_job(&mut self, number: u32, mut job: Job) {
-        job.sort = self
+        job.kind_id = self
             .kinds
             .number(&job.submission.account, &job.submission.kind);
         let work = Work {
             class: job.submission.class,
-            kind: job.sort,
+            kind: job.kind_id,
         };
         let submission = &job.submission;
         let (account, name) = (submission.account.clone(), submission.job.clone());
         self.names.insert((account.clone(), name), number);
         let held = self.accounts.entry(account.clone()).or_default();
         held.jobs += 1;
-        held.evictions = submission.evictions;
+        held.evictions_per_hour = submission.evictions;
         held.pool.resize(submission.quota);
         let (rank, needs) = (Priority::of(submission), submission.needs);
         for (index, task) in (0..).zip(&job.tasks) {
             let id = TaskId { job: number, index };
-            if let Some(place) = task.phase.place() {
+            if let Some(place) = task.phase.placement() {
                 held.pool.restore(&needs);
-                self.hosts
+                self.workers
                     .entry(place.worker.clone())
                     .or_default()
-                    .restore(id, &needs, work);
+                    .add_task(id, &needs, work);
                 self.running += 1;
             } else if task.phase == Phase::Queued {
                 self.backlog.push_back(rank, &account, id);
@@ -132,7 +132,7 @@
 
     /// The part that lasts.
     #[must_use]
-    pub fn lasting(&self) -> &DurableState {
+    pub fn durable_state(&self) -> &DurableState {
         &self.lasting
     }
 
@@ -162,7 +162,7 @@
 
     /// Number of a job by name.
     #[must_use]
-    pub fn find(&self, account: &Arc<str>, job: &Arc<str>) -> Option<u32> {
+    pub fn find_job(&self, account: &Arc<str>, job: &Arc<str>) -> Option<u32> {
         self.names.get(&(account.clone(), job.clone())).copied()
     }
 
@@ -221,13 +221,13 @@
         self.running += 1;
         let work = Work {
             class: job.submission.class,
-            kind: job.sort,
+            kind: job.kind_id,
         };
         // The decision asked Pool::grants before it was recorded.
-        self.hosts
+        self.workers
             .entry(place.worker.clone())
             .or_default()
-            .restore(id, &needs, work);
+            .add_task(id, &needs, work);
         self.accounts
             .entry(account)
             .or_default()
@@ -253,7 +253,7 @@
                 .accounts
                 .entry(job.submission.account.clone())
                 .or_default();
-            account.evicted.push(now);
+            account.eviction_times.push(now);
         }
     }
 
@@ -267,7 +267,7 @@
         };
         let Some(place) = task
             .phase
-            .place()
+            .placement()
             .filter(|_| task.attempt == attempt.number)
             .cloned()
         else {
@@ -276,11 +276,11 @@
         let needs = job.submission.needs;
         let work = Work {
             class: job.submission.class,
-            kind: job.sort,
+            kind: job.kind_id,
         };
         self.running -= 1;
-        if let Some(host) = self.hosts.get_mut(&place.worker) {
-            host.release(id, &needs, work);
+        if let Some(host) = self.workers.get_mut(&place.worker) {
+            host.remove_task(id, &needs, work);
         }
         if let Some(account) = self.accounts.get_mut(&job.submission.account) {
             account.pool.release(&needs);
@@ -292,7 +292,7 @@
         self.counts.given_up += u64::from(given_up);
         if over {
             job.over += 1;
-            job.ended = job.is_over().then_some(now);
+            job.ended_at = job.is_over().then_some(now);
         } else {
             let rank = Priority::of(&job.submission);
             self.backlog.push_front(rank, &job.submission.account, id);
@@ -322,7 +322,7 @@
                 _ => {}
             }
         }
-        job.ended = job.is_over().then_some(now);
+        job.ended_at = job.is_over().then_some(now);
     }
 
     fn forget(&mut self, number: u32) {
@@ -341,8 +341,8 @@
     }
 
     /// Sets what a worker has.
-    pub fn resize_host(&mut self, worker: &Arc<str>, whole: Resources) {
-        self.hosts
+    pub fn resize_worker(&mut self, worker: &Arc<str>, whole: Resources) {
+        self.workers
             .entry(worker.clone())
             .or_default()
             .pool_mut()
@@ -350,8 +350,8 @@
     }
 
     /// A new owner begins: leases that earlier owners granted end by `bound`.
-    pub fn begin(&mut self, bound: Duration) {
-        for host in self.hosts.values_mut() {
+    pub fn reset_sessions(&mut self, bound: Duration) {
+        for host in self.workers.values_mut() {
             host.session = Session::new(bound);
         }
     }
@@ -384,7 +384,7 @@
             task.failed_on.push(place.worker.clone());
         }
         let doublings = task.failures.saturating_sub(1).min(16);
-        task.after = now + (BACKOFF_FIRST * (1 << doublings)).min(BACKOFF_MAX);
+        task.retry_at = now + (BACKOFF_FIRST * (1 << doublings)).min(BACKOFF_MAX);
     }
     // Failures on one worker alone may be the worker's fault.
     let several = task.failed_on.len() > 1;
--- a/ashtiller/src/task/events.rs
+++ b/ashtiller/src/task/events.rs
@@ -80,7 +80,7 @@
         let actor = context.actor_ref().clone();
         if self.pending.len() < PENDING_MAX && !self.handing {
             let now = self.now();
-            let facts = self.planner.round(&mut self.cell, self.position, now);
+            let facts = self.planner.plan_round(&mut self.cell, self.position, now);
             self.pending.extend(facts);
         }
         self.flush(&actor);
@@ -140,7 +140,7 @@
     type Reply = ();
 
     async fn handle(&mut self, listed: WorkersListed, _: &mut Context<Self, ()>) {
-        self.list(&listed.instances);
+        self.update_workers(&listed.instances);
     }
 }
 
@@ -182,11 +182,11 @@
     async fn handle(&mut self, called: WorkerAnswered, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
         let moment = self.moment();
-        if let Some(host) = self.cell.hosts.get_mut(&called.worker) {
-            host.calling = false;
+        if let Some(host) = self.cell.workers.get_mut(&called.worker) {
+            host.call_in_flight = false;
         }
         let Ok(report) = called.answer else {
-            self.tools.tally.calls_failed.inc();
+            self.tools.metrics.calls_failed.inc();
             return;
         };
         let terms = self.terms;
--- a/ashtiller/src/task/evict.rs
+++ b/ashtiller/src/task/evict.rs
@@ -34,7 +34,7 @@
     now: Duration,
 ) -> Option<(Arc<str>, Vec<Attempt>)> {
     let mut best: Option<(Arc<str>, Vec<Attempt>)> = None;
-    for (name, host) in cell.hosts.iter().filter(|(_, host)| host.takes(now, terms)) {
+    for (name, host) in cell.workers.iter().filter(|(_, host)| host.accepts_attempts(now, terms)) {
         let Some(victims) = victims_on(cell, host, needs, now) else {
             continue;
         };
@@ -84,15 +84,15 @@
     }
     let account = cell.accounts().get(&submission.account)?;
     let recent = account
-        .evicted
+        .eviction_times
         .iter()
         .filter(|at| now.saturating_sub(**at) < WINDOW)
         .count();
     let recent = u32::try_from(recent).unwrap_or(u32::MAX);
-    if recent >= account.evictions {
+    if recent >= account.evictions_per_hour {
         return None;
     }
-    let spent = f64::from(recent) / f64::from(account.evictions);
+    let spent = f64::from(recent) / f64::from(account.evictions_per_hour);
     let attempt = Attempt {
         task: id,
         number: task.attempt,
--- a/ashtiller/src/task/explain.rs
+++ b/ashtiller/src/task/explain.rs
@@ -81,7 +81,7 @@
 ) -> String {
     let wanted = |found: &str, asked: &str| asked.is_empty() || found == asked;
     let whole = account.is_empty();
-    let rank = |rank: Priority| cell.backlog().rank_len(rank);
+    let rank = |rank: Priority| cell.backlog().priority_len(rank);
     let view = CellView {
         cell: name.clone(),
         running: cell.running(),
@@ -97,7 +97,7 @@
         },
         accounts: show_accounts(cell, |found| wanted(found, account)),
         jobs: cell
-            .lasting()
+            .durable_state()
             .jobs
             .iter()
             .filter(|(_, found)| wanted(&found.submission.account, account))
@@ -110,15 +110,15 @@
 }
 
 fn show_hosts(cell: &Cell, terms: &LeaseTerms, now: Duration) -> Vec<HostView> {
-    let shown = cell.hosts.iter().take(SHOWN);
+    let shown = cell.workers.iter().take(SHOWN);
     shown
         .map(|(worker, host)| HostView {
             worker: worker.clone(),
             state: match () {
                 () if host.is_quarantined() => "quarantined",
-                () if host.absent.is_some() => "absent",
+                () if host.absent_since.is_some() => "absent",
                 () if host.session.boot().is_none() => "not reached",
-                () if host.takes(now, terms) => "live",
+                () if host.accepts_attempts(now, terms) => "live",
                 () => "leaving or silent",
             },
             tasks: host.tasks.len(),
@@ -140,7 +140,7 @@
             taken: held.pool.taken().to_string(),
             quota: held.pool.whole().to_string(),
             queued: cell.backlog().account_len(name),
-            evictions: held.evicted.len(),
+            evictions: held.eviction_times.len(),
         })
         .collect()
 }
@@ -165,7 +165,7 @@
                 state: task.phase.name(),
                 attempt: task.attempt,
                 progress_ms: task.progress,
-                worker: task.phase.place().map(|place| place.worker.clone()),
+                worker: task.phase.placement().map(|place| place.worker.clone()),
                 waits: waiting_reason(cell, TaskId { job: number, index }, terms, now),
             })
             .collect(),
@@ -191,8 +191,8 @@
     now: Duration,
 ) -> String {
     let needs = submission.needs;
-    if task.after > now {
-        let pause = task.after.saturating_sub(now).as_secs() + 1;
+    if task.retry_at > now {
+        let pause = task.retry_at.saturating_sub(now).as_secs() + 1;
         return format!("failed {} times; tried again in {pause} s", task.failures);
     }
     let held = cell.accounts().get(&submission.account);
@@ -200,7 +200,7 @@
         let (taken, quota) = (held.pool.taken(), held.pool.whole());
         return format!("over quota: needs {needs}; {taken} of {quota} taken");
     }
-    let live = || cell.hosts.values().filter(|host| host.takes(now, terms));
+    let live = || cell.workers.values().filter(|host| host.accepts_attempts(now, terms));
     if live().next().is_none() {
         return "no live worker in this cell".to_owned();
     }
--- a/ashtiller/src/task/host.rs
+++ b/ashtiller/src/task/host.rs
@@ -39,33 +39,33 @@
     /// Address, once the platform lists it.
     pub address: Option<SocketAddr>,
     /// Where it stands in the platform's list.
-    pub listed: Phase,
+    pub listed_phase: Phase,
     /// Since when the platform's list lacks it.
-    pub absent: Option<Duration>,
+    pub absent_since: Option<Duration>,
     /// Rack.
     pub rack: Arc<str>,
     /// Lease and contact.
     pub session: Session,
     /// When it was last called.
-    pub called: Option<Duration>,
+    pub last_called: Option<Duration>,
     /// Whether a call is under way.
-    pub calling: bool,
+    pub call_in_flight: bool,
     /// Tasks that the last report showed running, with their speed in percent.
-    pub seen: BTreeMap<TaskId, u32>,
+    pub reported_speeds: BTreeMap<TaskId, u32>,
     /// Digest of the report that `seen` was taken from; 0 for none.
     pub digest: u64,
     /// Work that may run on it, with the number of its tasks.
-    pub mix: BTreeMap<Work, u32>,
+    pub work_counts: BTreeMap<Work, u32>,
     /// Last reported load of its services, 0 to 1.
     pub loads: BTreeMap<Kind, f64>,
     /// Largest ratio of latency to target that its services last showed.
-    pub worst: f64,
+    pub worst_latency_ratio: f64,
     /// Harm to fear from tasks placed too lately to show in a report, and when.
-    pub coming: Vec<(Duration, f64)>,
+    pub pending_interference: Vec<(Duration, f64)>,
     /// Services over their target, and what is done about it.
     pub guard: Guard,
     /// Attempts that the last report showed running and the log does not place here.
-    pub strays: Vec<(Arc<str>, u32)>,
+    pub unknown_attempts: Vec<(Arc<str>, u32)>,
     /// Reported ends to be acknowledged.
     pub acks: Vec<Ack>,
     failed: BTreeSet<TaskId>,
@@ -79,20 +79,20 @@
             pool: Pool::default(),
             tasks: BTreeSet::new(),
             address: None,
-            listed: Phase::Live,
-            absent: None,
+            listed_phase: Phase::Live,
+            absent_since: None,
             rack: Arc::from(""),
             session: Session::new(Duration::ZERO),
-            called: None,
-            calling: false,
-            seen: BTreeMap::new(),
+            last_called: None,
+            call_in_flight: false,
+            reported_speeds: BTreeMap::new(),
             digest: 0,
-            mix: BTreeMap::new(),
+            work_counts: BTreeMap::new(),
             loads: BTreeMap::new(),
-            worst: 0.0,
-            coming: Vec::new(),
+            worst_latency_ratio: 0.0,
+            pending_interference: Vec::new(),
             guard: Guard::default(),
-            strays: Vec::new(),
+            unknown_attempts: Vec::new(),
             acks: Vec::new(),
             failed: BTreeSet::new(),
             quarantined: None,
@@ -114,23 +114,23 @@
     }
 
     /// Counts a grant that the log records.
-    pub fn restore(&mut self, task: TaskId, needs: &Resources, work: Work) {
+    pub fn add_task(&mut self, task: TaskId, needs: &Resources, work: Work) {
         self.tasks.insert(task);
-        *self.mix.entry(work).or_default() += 1;
+        *self.work_counts.entry(work).or_default() += 1;
         self.pool.restore(needs);
     }
 
     /// Takes back a grant.
-    pub fn release(&mut self, task: TaskId, needs: &Resources, work: Work) {
+    pub fn remove_task(&mut self, task: TaskId, needs: &Resources, work: Work) {
         if !self.tasks.remove(&task) {
             return;
         }
         self.pool.release(needs);
         self.guard.forget(task);
-        if let Some(count) = self.mix.get_mut(&work) {
+        if let Some(count) = self.work_counts.get_mut(&work) {
             *count -= 1;
         }
-        self.mix.retain(|_, count| *count > 0);
+        self.work_counts.retain(|_, count| *count > 0);
     }
 
     /// Last reported load of a service.
@@ -142,13 +142,13 @@
     /// Whether a new attempt may be placed here: the worker is listed, answers, and
     /// holds a lease that has not ended.
     #[must_use]
-    pub fn takes(&self, now: Duration, terms: &LeaseTerms) -> bool {
-        self.listed == Phase::Live
-            && self.absent.is_none()
+    pub fn accepts_attempts(&self, now: Duration, terms: &LeaseTerms) -> bool {
+        self.listed_phase == Phase::Live
+            && self.absent_since.is_none()
             && self.address.is_some()
             && self.session.boot().is_some()
-            && self.session.silence(now) < terms.lease
-            && now + terms.margin < self.session.bound()
+            && self.session.since_last_report(now) < terms.lease
+            && now + terms.margin < self.session.lease_bound()
             && self.may_start(now)
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// An attempt failed here; true when the worker enters quarantine.
-    pub fn note_failure(&mut self, task: TaskId, now: Duration) -> bool {
+    pub fn record_failure(&mut self, task: TaskId, now: Duration) -> bool {
         self.failed.insert(task);
         let probation = self.quarantined.is_some();
         if self.failed.len() < FAILURES && !probation {
@@ -181,7 +181,7 @@
     }
 
     /// An attempt finished here.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.failed.clear();
         self.quarantined = None;
         self.quarantines = self.quarantines.saturating_sub(1);
--- a/ashtiller/src/task/job.rs
+++ b/ashtiller/src/task/job.rs
@@ -41,7 +41,7 @@
 impl Phase {
     /// The place of an attempt that may run.
     #[must_use]
-    pub fn place(&self) -> Option<&Placement> {
+    pub fn placement(&self) -> Option<&Placement> {
         match self {
             Self::Placed(place) | Self::Evicting(place) | Self::Stopping(place) => Some(place),
             _ => None,
@@ -84,7 +84,7 @@
     pub failed_on: Vec<Arc<str>>,
     /// Not before this time on the owner's clock; begins anew with each owner.
     #[serde(skip)]
-    pub after: Duration,
+    pub retry_at: Duration,
 }
 
 impl Task {
@@ -97,7 +97,7 @@
             progress: 0,
             failures: 0,
             failed_on: Vec::new(),
-            after: Duration::ZERO,
+            retry_at: Duration::ZERO,
         }
     }
 }
@@ -121,10 +121,10 @@
     pub over: u32,
     /// When it ended, on the owner's clock.
     #[serde(skip)]
-    pub ended: Option<Duration>,
+    pub ended_at: Option<Duration>,
     /// Number of its kind of work in this owner.
     #[serde(skip)]
-    pub sort: Kind,
+    pub kind_id: Kind,
 }
 
 impl Job {
@@ -137,8 +137,8 @@
             tasks,
             cancelled: false,
             over: 0,
-            ended: None,
-            sort: 0,
+            ended_at: None,
+            kind_id: 0,
         }
     }
 
--- a/ashtiller/src/task/jobs.rs
+++ b/ashtiller/src/task/jobs.rs
@@ -43,7 +43,7 @@
     /// Wire to them.
     pub wire: Wire,
     /// Home cells that were read.
-    pub homes: Mutex<BTreeMap<Arc<str>, Arc<str>>>,
+    pub home_cells: Mutex<BTreeMap<Arc<str>, Arc<str>>>,
 }
 
 impl JobForwarder {
@@ -77,7 +77,7 @@
             Ok(submission) => submission,
             Err(said) => return said,
         };
-        let cell = match self.home(account).await {
+        let cell = match self.home_cell(account).await {
             Ok(cell) => cell,
             Err(failure) => return not_run(&failure.to_string()),
         };
@@ -136,7 +136,7 @@
     }
 
     async fn cancel(&self, account: &Arc<str>, job: &Arc<str>) -> Said {
-        let cell = match self.home(account).await {
+        let cell = match self.home_cell(account).await {
             Ok(cell) => cell,
             Err(failure) => return not_run(&failure.to_string()),
         };
@@ -150,7 +150,7 @@
     }
 
     async fn show(&self, account: &Arc<str>, job: &Arc<str>) -> Said {
-        match self.home(account).await {
+        match self.home_cell(account).await {
             Ok(cell) => self.show_cell(&cell, account, job).await,
             Err(failure) => not_run(&failure.to_string()),
         }
@@ -170,8 +170,8 @@
     ///
     /// # Errors
     /// The store or the list of instances cannot be read, or is empty.
-    pub async fn home(&self, account: &Arc<str>) -> Result<Arc<str>, Failure> {
-        if let Some(cell) = self.homes.lock().get(account) {
+    pub async fn home_cell(&self, account: &Arc<str>) -> Result<Arc<str>, Failure> {
+        if let Some(cell) = self.home_cells.lock().get(account) {
             return Ok(cell.clone());
         }
         let key = format!("{HOMES}{account}");
@@ -188,7 +188,7 @@
         let missing = || Failure::none("home cell", account, "it was not recorded");
         let value = found.ok_or_else(missing)?.value;
         let cell: Arc<str> = String::from_utf8_lossy(&value).into();
-        self.homes.lock().insert(account.clone(), cell.clone());
+        self.home_cells.lock().insert(account.clone(), cell.clone());
         Ok(cell)
     }
 
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -97,9 +97,9 @@
     /// Its state.
     pub cell: Cell,
     /// Position of the next entry.
-    pub next: u64,
+    pub next_position: u64,
     /// How long leases of the last owner may go on after the seal.
-    pub former: Duration,
+    pub former_lease_bound: Duration,
 }
 
 struct Replay {
@@ -162,8 +162,8 @@
                 return Ok(OpenedCell {
                     journal,
                     cell,
-                    next: position + 1,
-                    former,
+                    next_position: position + 1,
+                    former_lease_bound: former,
                 });
             }
             // The old owner, or a faster successor, wrote first.
@@ -284,7 +284,7 @@
         let mut pause = PAUSE_MIN;
         loop {
             let swapped = self.store.swap(&key, bytes.clone(), 0).await;
-            match self.fate(&key, &bytes, swapped).await {
+            match self.resolve_write(&key, &bytes, swapped).await {
                 WriteOutcome::Known(appended) => return appended,
                 WriteOutcome::Unknown => {
                     time::sleep(pause).await;
@@ -294,7 +294,7 @@
         }
     }
 
-    async fn fate(&self, key: &str, bytes: &Bytes, swapped: Result<bool, Failure>) -> WriteOutcome {
+    async fn resolve_write(&self, key: &str, bytes: &Bytes, swapped: Result<bool, Failure>) -> WriteOutcome {
         match swapped {
             Ok(true) => return WriteOutcome::Known(AppendOutcome::Durable),
             Err(failure) if failure.effect == Effect::None => return WriteOutcome::Unknown,
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -49,11 +49,11 @@
     /// Settings of the role.
     pub settings: settings::Scheduler,
     /// Workers.
-    pub worker: Arc<dyn WorkerClient>,
+    pub worker_client: Arc<dyn WorkerClient>,
     /// Time.
     pub clock: Arc<dyn Clock>,
     /// Counters.
-    pub tally: Arc<SchedulerMetrics>,
+    pub metrics: Arc<SchedulerMetrics>,
 }
 
 /// Whether an owner still owns its cell.
@@ -106,7 +106,7 @@
     }
 
     /// Takes the platform's list of this cell's workers.
-    pub async fn list(&self, instances: Vec<roster::Instance>) {
+    pub async fn update_workers(&self, instances: Vec<roster::Instance>) {
         let _ = self.actor.tell(WorkersListed { instances }).await;
     }
 
@@ -137,10 +137,10 @@
     let OpenedCell {
         journal,
         mut cell,
-        next,
-        former,
+        next_position: next,
+        former_lease_bound: former,
     } = opened;
-    cell.begin(now + former);
+    cell.reset_sessions(now + former);
     let owner = Owner {
         tools,
         terms,
@@ -269,8 +269,8 @@
         self.wrote = self.now();
         let (position, began) = (self.position, self.wrote);
         self.position += 1;
-        self.tools.tally.entries.inc();
-        self.tools.tally.entry_bytes.inc_by(bytes.len() as u64);
+        self.tools.metrics.entries.inc();
+        self.tools.metrics.entry_bytes.inc_by(bytes.len() as u64);
         let (journal, actor) = (self.journal.clone(), actor.clone());
         tokio::spawn(async move {
             let appended = journal.append(position, bytes).await;
@@ -322,7 +322,7 @@
         let renewing = now < self.confirmed + self.tools.settings.horizon && !self.handing;
         let due: Vec<Arc<str>> = self
             .cell
-            .hosts
+            .workers
             .iter()
             .filter(|(name, host)| host.address.is_some() && self.is_due(name, host, now))
             .map(|(name, _)| name.clone())
@@ -333,13 +333,13 @@
     }
 
     pub(crate) fn is_due(&self, name: &Arc<str>, host: &crate::host::WorkerState, now: Duration) -> bool {
-        let Some(called) = host.called else {
+        let Some(called) = host.last_called else {
             return true;
         };
         let since = now.saturating_sub(called);
-        let silent = host.session.silence(now) > self.tools.settings.renew * 2;
+        let silent = host.session.since_last_report(now) > self.tools.settings.renew * 2;
         let news = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
-        !host.calling
+        !host.call_in_flight
             && (news || since >= self.tools.settings.renew || silent && since >= RETRY_EVERY)
     }
 
@@ -349,14 +349,14 @@
         else {
             return;
         };
-        let Some(host) = self.cell.hosts.get_mut(worker) else {
+        let Some(host) = self.cell.workers.get_mut(worker) else {
             return;
         };
         let Some(address) = host.address else { return };
-        host.called = Some(moment.now);
-        host.calling = true;
-        self.tools.tally.calls.inc();
-        let (tool, actor, worker) = (self.tools.worker.clone(), actor.clone(), worker.clone());
+        host.last_called = Some(moment.now);
+        host.call_in_flight = true;
+        self.tools.metrics.calls.inc();
+        let (tool, actor, worker) = (self.tools.worker_client.clone(), actor.clone(), worker.clone());
         tokio::spawn(async move {
             let answer = tool.sync(address, &sync).await;
             let _ = actor.tell(WorkerAnswered { worker, answer }).await;
@@ -389,13 +389,13 @@
         if self.snapshotting || !due || !whole || self.handing {
             return;
         }
-        let Ok(state) = record::encode(self.cell.lasting()) else {
+        let Ok(state) = record::encode(self.cell.durable_state()) else {
             return;
         };
         self.snapshotting = true;
         self.since_snapshot = 0;
-        self.tools.tally.snapshots.inc();
-        self.tools.tally.snapshot_bytes.inc_by(state.len() as u64);
+        self.tools.metrics.snapshots.inc();
+        self.tools.metrics.snapshot_bytes.inc_by(state.len() as u64);
         let (journal, actor, position) = (self.journal.clone(), actor.clone(), self.durable);
         tokio::spawn(async move {
             let done = journal.snapshot(position, state.into()).await;
@@ -403,36 +403,36 @@
         });
     }
 
-    pub(crate) fn list(&mut self, instances: &[roster::Instance]) {
+    pub(crate) fn update_workers(&mut self, instances: &[roster::Instance]) {
         let now = self.now();
         for instance in instances {
-            self.cell.resize_host(&instance.name, instance.resources);
+            self.cell.resize_worker(&instance.name, instance.resources);
             let bound = self.bound;
-            let Some(host) = self.cell.hosts.get_mut(&instance.name) else {
+            let Some(host) = self.cell.workers.get_mut(&instance.name) else {
                 continue;
             };
-            if host.address.is_none() && host.called.is_none() {
+            if host.address.is_none() && host.last_called.is_none() {
                 host.session = Session::new(bound);
             }
             host.address = Some(instance.address);
-            host.listed = instance.phase;
-            host.absent = None;
+            host.listed_phase = instance.phase;
+            host.absent_since = None;
             host.rack = instance.rack.clone();
         }
-        for (name, host) in &mut self.cell.hosts {
+        for (name, host) in &mut self.cell.workers {
             let listed = instances.iter().any(|instance| instance.name == *name);
             if !listed {
-                host.absent.get_or_insert(now);
+                host.absent_since.get_or_insert(now);
             }
         }
         self.cell
-            .hosts
-            .retain(|_, host| host.absent.is_none() || !host.tasks.is_empty());
+            .workers
+            .retain(|_, host| host.absent_since.is_none() || !host.tasks.is_empty());
     }
 
     pub(crate) fn publish(&self) {
         let counts = self.cell.counts();
-        self.tools.tally.publish(
+        self.tools.metrics.publish(
             &self.tools.name,
             &counts,
             self.cell.running(),
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -71,7 +71,7 @@
     }
 
     /// One round of decisions; the facts belong to the entry at `position`.
-    pub fn round(&mut self, cell: &mut Cell, position: u64, now: Duration) -> Vec<Fact> {
+    pub fn plan_round(&mut self, cell: &mut Cell, position: u64, now: Duration) -> Vec<Fact> {
         let mut facts = Vec::new();
         self.find_lost(cell, &mut facts, position, now);
         empty_leaving(cell, &mut facts, position, now);
@@ -116,7 +116,7 @@
 
     fn find_lost(&self, cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
         let lost: Vec<TaskId> = cell
-            .hosts
+            .workers
             .values()
             .filter(|host| self.is_lost(host, now))
             .flat_map(|host| host.tasks.iter().copied())
@@ -136,10 +136,10 @@
 
     /// Whether every lease that the worker may hold has ended for certain.
     fn is_lost(&self, host: &WorkerState, now: Duration) -> bool {
-        let lapsed = now >= host.session.bound();
+        let lapsed = now >= host.session.lease_bound();
         let wait = self.terms.lease + self.terms.margin;
-        let gone = host.absent.is_some_and(|since| now >= since + wait);
-        !host.tasks.is_empty() && (lapsed || (gone && host.session.silence(now) >= wait))
+        let gone = host.absent_since.is_some_and(|since| now >= since + wait);
+        !host.tasks.is_empty() && (lapsed || (gone && host.session.since_last_report(now) >= wait))
     }
 
     fn place_rank(
@@ -189,7 +189,7 @@
                 .accounts()
                 .get(account)
                 .is_some_and(|held| held.pool.grants(&needs));
-            if task.after > now || !quota {
+            if task.retry_at > now || !quota {
                 continue;
             }
             let number = task.attempt + 1;
@@ -236,12 +236,12 @@
         let (task, submission) = cell.task(id)?;
         let work = Work {
             class: submission.class,
-            kind: cell.job(id.job)?.sort,
+            kind: cell.job(id.job)?.kind_id,
         };
         let pledged = self.pledged(id, rank);
         let mut best: Option<(f64, &Arc<str>, u64)> = None;
-        for (name, host) in &cell.hosts {
-            let open = host.pool().grants(&submission.needs) && host.takes(now, &self.terms);
+        for (name, host) in &cell.workers {
+            let open = host.pool().grants(&submission.needs) && host.accepts_attempts(now, &self.terms);
             let Some(boot) = host
                 .session
                 .boot()
@@ -276,7 +276,7 @@
         };
         let Some(place) = task
             .phase
-            .place()
+            .placement()
             .filter(|_| submission.class == Class::Batch)
         else {
             return;
@@ -284,9 +284,9 @@
         let (needs, worker) = (submission.needs, place.worker.clone());
         let work = Work {
             class: Class::Batch,
-            kind: cell.job(id.job).map_or(0, |job| job.sort),
+            kind: cell.job(id.job).map_or(0, |job| job.kind_id),
         };
-        let Some(host) = cell.hosts.get_mut(&worker) else {
+        let Some(host) = cell.workers.get_mut(&worker) else {
             return;
         };
         let site = Site {
@@ -298,7 +298,7 @@
         };
         let (percent, feared) = (self.fit.speed(&site), site.feared());
         host.guard.admit(id, percent, now);
-        host.coming.push((now, feared * f64::from(percent) / 100.0));
+        host.pending_interference.push((now, feared * f64::from(percent) / 100.0));
     }
 
     /// Workers held back for others.
@@ -360,9 +360,9 @@
 /// Moves tasks off workers that are leaving.
 fn empty_leaving(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
     let leaving: Vec<TaskId> = cell
-        .hosts
+        .workers
         .values()
-        .filter(|host| host.listed == endpoint::Phase::Leaving)
+        .filter(|host| host.listed_phase == endpoint::Phase::Leaving)
         .flat_map(|host| host.tasks.iter().copied())
         .collect();
     for id in leaving {
@@ -381,10 +381,10 @@
 
 fn forget_ended(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
     let old: Vec<u32> = cell
-        .lasting()
+        .durable_state()
         .jobs
         .iter()
-        .filter(|(_, job)| job.is_over() && job.ended.unwrap_or_default() + ENDED_JOB_RETENTION < now)
+        .filter(|(_, job)| job.is_over() && job.ended_at.unwrap_or_default() + ENDED_JOB_RETENTION < now)
         .map(|(number, _)| *number)
         .take(MAX_FACTS_PER_ROUND)
         .collect();
@@ -400,7 +400,7 @@
     position: u64,
     now: Duration,
 ) -> (Verdict, Option<Fact>) {
-    if let Some(known) = cell.find(&submission.account, &submission.job) {
+    if let Some(known) = cell.find_job(&submission.account, &submission.job) {
         let same = cell
             .job(known)
             .is_some_and(|job| same_work(&job.submission, &submission));
@@ -442,7 +442,7 @@
             submission.quota
         ));
     }
-    let listed = || cell.hosts.values().filter(|host| host.address.is_some());
+    let listed = || cell.workers.values().filter(|host| host.address.is_some());
     let possible = listed().any(|host| needs.fits(host.pool().whole()));
     if possible || listed().next().is_none() {
         return None;
@@ -460,7 +460,7 @@
     position: u64,
     now: Duration,
 ) -> (Verdict, Option<Fact>) {
-    let Some(number) = cell.find(account, job) else {
+    let Some(number) = cell.find_job(account, job) else {
         return (Verdict::Missing, None);
     };
     if cell
--- a/ashtiller/src/task/reconcile.rs
+++ b/ashtiller/src/task/reconcile.rs
@@ -58,21 +58,21 @@
     renew: bool,
     moment: StepContext,
 ) -> Option<SyncRequest> {
-    let host = cell.hosts.get_mut(worker)?;
+    let host = cell.workers.get_mut(worker)?;
     let grant = host.session.grant(terms, renew);
     let acks = host
         .acks
         .iter()
         .filter(|ack| ack.position <= moment.durable);
     let acks = acks.map(|ack| (ack.task.clone(), ack.attempt)).collect();
-    let host = cell.hosts.get(worker)?;
+    let host = cell.workers.get(worker)?;
     let fenced = host.session.boot().is_some();
     let known = if fenced { host.digest } else { 0 };
     let mut commands: Vec<Command> = Vec::new();
     if fenced {
         let tasks = host.tasks.iter();
         commands.extend(tasks.filter_map(|id| command_for(cell, worker, *id, moment.durable)));
-        commands.extend(host.strays.iter().map(|(task, attempt)| Command::Stop {
+        commands.extend(host.unknown_attempts.iter().map(|(task, attempt)| Command::Stop {
             task: task.clone(),
             attempt: *attempt,
         }));
@@ -91,17 +91,17 @@
 
 fn command_for(cell: &Cell, worker: &Arc<str>, id: TaskId, durable: u64) -> Option<Command> {
     let (task, submission) = cell.task(id)?;
-    let host = cell.hosts.get(worker)?;
-    let place = task.phase.place()?;
+    let host = cell.workers.get(worker)?;
+    let place = task.phase.placement()?;
     if place.position > durable || Some(place.boot) != host.session.boot() {
         return None;
     }
     let name = task_name(&submission.account, &submission.job, id);
     let attempt = task.attempt;
     match task.phase {
-        Phase::Placed(_) if host.seen.contains_key(&id) => {
+        Phase::Placed(_) if host.reported_speeds.contains_key(&id) => {
             let percent = host.guard.percent(id);
-            let differs = host.seen.get(&id) != Some(&percent);
+            let differs = host.reported_speeds.get(&id) != Some(&percent);
             differs.then_some(Command::Throttle {
                 task: name,
                 attempt,
@@ -133,11 +133,11 @@
 /// Whether the next call to a worker would carry commands or acknowledgements.
 #[must_use]
 pub fn has_pending_updates(cell: &Cell, worker: &Arc<str>, durable: u64) -> bool {
-    let Some(host) = cell.hosts.get(worker) else {
+    let Some(host) = cell.workers.get(worker) else {
         return false;
     };
     host.acks.iter().any(|ack| ack.position <= durable)
-        || !host.strays.is_empty()
+        || !host.unknown_attempts.is_empty()
         || host
             .tasks
             .iter()
@@ -153,7 +153,7 @@
     moment: StepContext,
 ) -> (Change, Vec<Fact>) {
     let StepContext { epoch, now, .. } = moment;
-    let Some(host) = cell.hosts.get_mut(worker) else {
+    let Some(host) = cell.workers.get_mut(worker) else {
         return (Change::Same, Vec::new());
     };
     let answer = ReportHeader {
@@ -162,14 +162,14 @@
         boot: report.boot,
         clock: report.clock,
     };
-    let change = host.session.answered(epoch, answer, terms, now);
+    let change = host.session.handle_report(epoch, answer, terms, now);
     let fenced = report.epoch == epoch || change == Change::Rebooted;
     if matches!(change, Change::Superseded | Change::Stale) || !fenced {
         return (change, Vec::new());
     }
     let mut facts = Vec::new();
     lose_former_life(cell, worker, report.boot, &mut facts, moment);
-    let digest = cell.hosts.get(worker).map_or(0, |host| host.digest);
+    let digest = cell.workers.get(worker).map_or(0, |host| host.digest);
     if !report.unchanged || report.digest != digest {
         note_running(cell, worker, report);
     }
@@ -177,7 +177,7 @@
         take_end(cell, worker, ended, &mut facts, moment);
     }
     let reported = &report.ended;
-    if let Some(host) = cell.hosts.get_mut(worker) {
+    if let Some(host) = cell.workers.get_mut(worker) {
         host.acks.retain(|ack| {
             reported
                 .iter()
@@ -195,7 +195,7 @@
     facts: &mut Vec<Fact>,
     moment: StepContext,
 ) {
-    let Some(host) = cell.hosts.get(worker) else {
+    let Some(host) = cell.workers.get(worker) else {
         return;
     };
     let lost: Vec<Attempt> = host
@@ -203,7 +203,7 @@
         .iter()
         .filter_map(|id| {
             let (task, _) = cell.task(*id)?;
-            let former = task.phase.place()?.boot != boot;
+            let former = task.phase.placement()?.boot != boot;
             former.then_some(Attempt {
                 task: *id,
                 number: task.attempt,
@@ -228,10 +228,10 @@
             _ => strays.push((running.task.clone(), running.attempt)),
         }
     }
-    if let Some(host) = cell.hosts.get_mut(worker) {
-        host.seen = seen;
+    if let Some(host) = cell.workers.get_mut(worker) {
+        host.reported_speeds = seen;
         host.digest = if report.unchanged { 0 } else { report.digest };
-        host.strays = strays;
+        host.unknown_attempts = strays;
     }
 }
 
@@ -239,7 +239,7 @@
     cell.task(id).is_some_and(|(task, _)| {
         let here = task
             .phase
-            .place()
+            .placement()
             .is_some_and(|place| place.worker == *worker);
         here && task.attempt == attempt
     })
@@ -268,7 +268,7 @@
         record(cell, facts, Fact::Ended(attempt, end), moment);
         note_health(cell, worker, id, end, moment.now);
     }
-    let Some(host) = cell.hosts.get_mut(worker) else {
+    let Some(host) = cell.workers.get_mut(worker) else {
         return;
     };
     let known = host
@@ -286,12 +286,12 @@
 }
 
 fn note_health(cell: &mut Cell, worker: &Arc<str>, id: TaskId, end: End, now: Duration) {
-    let Some(host) = cell.hosts.get_mut(worker) else {
+    let Some(host) = cell.workers.get_mut(worker) else {
         return;
     };
     match end {
-        End::Finished => host.note_success(),
-        End::Failed if host.note_failure(id, now) => {
+        End::Finished => host.record_success(),
+        End::Failed if host.record_failure(id, now) => {
             tracing::warn!(%worker, "worker quarantined: it fails what it starts");
         }
         _ => {}
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CellAction {
     /// Leave it as it is.
-    Rest,
+    Keep,
     /// Take it over.
     Open,
     /// Hand it to the scheduler that should own it.
@@ -76,12 +76,12 @@
 pub fn decide(own: &str, owns: bool, owner: Option<&str>, first: Option<&str>) -> CellAction {
     // While another says that it owns the cell, the log decides between the two.
     if owner.is_some() {
-        return CellAction::Rest;
+        return CellAction::Keep;
     }
     match (owns, first) {
         (true, Some(first)) if first != own => CellAction::HandOver,
         (false, Some(first)) if first == own => CellAction::Open,
-        _ => CellAction::Rest,
+        _ => CellAction::Keep,
     }
 }
 
@@ -279,7 +279,7 @@
         match journal::open(store, cell.clone(), own, &terms, horizon).await {
             Ok(opened) => {
                 let epoch = opened.journal.epoch();
-                tracing::info!(%cell, epoch, next = opened.next, "cell taken over");
+                tracing::info!(%cell, epoch, next = opened.next_position, "cell taken over");
                 let handle = owner::spawn(opened, self.tools(cell));
                 self.owned.lock().insert(cell.clone(), handle);
                 self.damaged.lock().remove(cell);
@@ -299,9 +299,9 @@
         OwnerDeps {
             name: cell.clone(),
             settings: self.settings.scheduler.clone(),
-            worker: self.worker.clone(),
+            worker_client: self.worker.clone(),
             clock: self.clock.clone(),
-            tally: self.score.clone(),
+            metrics: self.score.clone(),
         }
     }
 
@@ -350,7 +350,7 @@
                 _ => {}
             }
             if let Some(handle) = shared.handle(cell) {
-                handle.list(workers.clone()).await;
+                handle.update_workers(workers.clone()).await;
             }
         }
     }
--- a/ashtiller/src/task/session.rs
+++ b/ashtiller/src/task/session.rs
@@ -94,7 +94,7 @@
 
     /// Where the worker stands.
     #[must_use]
-    pub fn contact(&self) -> FenceState {
+    pub fn fence_state(&self) -> FenceState {
         self.contact
     }
 
@@ -109,13 +109,13 @@
 
     /// Time by which every lease granted so far has ended.
     #[must_use]
-    pub fn bound(&self) -> Duration {
+    pub fn lease_bound(&self) -> Duration {
         self.bound
     }
 
     /// Age of the last answer.
     #[must_use]
-    pub fn silence(&self, now: Duration) -> Duration {
+    pub fn since_last_report(&self, now: Duration) -> Duration {
         self.stamp.map_or(now, |(_, at)| now.saturating_sub(at))
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Takes an answer that arrived at `now`; `epoch` is this owner's.
-    pub fn answered(&mut self, epoch: u64, answer: ReportHeader, terms: &LeaseTerms, now: Duration) -> Change {
+    pub fn handle_report(&mut self, epoch: u64, answer: ReportHeader, terms: &LeaseTerms, now: Duration) -> Change {
         if answer.epoch > epoch {
             return Change::Superseded;
         }
--- a/ashtiller/tests/fleet/mod.rs
+++ b/ashtiller/tests/fleet/mod.rs
@@ -156,7 +156,7 @@
             }
         }
         let node = self.nodes.last().ok_or("no owner")?;
-        let jobs = node.cell.lasting().jobs.values();
+        let jobs = node.cell.durable_state().jobs.values();
         let left: usize = jobs
             .flat_map(|job| &job.tasks)
             .filter(|task| !task.phase.is_over())
--- a/ashtiller/tests/fleet/node.rs
+++ b/ashtiller/tests/fleet/node.rs
@@ -60,7 +60,7 @@
             }
         }
         let bound = now + millis(LEASE + MARGIN + HORIZON);
-        cell.begin(bound);
+        cell.reset_sessions(bound);
         let position = u64::try_from(log.len()).unwrap_or(u64::MAX) + 1;
         Self {
             alive: true,
@@ -82,16 +82,16 @@
 
     pub fn list(&mut self, workers: &[(Arc<str>, bool)], whole: Resources, _: Duration) {
         for (name, leaving) in workers {
-            self.cell.resize_host(name, whole);
+            self.cell.resize_worker(name, whole);
             let bound = self.bound;
-            let Some(host) = self.cell.hosts.get_mut(name) else {
+            let Some(host) = self.cell.workers.get_mut(name) else {
                 continue;
             };
             if host.address.is_none() {
                 host.session = Session::new(bound);
             }
             host.address = Some(([127, 0, 0, 1], 1).into());
-            host.listed = if *leaving {
+            host.listed_phase = if *leaving {
                 Phase::Leaving
             } else {
                 Phase::Live
@@ -110,17 +110,17 @@
 
     /// Decides and returns calls to workers.
     pub fn tick(&mut self, now: Duration) -> Vec<(Arc<str>, SyncRequest)> {
-        let facts = self.planner.round(&mut self.cell, self.position, now);
+        let facts = self.planner.plan_round(&mut self.cell, self.position, now);
         self.pending.extend(facts);
         self.flush(now);
         let renewing = now < self.confirmed + millis(HORIZON);
         let due: Vec<Arc<str>> = self
             .cell
-            .hosts
+            .workers
             .iter()
             .filter(|(name, host)| {
                 let old = host
-                    .called
+                    .last_called
                     .is_none_or(|called| now >= called + millis(RENEW));
                 old || reconcile::has_pending_updates(&self.cell, name, self.durable)
             })
@@ -129,8 +129,8 @@
         let moment = self.moment(now);
         let mut calls = Vec::new();
         for name in due {
-            if let Some(host) = self.cell.hosts.get_mut(&name) {
-                host.called = Some(now);
+            if let Some(host) = self.cell.workers.get_mut(&name) {
+                host.last_called = Some(now);
             }
             let sync = reconcile::prepare_sync(&mut self.cell, &name, &self.terms, renewing, moment);
             calls.extend(sync.map(|sync| (name, sync)));
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -173,14 +173,14 @@
         clock: 50_000,
     };
     let at = Duration::from_secs(100);
-    assert_eq!(session.answered(3, answer, &terms, at), Change::Fenced);
+    assert_eq!(session.handle_report(3, answer, &terms, at), Change::Fenced);
     // However late it is sent, it ends ten seconds after the clock that was read.
     assert_eq!(session.grant(&terms, true).until, 60_000);
-    assert_eq!(session.bound(), Duration::from_secs(111));
+    assert_eq!(session.lease_bound(), Duration::from_secs(111));
     let late = Duration::from_mins(5);
-    assert_eq!(session.answered(3, answer, &terms, late), Change::Stale);
+    assert_eq!(session.handle_report(3, answer, &terms, late), Change::Stale);
     assert_eq!(session.grant(&terms, true).until, 60_000);
-    assert_eq!(session.bound(), Duration::from_secs(111));
+    assert_eq!(session.lease_bound(), Duration::from_secs(111));
 }
 
 #[test]
@@ -198,20 +198,20 @@
         clock: 1,
     };
     assert_eq!(
-        session.answered(3, answer(3, 1, 9), &terms, at),
+        session.handle_report(3, answer(3, 1, 9), &terms, at),
         Change::Fenced
     );
     assert_eq!(
-        session.answered(3, answer(0, 0, 10), &terms, at),
+        session.handle_report(3, answer(0, 0, 10), &terms, at),
         Change::Rebooted
     );
     assert_eq!(
-        session.answered(3, answer(3, 2, 9), &terms, at),
+        session.handle_report(3, answer(3, 2, 9), &terms, at),
         Change::Stale
     );
     assert_eq!(session.boot(), Some(10));
     assert_eq!(
-        session.answered(3, answer(4, 1, 10), &terms, at),
+        session.handle_report(3, answer(4, 1, 10), &terms, at),
         Change::Superseded
     );
 }
--- a/bench/src/cells.rs
+++ b/bench/src/cells.rs
@@ -39,7 +39,7 @@
     let began = Instant::now();
     let mut placed = 0;
     while placed < running {
-        let facts = planner.round(&mut cell, 1, NOW);
+        let facts = planner.plan_round(&mut cell, 1, NOW);
         anyhow::ensure!(!facts.is_empty(), "only {placed} of {running} tasks fit");
         placed += facts.len();
     }
@@ -52,7 +52,7 @@
     let churn = time_rounds(&mut cell, &mut planner, Some(11))?;
     show("rounds in which 11 tasks end and 11 start", &churn);
     let began = Instant::now();
-    let state = record::encode(cell.lasting())?;
+    let state = record::encode(cell.durable_state())?;
     println!("snapshot: {} bytes in {:?}", state.len(), began.elapsed());
     let began = Instant::now();
     let restored = Cell::restore(record::decode(&state)?);
@@ -75,10 +75,10 @@
             memory: 250 << 30,
             accelerators: u32::from(number % 3 == 0),
         };
-        cell.resize_host(&name, whole);
-        if let Some(host) = cell.hosts.get_mut(&name) {
+        cell.resize_worker(&name, whole);
+        if let Some(host) = cell.workers.get_mut(&name) {
             host.address = Some(([127, 0, 0, 1], 1).into());
-            host.listed = Phase::Live;
+            host.listed_phase = Phase::Live;
             let mut session = Session::new(Duration::ZERO);
             let answer = ReportHeader {
                 epoch: 1,
@@ -86,7 +86,7 @@
                 boot: 1,
                 clock: 1,
             };
-            session.answered(1, answer, &TERMS, NOW);
+            session.handle_report(1, answer, &TERMS, NOW);
             session.grant(&TERMS, true);
             host.session = session;
         }
@@ -129,10 +129,10 @@
 
 /// Shrinks every worker to what it has handed out.
 fn fill(cell: &mut Cell) {
-    let names: Vec<Arc<str>> = cell.hosts.keys().cloned().collect();
+    let names: Vec<Arc<str>> = cell.workers.keys().cloned().collect();
     for name in names {
-        let taken = *cell.hosts[&name].pool().taken();
-        cell.resize_host(&name, taken);
+        let taken = *cell.workers[&name].pool().taken();
+        cell.resize_worker(&name, taken);
     }
 }
 
@@ -147,7 +147,7 @@
             end_some(cell, ends);
         }
         let began = Instant::now();
-        planner.round(cell, 1, NOW);
+        planner.plan_round(cell, 1, NOW);
         times.record(u64::try_from(began.elapsed().as_micros())?)?;
     }
     Ok(times)
@@ -155,7 +155,7 @@
 
 fn end_some(cell: &mut Cell, count: usize) {
     let running: Vec<Attempt> = cell
-        .hosts
+        .workers
         .values()
         .flat_map(|host| host.tasks.iter().copied())
         .take(count)
--- a/bench/src/replay/policy.rs
+++ b/bench/src/replay/policy.rs
@@ -81,7 +81,7 @@
     fn cost(&self, site: &Site) -> Option<f64> {
         let service = site
             .host
-            .mix
+            .work_counts
             .keys()
             .any(|work| work.class == Class::LatencyCritical);
         (!service).then(|| -site.used())
--- a/bench/src/replay/world.rs
+++ b/bench/src/replay/world.rs
@@ -106,8 +106,8 @@
             memory: 1 << 40,
             accelerators: 0,
         };
-        self.cell.resize_host(&name, whole);
-        if let Some(host) = self.cell.hosts.get_mut(&name) {
+        self.cell.resize_worker(&name, whole);
+        if let Some(host) = self.cell.workers.get_mut(&name) {
             host.address = Some(([127, 0, 0, 1], u16::try_from(worker + 1).unwrap_or(1)).into());
             // Nothing is lost before the first report.
             host.session = Session::new(Duration::from_mins(1));
@@ -128,7 +128,7 @@
             plan::submit(&mut self.cell, submission, 1, Duration::ZERO);
             let number = self
                 .cell
-                .find(&"service".into(), &job.as_str().into())
+                .find_job(&"service".into(), &job.as_str().into())
                 .unwrap_or(0);
             let task = TaskId {
                 job: number,
@@ -155,7 +155,7 @@
                 }
             }
             let now = Duration::from_secs(at + 1);
-            self.planner.round(&mut self.cell, 1, now);
+            self.planner.plan_round(&mut self.cell, 1, now);
         }
         self.ratios.sort_by(f64::total_cmp);
         let place = self.ratios.len().saturating_sub(1) * 99 / 100;
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -66,7 +66,7 @@
     })?;
     show("snapshot, B by running task", [500, 2000, 8000], |tasks| {
         Ok(as_f64(
-            record::encode(cell_with(200, tasks).lasting())?.len(),
+            record::encode(cell_with(200, tasks).durable_state())?.len(),
         ))
     })?;
     show(
@@ -274,12 +274,12 @@
     let mut cell = cells::open(workers);
     cells::submit(&mut cell, tasks, "running");
     let mut planner = Planner::new(Box::new(Gentle), cells::TERMS);
-    while !planner.round(&mut cell, 1, NOW).is_empty() {}
+    while !planner.plan_round(&mut cell, 1, NOW).is_empty() {}
     cell
 }
 
 fn restore_micros(tasks: usize) -> anyhow::Result<f64> {
-    let state = record::encode(cell_with(200, tasks).lasting())?;
+    let state = record::encode(cell_with(200, tasks).durable_state())?;
     let began = Instant::now();
     for _ in 0..10 {
         std::hint::black_box(Cell::restore(record::decode(&state)?));
@@ -307,7 +307,7 @@
     let mut planner = Planner::new(Box::new(Gentle), cells::TERMS);
     let began = Instant::now();
     for _ in 0..REPEAT {
-        planner.round(&mut cell, 1, NOW);
+        planner.plan_round(&mut cell, 1, NOW);
     }
     micros_each(began, REPEAT)
 }
