--- a/ashtiller/src/task/events.rs
+++ b/ashtiller/src/task/events.rs
@@ -78,14 +78,14 @@
 
     async fn handle(&mut self, _: Tick, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
-        if self.pending.len() < PENDING_MAX && !self.handing {
+        if self.pending.len() < PENDING_MAX && !self.handing_over {
             let now = self.now();
             let facts = self.planner.plan_round(&mut self.cell, self.position, now);
             self.pending.extend(facts);
         }
         self.flush(&actor);
         self.call_workers(&actor);
-        self.confirm(&actor);
+        self.verify_ownership(&actor);
         self.snapshot(&actor);
         self.publish();
     }
@@ -96,13 +96,13 @@
 
     async fn handle(&mut self, submit: Submit, context: &mut Context<Self, ()>) {
         let Submit { job, reply } = submit;
-        if self.handing || self.pending.len() >= PENDING_MAX {
+        if self.handing_over || self.pending.len() >= PENDING_MAX {
             let _ = reply.send(Verdict::NotOwner("the cell is busy or moving".into()));
             return;
         }
         let now = self.now();
         let (verdict, fact) = plan::submit(&mut self.cell, job, self.position, now);
-        self.reply_later(reply, verdict, fact);
+        self.queue_reply(reply, verdict, fact);
         self.flush(&context.actor_ref().clone());
     }
 }
@@ -116,13 +116,13 @@
             job,
             reply,
         } = cancel;
-        if self.handing {
+        if self.handing_over {
             let _ = reply.send(Verdict::NotOwner("the cell is moving".into()));
             return;
         }
         let now = self.now();
         let (verdict, fact) = plan::cancel(&mut self.cell, &account, &job, self.position, now);
-        self.reply_later(reply, verdict, fact);
+        self.queue_reply(reply, verdict, fact);
         self.flush(&context.actor_ref().clone());
     }
 }
@@ -131,7 +131,7 @@
     type Reply = String;
 
     async fn handle(&mut self, show: Show, _: &mut Context<Self, String>) -> String {
-        let (name, now) = (&self.tools.name, self.now());
+        let (name, now) = (&self.deps.name, self.now());
         explain::show(name, &self.cell, &show.account, &show.job, &self.terms, now)
     }
 }
@@ -148,7 +148,7 @@
     type Reply = ();
 
     async fn handle(&mut self, _: HandOver, context: &mut Context<Self, ()>) {
-        self.handing = true;
+        self.handing_over = true;
         self.flush(&context.actor_ref().clone());
     }
 }
@@ -158,15 +158,15 @@
 
     async fn handle(&mut self, wrote: EntryWritten, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
-        self.writing = false;
+        self.write_in_flight = false;
         if wrote.appended == AppendOutcome::Superseded {
             self.step_down("another owner has written", &actor);
             return;
         }
         self.durable = wrote.position;
-        self.confirmed = self.confirmed.max(wrote.began);
-        self.since_snapshot += 1;
-        self.answer();
+        self.ownership_confirmed_at = self.ownership_confirmed_at.max(wrote.began);
+        self.entries_since_snapshot += 1;
+        self.send_durable_replies();
         if wrote.last {
             self.step_down("handed over", &actor);
             return;
@@ -181,12 +181,12 @@
 
     async fn handle(&mut self, called: WorkerAnswered, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
-        let moment = self.moment();
+        let moment = self.step_context();
         if let Some(host) = self.cell.workers.get_mut(&called.worker) {
             host.call_in_flight = false;
         }
         let Ok(report) = called.answer else {
-            self.tools.metrics.calls_failed.inc();
+            self.deps.metrics.calls_failed.inc();
             return;
         };
         let terms = self.terms;
@@ -213,9 +213,9 @@
     type Reply = ();
 
     async fn handle(&mut self, checked: OwnershipChecked, context: &mut Context<Self, ()>) {
-        self.checking = false;
+        self.check_in_flight = false;
         match checked.free {
-            Ok(true) => self.confirmed = self.confirmed.max(checked.began),
+            Ok(true) => self.ownership_confirmed_at = self.ownership_confirmed_at.max(checked.began),
             // Written since by this owner itself.
             Ok(false) if checked.position < self.position => {}
             Ok(false) => {
@@ -231,7 +231,7 @@
     type Reply = ();
 
     async fn handle(&mut self, snapped: SnapshotWritten, _: &mut Context<Self, ()>) {
-        self.snapshotting = false;
+        self.snapshot_in_flight = false;
         match snapped.done {
             Ok(journal) => self.journal = journal,
             Err(failure) => tracing::debug!(%failure, "snapshot not written"),
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -142,24 +142,24 @@
     } = opened;
     cell.reset_sessions(now + former);
     let owner = Owner {
-        tools,
+        deps: tools,
         terms,
         planner: Planner::new(Box::new(Gentle), terms),
         cell,
-        bound: now + former,
-        confirmed: now,
-        checking: false,
+        former_leases_end: now + former,
+        ownership_confirmed_at: now,
+        check_in_flight: false,
         position: next,
         durable: next - 1,
-        writing: false,
-        wrote: Duration::ZERO,
+        write_in_flight: false,
+        last_write_at: Duration::ZERO,
         pending: Vec::new(),
         replies: VecDeque::new(),
-        since_snapshot: 0,
-        snapshotting: false,
-        handing: false,
+        entries_since_snapshot: 0,
+        snapshot_in_flight: false,
+        handing_over: false,
         journal,
-        standing: sender,
+        status: sender,
     };
     let actor = Owner::spawn(owner);
     tokio::spawn(tick(actor.clone(), standing.clone()));
@@ -182,27 +182,27 @@
     reason = "each is a call under way, or the end"
 )]
 pub(crate) struct Owner {
-    pub(crate) tools: OwnerDeps,
+    pub(crate) deps: OwnerDeps,
     pub(crate) terms: LeaseTerms,
     pub(crate) planner: Planner,
     pub(crate) cell: Cell,
     /// Leases of earlier owners end by this time.
-    pub(crate) bound: Duration,
+    pub(crate) former_leases_end: Duration,
     /// Start of the last call that proved the ownership.
-    pub(crate) confirmed: Duration,
-    pub(crate) checking: bool,
+    pub(crate) ownership_confirmed_at: Duration,
+    pub(crate) check_in_flight: bool,
     /// Position of the entry that new facts go to.
     pub(crate) position: u64,
     pub(crate) durable: u64,
-    pub(crate) writing: bool,
-    pub(crate) wrote: Duration,
+    pub(crate) write_in_flight: bool,
+    pub(crate) last_write_at: Duration,
     pub(crate) pending: Vec<Fact>,
     pub(crate) replies: VecDeque<(u64, oneshot::Sender<Verdict>, Verdict)>,
-    pub(crate) since_snapshot: u32,
-    pub(crate) snapshotting: bool,
-    pub(crate) handing: bool,
+    pub(crate) entries_since_snapshot: u32,
+    pub(crate) snapshot_in_flight: bool,
+    pub(crate) handing_over: bool,
     pub(crate) journal: Journal,
-    pub(crate) standing: watch::Sender<OwnerStatus>,
+    pub(crate) status: watch::Sender<OwnerStatus>,
 }
 
 impl Actor for Owner {
@@ -218,17 +218,17 @@
         _: kameo::actor::WeakActorRef<Self>,
         _: kameo::error::ActorStopReason,
     ) -> Result<(), Self::Error> {
-        self.standing.send_replace(OwnerStatus::Ended);
+        self.status.send_replace(OwnerStatus::Ended);
         Ok(())
     }
 }
 
 impl Owner {
     pub(crate) fn now(&self) -> Duration {
-        self.tools.clock.now()
+        self.deps.clock.now()
     }
 
-    pub(crate) fn moment(&self) -> StepContext {
+    pub(crate) fn step_context(&self) -> StepContext {
         StepContext {
             epoch: self.journal.epoch(),
             position: self.position,
@@ -238,17 +238,17 @@
     }
 
     pub(crate) fn step_down(&mut self, why: &'static str, actor: &ActorRef<Self>) {
-        if self.standing.send_replace(OwnerStatus::Ended) == OwnerStatus::Owner {
-            tracing::info!(cell = %self.tools.name, epoch = self.journal.epoch(), why, "cell released");
+        if self.status.send_replace(OwnerStatus::Ended) == OwnerStatus::Owner {
+            tracing::info!(cell = %self.deps.name, epoch = self.journal.epoch(), why, "cell released");
         }
         actor.kill();
     }
 
     /// Writes pending facts when no entry is under way and the pause is over.
     pub(crate) fn flush(&mut self, actor: &ActorRef<Self>) {
-        let paused = self.now() < self.wrote + self.tools.settings.commit;
-        let last = self.handing && self.pending.is_empty();
-        if self.writing || (!last && (self.pending.is_empty() || paused && !self.handing)) {
+        let paused = self.now() < self.last_write_at + self.deps.settings.commit;
+        let last = self.handing_over && self.pending.is_empty();
+        if self.write_in_flight || (!last && (self.pending.is_empty() || paused && !self.handing_over)) {
             return;
         }
         let facts = std::mem::take(&mut self.pending);
@@ -260,17 +260,17 @@
         let bytes = match self.journal.encode(body) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::error!(cell = %self.tools.name, %error, "an entry cannot be written");
+                tracing::error!(cell = %self.deps.name, %error, "an entry cannot be written");
                 self.step_down("an entry cannot be written", actor);
                 return;
             }
         };
-        self.writing = true;
-        self.wrote = self.now();
-        let (position, began) = (self.position, self.wrote);
+        self.write_in_flight = true;
+        self.last_write_at = self.now();
+        let (position, began) = (self.position, self.last_write_at);
         self.position += 1;
-        self.tools.metrics.entries.inc();
-        self.tools.metrics.entry_bytes.inc_by(bytes.len() as u64);
+        self.deps.metrics.entries.inc();
+        self.deps.metrics.entry_bytes.inc_by(bytes.len() as u64);
         let (journal, actor) = (self.journal.clone(), actor.clone());
         tokio::spawn(async move {
             let appended = journal.append(position, bytes).await;
@@ -286,7 +286,7 @@
     }
 
     /// Answers callers whose entries are durable.
-    pub(crate) fn answer(&mut self) {
+    pub(crate) fn send_durable_replies(&mut self) {
         while self
             .replies
             .front()
@@ -298,7 +298,7 @@
         }
     }
 
-    pub(crate) fn reply_later(
+    pub(crate) fn queue_reply(
         &mut self,
         reply: oneshot::Sender<Verdict>,
         verdict: Verdict,
@@ -313,13 +313,13 @@
             self.position - 1
         };
         self.replies.push_back((position, reply, verdict));
-        self.answer();
+        self.send_durable_replies();
     }
 
     pub(crate) fn call_workers(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
         // Nothing may be renewed long after the ownership was last proved.
-        let renewing = now < self.confirmed + self.tools.settings.horizon && !self.handing;
+        let renewing = now < self.ownership_confirmed_at + self.deps.settings.horizon && !self.handing_over;
         let due: Vec<Arc<str>> = self
             .cell
             .workers
@@ -337,14 +337,14 @@
             return true;
         };
         let since = now.saturating_sub(called);
-        let silent = host.session.since_last_report(now) > self.tools.settings.renew * 2;
+        let silent = host.session.since_last_report(now) > self.deps.settings.renew * 2;
         let news = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
         !host.call_in_flight
-            && (news || since >= self.tools.settings.renew || silent && since >= RETRY_EVERY)
+            && (news || since >= self.deps.settings.renew || silent && since >= RETRY_EVERY)
     }
 
     pub(crate) fn call(&mut self, worker: &Arc<str>, renew: bool, actor: &ActorRef<Self>) {
-        let moment = self.moment();
+        let moment = self.step_context();
         let Some(sync) = reconcile::prepare_sync(&mut self.cell, worker, &self.terms, renew, moment)
         else {
             return;
@@ -355,8 +355,8 @@
         let Some(address) = host.address else { return };
         host.last_called = Some(moment.now);
         host.call_in_flight = true;
-        self.tools.metrics.calls.inc();
-        let (tool, actor, worker) = (self.tools.worker_client.clone(), actor.clone(), worker.clone());
+        self.deps.metrics.calls.inc();
+        let (tool, actor, worker) = (self.deps.worker_client.clone(), actor.clone(), worker.clone());
         tokio::spawn(async move {
             let answer = tool.sync(address, &sync).await;
             let _ = actor.tell(WorkerAnswered { worker, answer }).await;
@@ -364,12 +364,12 @@
     }
 
     /// Proves the ownership while there is nothing to write.
-    pub(crate) fn confirm(&mut self, actor: &ActorRef<Self>) {
+    pub(crate) fn verify_ownership(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
-        if self.checking || self.writing || now < self.confirmed + CONFIRM_EVERY {
+        if self.check_in_flight || self.write_in_flight || now < self.ownership_confirmed_at + CONFIRM_EVERY {
             return;
         }
-        self.checking = true;
+        self.check_in_flight = true;
         let (journal, actor, position) = (self.journal.clone(), actor.clone(), self.position);
         tokio::spawn(async move {
             let free = journal.is_free(position).await;
@@ -384,18 +384,18 @@
     }
 
     pub(crate) fn snapshot(&mut self, actor: &ActorRef<Self>) {
-        let due = self.since_snapshot >= self.tools.settings.snapshot;
-        let whole = self.pending.is_empty() && !self.writing;
-        if self.snapshotting || !due || !whole || self.handing {
+        let due = self.entries_since_snapshot >= self.deps.settings.snapshot;
+        let whole = self.pending.is_empty() && !self.write_in_flight;
+        if self.snapshot_in_flight || !due || !whole || self.handing_over {
             return;
         }
         let Ok(state) = record::encode(self.cell.durable_state()) else {
             return;
         };
-        self.snapshotting = true;
-        self.since_snapshot = 0;
-        self.tools.metrics.snapshots.inc();
-        self.tools.metrics.snapshot_bytes.inc_by(state.len() as u64);
+        self.snapshot_in_flight = true;
+        self.entries_since_snapshot = 0;
+        self.deps.metrics.snapshots.inc();
+        self.deps.metrics.snapshot_bytes.inc_by(state.len() as u64);
         let (journal, actor, position) = (self.journal.clone(), actor.clone(), self.durable);
         tokio::spawn(async move {
             let done = journal.snapshot(position, state.into()).await;
@@ -407,7 +407,7 @@
         let now = self.now();
         for instance in instances {
             self.cell.resize_worker(&instance.name, instance.resources);
-            let bound = self.bound;
+            let bound = self.former_leases_end;
             let Some(host) = self.cell.workers.get_mut(&instance.name) else {
                 continue;
             };
@@ -432,8 +432,8 @@
 
     pub(crate) fn publish(&self) {
         let counts = self.cell.counts();
-        self.tools.metrics.publish(
-            &self.tools.name,
+        self.deps.metrics.publish(
+            &self.deps.name,
             &counts,
             self.cell.running(),
             self.cell.backlog().len(),
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -109,7 +109,7 @@
         roster: consul,
         worker: agent::open(limit),
         config: config.clone(),
-        score: SchedulerMetrics::open(&registry)?,
+        score: SchedulerMetrics::register(&registry)?,
         registry,
         clock: clock.clone(),
         owned: Mutex::default(),
@@ -373,7 +373,7 @@
     shared.owned.lock().retain(|cell, handle| {
         let kept = handle.is_owner();
         if !kept {
-            shared.score.forget(cell);
+            shared.score.remove_cell(cell);
         }
         kept
     });
--- a/ashtiller/src/task/score.rs
+++ b/ashtiller/src/task/score.rs
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// One of them is registered already.
-    pub fn open(registry: &Registry) -> Result<Arc<Self>, prometheus::Error> {
+    pub fn register(registry: &Registry) -> Result<Arc<Self>, prometheus::Error> {
         let counters = Counters::new(registry, "scheduler");
         let help = "Tasks by cell and what became of them since this owner began.";
         let tasks = counters.gauges("tasks", help, &["cell", "state"])?;
@@ -63,7 +63,7 @@
     }
 
     /// Forgets a cell that was released.
-    pub fn forget(&self, cell: &str) {
+    pub fn remove_cell(&self, cell: &str) {
         let states = [
             "running", "queued", "placed", "finished", "failed", "evicted", "resumed", "lost",
             "given-up",
