--- a/ashtiller/src/task/agent.rs
+++ b/ashtiller/src/task/agent.rs
@@ -17,7 +17,7 @@
 use crate::web;
 
 /// Path of the call.
-const TARGET: &str = "/v1/sync";
+const SYNC_PATH: &str = "/v1/sync";
 
 /// What a worker is told to do.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -172,7 +172,7 @@
     fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report>;
 }
 
-struct Http {
+struct HttpWorkerClient {
     client: web::Client,
     limit: Duration,
 }
@@ -180,13 +180,13 @@
 /// Opens a client that talks JSON over HTTP; each call may take `limit`.
 #[must_use]
 pub fn open(limit: Duration) -> Arc<dyn WorkerClient> {
-    Arc::new(Http {
+    Arc::new(HttpWorkerClient {
         client: web::Client::default(),
         limit,
     })
 }
 
-impl WorkerClient for Http {
+impl WorkerClient for HttpWorkerClient {
     fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report> {
         Box::pin(async move {
             let body =
@@ -197,7 +197,7 @@
                     "sync",
                     worker,
                     Method::POST,
-                    TARGET,
+                    SYNC_PATH,
                     Bytes::from(body),
                     self.limit,
                 )
--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -24,7 +24,7 @@
 /// Longest such pause.
 const BACKOFF_MAX: Duration = Duration::from_mins(1);
 /// Factor on the allowed failures of a task that failed on one worker only.
-const SAME_WORKER: u32 = 3;
+const SINGLE_WORKER_LIMIT_FACTOR: u32 = 3;
 
 /// What one client account holds in the cell.
 #[derive(Clone, Debug, Default)]
@@ -70,8 +70,8 @@
 /// One cell.
 #[derive(Clone, Debug, Default)]
 pub struct Cell {
-    lasting: DurableState,
-    names: BTreeMap<(Arc<str>, Arc<str>), u32>,
+    durable_state: DurableState,
+    job_numbers: BTreeMap<(Arc<str>, Arc<str>), u32>,
     accounts: BTreeMap<Arc<str>, Account>,
     /// Workers by name.
     pub workers: BTreeMap<Arc<str>, WorkerState>,
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn restore(lasting: DurableState) -> Self {
         let mut cell = Self {
-            lasting: DurableState {
+            durable_state: DurableState {
                 next_job: lasting.next_job,
                 ..DurableState::default()
             },
@@ -108,7 +108,7 @@
         };
         let submission = &job.submission;
         let (account, name) = (submission.account.clone(), submission.job.clone());
-        self.names.insert((account.clone(), name), number);
+        self.job_numbers.insert((account.clone(), name), number);
         let held = self.accounts.entry(account.clone()).or_default();
         held.jobs += 1;
         held.evictions_per_hour = submission.evictions;
@@ -127,13 +127,13 @@
                 self.backlog.push_back(rank, &account, id);
             }
         }
-        self.lasting.jobs.insert(number, job);
+        self.durable_state.jobs.insert(number, job);
     }
 
     /// The part that lasts.
     #[must_use]
     pub fn durable_state(&self) -> &DurableState {
-        &self.lasting
+        &self.durable_state
     }
 
     /// Counts since this owner began.
@@ -163,19 +163,19 @@
     /// Number of a job by name.
     #[must_use]
     pub fn find_job(&self, account: &Arc<str>, job: &Arc<str>) -> Option<u32> {
-        self.names.get(&(account.clone(), job.clone())).copied()
+        self.job_numbers.get(&(account.clone(), job.clone())).copied()
     }
 
     /// One job.
     #[must_use]
     pub fn job(&self, number: u32) -> Option<&Job> {
-        self.lasting.jobs.get(&number)
+        self.durable_state.jobs.get(&number)
     }
 
     /// One task and its job's submission.
     #[must_use]
     pub fn task(&self, id: TaskId) -> Option<(&Task, &Submission)> {
-        let job = self.lasting.jobs.get(&id.job)?;
+        let job = self.durable_state.jobs.get(&id.job)?;
         Some((job.tasks.get(id.index as usize)?, &job.submission))
     }
 
@@ -183,8 +183,8 @@
     pub fn apply(&mut self, fact: &Fact, position: u64, now: Duration) {
         match fact {
             Fact::Submitted(submission) => {
-                let number = self.lasting.next_job;
-                self.lasting.next_job += 1;
+                let number = self.durable_state.next_job;
+                self.durable_state.next_job += 1;
                 self.add_job(number, Job::new((**submission).clone()));
             }
             Fact::Cancelled(job) => self.cancel(*job, position, now),
@@ -202,13 +202,13 @@
             }
             Fact::Evicting(attempt) => self.evict(*attempt, position, now),
             Fact::Ended(attempt, end) => self.end(*attempt, *end, now),
-            Fact::Forgotten(job) => self.forget(*job),
+            Fact::Forgotten(job) => self.remove_job(*job),
         }
     }
 
     fn place(&mut self, attempt: Attempt, place: Placement) {
         let id = attempt.task;
-        let Some(job) = self.lasting.jobs.get_mut(&id.job) else {
+        let Some(job) = self.durable_state.jobs.get_mut(&id.job) else {
             return;
         };
         let Some(task) = job.tasks.get_mut(id.index as usize) else {
@@ -238,7 +238,7 @@
     }
 
     fn evict(&mut self, attempt: Attempt, position: u64, now: Duration) {
-        let Some(job) = self.lasting.jobs.get_mut(&attempt.task.job) else {
+        let Some(job) = self.durable_state.jobs.get_mut(&attempt.task.job) else {
             return;
         };
         let Some(task) = job.tasks.get_mut(attempt.task.index as usize) else {
@@ -259,7 +259,7 @@
 
     fn end(&mut self, attempt: Attempt, end: End, now: Duration) {
         let id = attempt.task;
-        let Some(job) = self.lasting.jobs.get_mut(&id.job) else {
+        let Some(job) = self.durable_state.jobs.get_mut(&id.job) else {
             return;
         };
         let Some(task) = job.tasks.get_mut(id.index as usize) else {
@@ -287,7 +287,7 @@
         }
         count_end(&mut self.counts, end);
         let cancelled = job.cancelled;
-        settle_task(task, &job.submission, &place, end, cancelled, now);
+        update_ended_task(task, &job.submission, &place, end, cancelled, now);
         let (over, given_up) = (task.phase.is_over(), task.phase == Phase::GivenUp);
         self.counts.given_up += u64::from(given_up);
         if over {
@@ -300,7 +300,7 @@
     }
 
     fn cancel(&mut self, number: u32, position: u64, now: Duration) {
-        let Some(job) = self.lasting.jobs.get_mut(&number) else {
+        let Some(job) = self.durable_state.jobs.get_mut(&number) else {
             return;
         };
         job.cancelled = true;
@@ -325,12 +325,12 @@
         job.ended_at = job.is_over().then_some(now);
     }
 
-    fn forget(&mut self, number: u32) {
-        let Some(job) = self.lasting.jobs.remove(&number) else {
+    fn remove_job(&mut self, number: u32) {
+        let Some(job) = self.durable_state.jobs.remove(&number) else {
             return;
         };
         let submission = job.submission;
-        self.names
+        self.job_numbers
             .remove(&(submission.account.clone(), submission.job));
         if let Some(account) = self.accounts.get_mut(&submission.account) {
             account.jobs -= 1;
@@ -367,7 +367,7 @@
     }
 }
 
-fn settle_task(
+fn update_ended_task(
     task: &mut Task,
     submission: &Submission,
     place: &Placement,
@@ -391,7 +391,7 @@
     let limit = if several {
         submission.attempts
     } else {
-        submission.attempts * SAME_WORKER
+        submission.attempts * SINGLE_WORKER_LIMIT_FACTOR
     };
     task.phase = match end {
         End::Finished => Phase::Finished,
--- a/ashtiller/src/task/evict.rs
+++ b/ashtiller/src/task/evict.rs
@@ -12,13 +12,13 @@
 use crate::template::Class;
 
 /// Window of an account's eviction budget.
-const WINDOW: Duration = Duration::from_hours(1);
+const BUDGET_WINDOW: Duration = Duration::from_hours(1);
 
 /// A batch task that may be evicted.
-struct Victim {
+struct Candidate {
     attempt: Attempt,
     needs: Resources,
-    spent: f64,
+    budget_used: f64,
 }
 
 /// Chooses the worker on which the fewest evictions make room for `needs`.
@@ -52,12 +52,12 @@
     if !needs.fits(host.pool().whole()) {
         return None;
     }
-    let mut candidates: Vec<Victim> = host
+    let mut candidates: Vec<Candidate> = host
         .tasks
         .iter()
-        .filter_map(|id| victim(cell, *id, now))
+        .filter_map(|id| eviction_candidate(cell, *id, now))
         .collect();
-    candidates.sort_by(|one, other| one.spent.total_cmp(&other.spent));
+    candidates.sort_by(|one, other| one.budget_used.total_cmp(&other.budget_used));
     let mut free = host.pool().free();
     let mut victims = Vec::new();
     for victim in candidates {
@@ -73,10 +73,10 @@
 /// Whether a batch task may be evicted within its account's budget.
 #[must_use]
 pub fn has_budget(cell: &Cell, id: TaskId, now: Duration) -> bool {
-    victim(cell, id, now).is_some()
+    eviction_candidate(cell, id, now).is_some()
 }
 
-fn victim(cell: &Cell, id: TaskId, now: Duration) -> Option<Victim> {
+fn eviction_candidate(cell: &Cell, id: TaskId, now: Duration) -> Option<Candidate> {
     let (task, submission) = cell.task(id)?;
     let evictable = submission.class == Class::Batch && !submission.urgent;
     if !evictable || !matches!(task.phase, Phase::Placed(_)) {
@@ -86,7 +86,7 @@
     let recent = account
         .eviction_times
         .iter()
-        .filter(|at| now.saturating_sub(**at) < WINDOW)
+        .filter(|at| now.saturating_sub(**at) < BUDGET_WINDOW)
         .count();
     let recent = u32::try_from(recent).unwrap_or(u32::MAX);
     if recent >= account.evictions_per_hour {
@@ -97,9 +97,9 @@
         task: id,
         number: task.attempt,
     };
-    Some(Victim {
+    Some(Candidate {
         attempt,
         needs: submission.needs,
-        spent,
+        budget_used: spent,
     })
 }
--- a/ashtiller/src/task/explain.rs
+++ b/ashtiller/src/task/explain.rs
@@ -14,7 +14,7 @@
 use crate::session::LeaseTerms;
 
 /// Entries of a list that are shown.
-const SHOWN: usize = 100;
+const LIST_MAX: usize = 100;
 
 #[derive(Serialize)]
 struct CellView {
@@ -25,13 +25,13 @@
     queued_critical: usize,
     queued_batch: usize,
     counts: Counts,
-    workers: Vec<HostView>,
+    workers: Vec<WorkerView>,
     accounts: Vec<AccountView>,
     jobs: Vec<JobView>,
 }
 
 #[derive(Serialize)]
-struct HostView {
+struct WorkerView {
     worker: Arc<str>,
     state: &'static str,
     tasks: usize,
@@ -91,7 +91,7 @@
         queued_batch: rank(PRIORITIES[2]),
         counts: cell.counts(),
         workers: if whole {
-            show_hosts(cell, terms, now)
+            show_workers(cell, terms, now)
         } else {
             Vec::new()
         },
@@ -102,17 +102,17 @@
             .iter()
             .filter(|(_, found)| wanted(&found.submission.account, account))
             .filter(|(_, found)| wanted(&found.submission.job, job))
-            .take(SHOWN)
+            .take(LIST_MAX)
             .map(|(number, _)| show_job(cell, *number, terms, now))
             .collect(),
     };
     serde_json::to_string(&view).unwrap_or_default()
 }
 
-fn show_hosts(cell: &Cell, terms: &LeaseTerms, now: Duration) -> Vec<HostView> {
-    let shown = cell.workers.iter().take(SHOWN);
+fn show_workers(cell: &Cell, terms: &LeaseTerms, now: Duration) -> Vec<WorkerView> {
+    let shown = cell.workers.iter().take(LIST_MAX);
     shown
-        .map(|(worker, host)| HostView {
+        .map(|(worker, host)| WorkerView {
             worker: worker.clone(),
             state: match () {
                 () if host.is_quarantined() => "quarantined",
@@ -133,7 +133,7 @@
         .accounts()
         .iter()
         .filter(|(name, _)| wanted(name))
-        .take(SHOWN);
+        .take(LIST_MAX);
     accounts
         .map(|(name, held)| AccountView {
             account: name.clone(),
@@ -154,7 +154,7 @@
             tasks: Vec::new(),
         };
     };
-    let tasks = (0..).zip(&job.tasks).take(SHOWN);
+    let tasks = (0..).zip(&job.tasks).take(LIST_MAX);
     JobView {
         account: job.submission.account.clone(),
         job: job.submission.job.clone(),
@@ -179,10 +179,10 @@
     if task.phase != Phase::Queued {
         return None;
     }
-    Some(reason(cell, task, submission, id, terms, now))
+    Some(describe_wait(cell, task, submission, id, terms, now))
 }
 
-fn reason(
+fn describe_wait(
     cell: &Cell,
     task: &Task,
     submission: &Submission,
--- a/ashtiller/src/task/host.rs
+++ b/ashtiller/src/task/host.rs
@@ -15,7 +15,7 @@
 use crate::template::Class;
 
 /// Failures in a row, of different tasks, after which a worker is quarantined.
-const FAILURES: usize = 3;
+const QUARANTINE_FAILURES: usize = 3;
 /// First quarantine; each further one doubles.
 const QUARANTINE_FIRST: Duration = Duration::from_secs(30);
 /// Longest quarantine.
@@ -68,9 +68,9 @@
     pub unknown_attempts: Vec<(Arc<str>, u32)>,
     /// Reported ends to be acknowledged.
     pub acks: Vec<Ack>,
-    failed: BTreeSet<TaskId>,
-    quarantined: Option<Duration>,
-    quarantines: u32,
+    failed_tasks: BTreeSet<TaskId>,
+    quarantined_until: Option<Duration>,
+    quarantine_count: u32,
 }
 
 impl Default for WorkerState {
@@ -94,9 +94,9 @@
             guard: Guard::default(),
             unknown_attempts: Vec::new(),
             acks: Vec::new(),
-            failed: BTreeSet::new(),
-            quarantined: None,
-            quarantines: 0,
+            failed_tasks: BTreeSet::new(),
+            quarantined_until: None,
+            quarantine_count: 0,
         }
     }
 }
@@ -154,7 +154,7 @@
 
     /// After a quarantine one task is let in as a probe.
     fn may_start(&self, now: Duration) -> bool {
-        match self.quarantined {
+        match self.quarantined_until {
             None => true,
             Some(until) => now >= until && self.tasks.is_empty(),
         }
@@ -163,27 +163,27 @@
     /// Whether it is in quarantine or on probation.
     #[must_use]
     pub fn is_quarantined(&self) -> bool {
-        self.quarantined.is_some()
+        self.quarantined_until.is_some()
     }
 
     /// An attempt failed here; true when the worker enters quarantine.
     pub fn record_failure(&mut self, task: TaskId, now: Duration) -> bool {
-        self.failed.insert(task);
-        let probation = self.quarantined.is_some();
-        if self.failed.len() < FAILURES && !probation {
+        self.failed_tasks.insert(task);
+        let probation = self.quarantined_until.is_some();
+        if self.failed_tasks.len() < QUARANTINE_FAILURES && !probation {
             return false;
         }
-        let time = QUARANTINE_FIRST.saturating_mul(1 << self.quarantines.min(10));
-        self.quarantined = Some(now + time.min(QUARANTINE_MAX));
-        self.quarantines += 1;
-        self.failed.clear();
+        let time = QUARANTINE_FIRST.saturating_mul(1 << self.quarantine_count.min(10));
+        self.quarantined_until = Some(now + time.min(QUARANTINE_MAX));
+        self.quarantine_count += 1;
+        self.failed_tasks.clear();
         true
     }
 
     /// An attempt finished here.
     pub fn record_success(&mut self) {
-        self.failed.clear();
-        self.quarantined = None;
-        self.quarantines = self.quarantines.saturating_sub(1);
+        self.failed_tasks.clear();
+        self.quarantined_until = None;
+        self.quarantine_count = self.quarantine_count.saturating_sub(1);
     }
 }
--- a/ashtiller/src/task/jobs.rs
+++ b/ashtiller/src/task/jobs.rs
@@ -24,9 +24,9 @@
 /// Prefix of the keys that name each account's home cell.
 pub const HOMES: &str = "ashtiller/homes/";
 /// Time limit of one submission.
-const LIMIT: Duration = Duration::from_secs(8);
+const ASK_TIMEOUT: Duration = Duration::from_secs(8);
 /// Pause before another scheduler is asked.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Forwards jobs.
 pub struct JobForwarder {
@@ -79,7 +79,7 @@
         };
         let cell = match self.home_cell(account).await {
             Ok(cell) => cell,
-            Err(failure) => return not_run(&failure.to_string()),
+            Err(failure) => return unavailable(&failure.to_string()),
         };
         let verdict = self
             .ask_owner(&cell, |peer| {
@@ -87,7 +87,7 @@
                 async move { peer.submit(cell, submission).await }
             })
             .await;
-        say(&verdict)
+        verdict_response(&verdict)
     }
 
     fn submission(
@@ -96,7 +96,7 @@
         account: &Arc<str>,
         job: &Arc<str>,
     ) -> Result<Submission, Said> {
-        let wrong = |reason: &str| said(StatusCode::BAD_REQUEST, Outcome::NotRun, reason);
+        let wrong = |reason: &str| response(StatusCode::BAD_REQUEST, Outcome::NotRun, reason);
         if !crate::document::is_name(job) {
             return Err(wrong(
                 "a job's name needs 1 to 63 letters, digits, `-`, `_` or `.`",
@@ -138,7 +138,7 @@
     async fn cancel(&self, account: &Arc<str>, job: &Arc<str>) -> Said {
         let cell = match self.home_cell(account).await {
             Ok(cell) => cell,
-            Err(failure) => return not_run(&failure.to_string()),
+            Err(failure) => return unavailable(&failure.to_string()),
         };
         let verdict = self
             .ask_owner(&cell, |peer| {
@@ -146,13 +146,13 @@
                 async move { peer.cancel(cell, account, job).await }
             })
             .await;
-        say(&verdict)
+        verdict_response(&verdict)
     }
 
     async fn show(&self, account: &Arc<str>, job: &Arc<str>) -> Said {
         match self.home_cell(account).await {
             Ok(cell) => self.show_cell(&cell, account, job).await,
-            Err(failure) => not_run(&failure.to_string()),
+            Err(failure) => unavailable(&failure.to_string()),
         }
     }
 
@@ -163,7 +163,7 @@
                 return (StatusCode::OK, json);
             }
         }
-        not_run("no scheduler owns the cell just now")
+        unavailable("no scheduler owns the cell just now")
     }
 
     /// The cell that admits an account's jobs: chosen once, and kept in the store.
@@ -177,7 +177,7 @@
         let key = format!("{HOMES}{account}");
         let mut found = self.store.get(&key).await?;
         if found.is_none() {
-            let cell = self.choose_home(account).await?;
+            let cell = self.choose_home_cell(account).await?;
             let value = Bytes::copy_from_slice(cell.as_bytes());
             // Whoever wrote first decides; the key is read back in any case.
             match self.store.swap(&key, value, 0).await {
@@ -192,8 +192,8 @@
         Ok(cell)
     }
 
-    async fn choose_home(&self, account: &str) -> Result<Arc<str>, Failure> {
-        let listed = self.roster.watch(&self.workers, 0, LIMIT).await?;
+    async fn choose_home_cell(&self, account: &str) -> Result<Arc<str>, Failure> {
+        let listed = self.roster.watch(&self.workers, 0, ASK_TIMEOUT).await?;
         let cells: BTreeSet<Arc<str>> = listed
             .instances
             .into_iter()
@@ -225,7 +225,7 @@
     where
         F: Future<Output = Result<Verdict, Failure>>,
     {
-        let until = time::Instant::now() + LIMIT;
+        let until = time::Instant::now() + ASK_TIMEOUT;
         let mut may_have_run = false;
         while time::Instant::now() < until {
             for peer in self.candidates(cell) {
@@ -238,7 +238,7 @@
                     Err(failure) => may_have_run |= failure.effect == Effect::Unknown,
                 }
             }
-            time::sleep(PAUSE).await;
+            time::sleep(RETRY_PAUSE).await;
         }
         if may_have_run {
             return Verdict::Unknown("the cell's owner gave no answer".into());
@@ -247,30 +247,30 @@
     }
 }
 
-fn said(status: StatusCode, outcome: Outcome, reason: &str) -> Said {
+fn response(status: StatusCode, outcome: Outcome, reason: &str) -> Said {
     (
         status,
         json!({ "outcome": outcome.name(), "reason": reason }).to_string(),
     )
 }
 
-fn not_run(reason: &str) -> Said {
-    said(StatusCode::SERVICE_UNAVAILABLE, Outcome::NotRun, reason)
+fn unavailable(reason: &str) -> Said {
+    response(StatusCode::SERVICE_UNAVAILABLE, Outcome::NotRun, reason)
 }
 
 /// A verdict as an operator's answer.
-fn say(verdict: &Verdict) -> Said {
+fn verdict_response(verdict: &Verdict) -> Said {
     match verdict {
         Verdict::Accepted => (
             StatusCode::ACCEPTED,
             json!({ "outcome": "accepted" }).to_string(),
         ),
         Verdict::Known => (StatusCode::OK, json!({ "outcome": "known" }).to_string()),
-        Verdict::Conflict(reason) => said(StatusCode::CONFLICT, Outcome::NotRun, reason),
-        Verdict::Never(reason) => said(StatusCode::UNPROCESSABLE_ENTITY, Outcome::NotRun, reason),
-        Verdict::NotOwner(reason) => not_run(reason),
-        Verdict::Unknown(reason) => said(StatusCode::GATEWAY_TIMEOUT, Outcome::Unknown, reason),
-        Verdict::Missing => said(
+        Verdict::Conflict(reason) => response(StatusCode::CONFLICT, Outcome::NotRun, reason),
+        Verdict::Never(reason) => response(StatusCode::UNPROCESSABLE_ENTITY, Outcome::NotRun, reason),
+        Verdict::NotOwner(reason) => unavailable(reason),
+        Verdict::Unknown(reason) => response(StatusCode::GATEWAY_TIMEOUT, Outcome::Unknown, reason),
+        Verdict::Missing => response(
             StatusCode::NOT_FOUND,
             Outcome::NotRun,
             "there is no such job",
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -25,15 +25,15 @@
 /// Prefix of all cells.
 pub const PREFIX: &str = "ashtiller/cells/";
 /// Positions in one block.
-const BLOCK: u64 = 256;
+const POSITIONS_PER_BLOCK: u64 = 256;
 /// Bytes in one chunk of a snapshot.
-const CHUNK: usize = 512 << 10;
+const CHUNK_BYTES: usize = 512 << 10;
 /// Age after which a seal may be cut.
-const SEAL_AGE: u64 = 24 * 3600;
+const SEAL_RETENTION_SECS: u64 = 24 * 3600;
 /// First pause before a write with an unknown outcome is tried again.
-const PAUSE_MIN: Duration = Duration::from_millis(20);
+const RETRY_PAUSE_MIN: Duration = Duration::from_millis(20);
 /// Longest such pause.
-const PAUSE_MAX: Duration = Duration::from_secs(1);
+const RETRY_PAUSE_MAX: Duration = Duration::from_secs(1);
 
 /// Why a cell cannot be opened.
 #[derive(Debug, thiserror::Error)]
@@ -61,7 +61,7 @@
 
 /// Where the newest snapshot is.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-struct Head {
+struct SnapshotHead {
     position: u64,
     epoch: u64,
     chunks: u32,
@@ -84,10 +84,10 @@
     writer: u64,
     epoch: u64,
     seals: BTreeMap<u64, u64>,
-    head: Head,
+    head: SnapshotHead,
     head_index: u64,
-    cut_to: u64,
-    garbage: Vec<String>,
+    first_kept_block: u64,
+    pending_deletions: Vec<String>,
 }
 
 /// An opened cell.
@@ -139,8 +139,8 @@
         writer,
         epoch: 0,
         seals: BTreeMap::new(),
-        cut_to: 0,
-        garbage: Vec::new(),
+        first_kept_block: 0,
+        pending_deletions: Vec::new(),
         head,
         head_index,
     };
@@ -172,15 +172,15 @@
     }
 }
 
-async fn read_head(store: &dyn Store, cell: &str) -> Result<(Head, u64), OpenError> {
+async fn read_head(store: &dyn Store, cell: &str) -> Result<(SnapshotHead, u64), OpenError> {
     let key = head_key(cell);
     match store.get(&key).await? {
-        None => Ok((Head::default(), 0)),
+        None => Ok((SnapshotHead::default(), 0)),
         Some(item) => Ok((decode(&key, &item.value)?, item.index)),
     }
 }
 
-async fn read_snapshot(store: &dyn Store, cell: &str, head: &Head) -> Result<DurableState, OpenError> {
+async fn read_snapshot(store: &dyn Store, cell: &str, head: &SnapshotHead) -> Result<DurableState, OpenError> {
     if head.chunks == 0 {
         return Ok(DurableState::default());
     }
@@ -207,7 +207,7 @@
 ) -> Result<(), OpenError> {
     let view = store.list(&log_prefix(cell)).await?;
     for item in &view.items {
-        let Some(position) = position_of(&item.key) else {
+        let Some(position) = parse_position(&item.key) else {
             continue;
         };
         if position > replay.next {
@@ -281,14 +281,14 @@
     /// again only where nothing stands.
     pub async fn append(&self, position: u64, bytes: Bytes) -> AppendOutcome {
         let key = log_key(&self.cell, position);
-        let mut pause = PAUSE_MIN;
+        let mut pause = RETRY_PAUSE_MIN;
         loop {
             let swapped = self.store.swap(&key, bytes.clone(), 0).await;
             match self.resolve_write(&key, &bytes, swapped).await {
                 WriteOutcome::Known(appended) => return appended,
                 WriteOutcome::Unknown => {
                     time::sleep(pause).await;
-                    pause = (pause * 2).min(PAUSE_MAX);
+                    pause = (pause * 2).min(RETRY_PAUSE_MAX);
                 }
             }
         }
@@ -327,7 +327,7 @@
     pub async fn snapshot(mut self, position: u64, state: Bytes) -> Result<Self, Failure> {
         let prefix = snapshot_prefix(&self.cell, position, self.epoch);
         let mut chunks = 0;
-        for chunk in state.chunks(CHUNK) {
+        for chunk in state.chunks(CHUNK_BYTES) {
             let key = format!("{prefix}{chunks:04}");
             self.store
                 .swap(&key, Bytes::copy_from_slice(chunk), 0)
@@ -336,7 +336,7 @@
         }
         let old = std::mem::replace(
             &mut self.head,
-            Head {
+            SnapshotHead {
                 position,
                 epoch: self.epoch,
                 chunks,
@@ -354,29 +354,29 @@
         }
         self.head_index = self.store.get(&key).await?.map_or(0, |item| item.index);
         if old.chunks > 0 {
-            self.garbage
+            self.pending_deletions
                 .push(snapshot_prefix(&self.cell, old.position, old.epoch));
         }
-        self.cut(position).await;
+        self.delete_superseded(position).await;
         Ok(self)
     }
 
     /// Deletes what the snapshot replaces; what cannot be deleted now is deleted
     /// with the next snapshot.
-    async fn cut(&mut self, position: u64) {
+    async fn delete_superseded(&mut self, position: u64) {
         let now = now_secs();
         self.seals
-            .retain(|_, at| now.saturating_sub(*at) < SEAL_AGE);
-        for block in self.cut_to..position / BLOCK {
-            let range = block * BLOCK..(block + 1) * BLOCK;
+            .retain(|_, at| now.saturating_sub(*at) < SEAL_RETENTION_SECS);
+        for block in self.first_kept_block..position / POSITIONS_PER_BLOCK {
+            let range = block * POSITIONS_PER_BLOCK..(block + 1) * POSITIONS_PER_BLOCK;
             if self.seals.range(range).next().is_none() {
-                self.garbage.push(block_prefix(&self.cell, block));
+                self.pending_deletions.push(block_prefix(&self.cell, block));
             }
         }
-        self.cut_to = position / BLOCK;
-        while let Some(prefix) = self.garbage.pop() {
+        self.first_kept_block = position / POSITIONS_PER_BLOCK;
+        while let Some(prefix) = self.pending_deletions.pop() {
             if self.store.remove_all(&prefix).await.is_err() {
-                self.garbage.push(prefix);
+                self.pending_deletions.push(prefix);
                 return;
             }
         }
@@ -397,10 +397,10 @@
 }
 
 fn log_key(cell: &str, position: u64) -> String {
-    format!("{}{position:012}", block_prefix(cell, position / BLOCK))
+    format!("{}{position:012}", block_prefix(cell, position / POSITIONS_PER_BLOCK))
 }
 
-fn position_of(key: &str) -> Option<u64> {
+fn parse_position(key: &str) -> Option<u64> {
     key.rsplit_once('/')?.1.parse().ok()
 }
 
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -33,11 +33,11 @@
 use crate::settings;
 
 /// How often the owner decides.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often an idle owner asks whether it was superseded.
-const CONFIRM_EVERY: Duration = Duration::from_secs(5);
+const VERIFY_INTERVAL: Duration = Duration::from_secs(5);
 /// A worker that does not answer is called at most this often.
-const RETRY_EVERY: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Facts that may wait for the log before new jobs are turned away.
 pub(crate) const PENDING_MAX: usize = plan::MAX_FACTS_PER_ROUND;
 
@@ -167,7 +167,7 @@
 }
 
 async fn tick(actor: ActorRef<Owner>, standing: watch::Receiver<OwnerStatus>) {
-    let mut ticks = time::interval(TICK);
+    let mut ticks = time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -340,7 +340,7 @@
         let silent = host.session.since_last_report(now) > self.deps.settings.renew * 2;
         let news = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
         !host.call_in_flight
-            && (news || since >= self.deps.settings.renew || silent && since >= RETRY_EVERY)
+            && (news || since >= self.deps.settings.renew || silent && since >= RETRY_INTERVAL)
     }
 
     pub(crate) fn call(&mut self, worker: &Arc<str>, renew: bool, actor: &ActorRef<Self>) {
@@ -366,7 +366,7 @@
     /// Proves the ownership while there is nothing to write.
     pub(crate) fn verify_ownership(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
-        if self.check_in_flight || self.write_in_flight || now < self.ownership_confirmed_at + CONFIRM_EVERY {
+        if self.check_in_flight || self.write_in_flight || now < self.ownership_confirmed_at + VERIFY_INTERVAL {
             return;
         }
         self.check_in_flight = true;
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -48,12 +48,12 @@
     fit: Box<dyn Fit>,
     terms: LeaseTerms,
     harm: Harm,
-    pledges: BTreeMap<TaskId, Reservation>,
+    reservations: BTreeMap<TaskId, Reservation>,
     /// Shapes that found no worker in this round. A round only takes room away, so
     /// what did not fit once does not fit again.
-    full: Vec<(Resources, Class)>,
+    unplaceable: Vec<(Resources, Class)>,
     /// Shapes for which nothing could be evicted in this round.
-    crowded: Vec<Resources>,
+    without_victims: Vec<Resources>,
 }
 
 impl Planner {
@@ -64,28 +64,28 @@
             fit,
             terms,
             harm: Harm::default(),
-            pledges: BTreeMap::new(),
-            full: Vec::new(),
-            crowded: Vec::new(),
+            reservations: BTreeMap::new(),
+            unplaceable: Vec::new(),
+            without_victims: Vec::new(),
         }
     }
 
     /// One round of decisions; the facts belong to the entry at `position`.
     pub fn plan_round(&mut self, cell: &mut Cell, position: u64, now: Duration) -> Vec<Fact> {
         let mut facts = Vec::new();
-        self.find_lost(cell, &mut facts, position, now);
-        empty_leaving(cell, &mut facts, position, now);
-        forget_ended(cell, &mut facts, position, now);
-        self.pledges.retain(|task, pledge| {
+        self.record_lost_attempts(cell, &mut facts, position, now);
+        drain_leaving(cell, &mut facts, position, now);
+        expire_ended_jobs(cell, &mut facts, position, now);
+        self.reservations.retain(|task, pledge| {
             let queued = cell
                 .task(*task)
                 .is_some_and(|(task, _)| task.phase == Phase::Queued);
             queued && pledge.until > now
         });
-        self.full.clear();
-        self.crowded.clear();
+        self.unplaceable.clear();
+        self.without_victims.clear();
         for rank in PRIORITIES {
-            self.place_rank(cell, rank, &mut facts, position, now);
+            self.place_queued(cell, rank, &mut facts, position, now);
         }
         facts
     }
@@ -114,7 +114,7 @@
         &self.harm
     }
 
-    fn find_lost(&self, cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
+    fn record_lost_attempts(&self, cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
         let lost: Vec<TaskId> = cell
             .workers
             .values()
@@ -142,7 +142,7 @@
         !host.tasks.is_empty() && (lapsed || (gone && host.session.since_last_report(now) >= wait))
     }
 
-    fn place_rank(
+    fn place_queued(
         &mut self,
         cell: &mut Cell,
         rank: Priority,
@@ -153,20 +153,20 @@
         let mut turns: BinaryHeap<Reverse<(u64, Arc<str>)>> = cell
             .backlog()
             .accounts(rank)
-            .map(|name| turn(cell, name))
+            .map(|name| quota_share_order(cell, name))
             .collect();
         while let Some(Reverse((_, account))) = turns.pop() {
             if facts.len() >= MAX_FACTS_PER_ROUND {
                 return;
             }
-            if self.place_one(cell, rank, &account, facts, position, now) {
-                turns.push(turn(cell, &account));
+            if self.place_next(cell, rank, &account, facts, position, now) {
+                turns.push(quota_share_order(cell, &account));
             }
         }
     }
 
     /// Places one task of an account; false when none of those looked at can start.
-    fn place_one(
+    fn place_next(
         &mut self,
         cell: &mut Cell,
         rank: Priority,
@@ -193,11 +193,11 @@
                 continue;
             }
             let number = task.attempt + 1;
-            let full = self.full.contains(&(needs, class)) && !self.pledges.contains_key(&id);
+            let full = self.unplaceable.contains(&(needs, class)) && !self.reservations.contains_key(&id);
             let chosen = if full {
                 None
             } else {
-                self.choose(cell, id, rank, now)
+                self.choose_worker(cell, id, rank, now)
             };
             if let Some((worker, boot)) = chosen {
                 let attempt = Attempt { task: id, number };
@@ -212,21 +212,21 @@
                     position,
                     now,
                 );
-                self.pledges.remove(&id);
-                self.set_speed(cell, id, now);
+                self.reservations.remove(&id);
+                self.set_initial_speed(cell, id, now);
                 return true;
             }
-            if !full && !self.pledges.contains_key(&id) {
-                self.full.push((needs, class));
+            if !full && !self.reservations.contains_key(&id) {
+                self.unplaceable.push((needs, class));
             }
-            if rank != Priority::Batch && !self.crowded.contains(&needs) {
-                self.make_room(cell, id, facts, position, now);
+            if rank != Priority::Batch && !self.without_victims.contains(&needs) {
+                self.evict_and_reserve(cell, id, facts, position, now);
             }
         }
         false
     }
 
-    fn choose(
+    fn choose_worker(
         &self,
         cell: &Cell,
         id: TaskId,
@@ -238,7 +238,7 @@
             class: submission.class,
             kind: cell.job(id.job)?.kind_id,
         };
-        let pledged = self.pledged(id, rank);
+        let pledged = self.reserved_for_others(id, rank);
         let mut best: Option<(f64, &Arc<str>, u64)> = None;
         for (name, host) in &cell.workers {
             let open = host.pool().grants(&submission.needs) && host.accepts_attempts(now, &self.terms);
@@ -270,7 +270,7 @@
     }
 
     /// Lets a placed batch task begin as slowly as the services beside it need.
-    fn set_speed(&self, cell: &mut Cell, id: TaskId, now: Duration) {
+    fn set_initial_speed(&self, cell: &mut Cell, id: TaskId, now: Duration) {
         let Some((task, submission)) = cell.task(id) else {
             return;
         };
@@ -302,15 +302,15 @@
     }
 
     /// Workers held back for others.
-    fn pledged(&self, id: TaskId, rank: Priority) -> BTreeSet<Arc<str>> {
-        if rank == Priority::Urgent || self.pledges.is_empty() {
+    fn reserved_for_others(&self, id: TaskId, rank: Priority) -> BTreeSet<Arc<str>> {
+        if rank == Priority::Urgent || self.reservations.is_empty() {
             return BTreeSet::new();
         }
-        let others = self.pledges.iter().filter(|(task, _)| **task != id);
+        let others = self.reservations.iter().filter(|(task, _)| **task != id);
         others.map(|(_, pledge)| pledge.worker.clone()).collect()
     }
 
-    fn make_room(
+    fn evict_and_reserve(
         &mut self,
         cell: &mut Cell,
         id: TaskId,
@@ -318,7 +318,7 @@
         position: u64,
         now: Duration,
     ) {
-        if self.pledges.contains_key(&id) {
+        if self.reservations.contains_key(&id) {
             return;
         }
         let Some((_, submission)) = cell.task(id) else {
@@ -326,13 +326,13 @@
         };
         let needs = submission.needs;
         let Some((worker, victims)) = evict::choose_victims(cell, &needs, &self.terms, now) else {
-            self.crowded.push(needs);
+            self.without_victims.push(needs);
             return;
         };
         for victim in victims {
             record(cell, facts, Fact::Evicting(victim), position, now);
         }
-        self.pledges.insert(
+        self.reservations.insert(
             id,
             Reservation {
                 worker,
@@ -343,7 +343,7 @@
 }
 
 /// Accounts that hold the smallest share of their quota come first.
-fn turn(cell: &Cell, account: &Arc<str>) -> Reverse<(u64, Arc<str>)> {
+fn quota_share_order(cell: &Cell, account: &Arc<str>) -> Reverse<(u64, Arc<str>)> {
     let share = cell
         .accounts()
         .get(account)
@@ -358,7 +358,7 @@
 }
 
 /// Moves tasks off workers that are leaving.
-fn empty_leaving(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
+fn drain_leaving(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
     let leaving: Vec<TaskId> = cell
         .workers
         .values()
@@ -379,7 +379,7 @@
     }
 }
 
-fn forget_ended(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
+fn expire_ended_jobs(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
     let old: Vec<u32> = cell
         .durable_state()
         .jobs
@@ -403,7 +403,7 @@
     if let Some(known) = cell.find_job(&submission.account, &submission.job) {
         let same = cell
             .job(known)
-            .is_some_and(|job| same_work(&job.submission, &submission));
+            .is_some_and(|job| is_same_work(&job.submission, &submission));
         if same {
             return (Verdict::Known, None);
         }
@@ -412,7 +412,7 @@
             None,
         );
     }
-    if let Some(reason) = impossible(cell, &submission) {
+    if let Some(reason) = infeasible_reason(cell, &submission) {
         return (Verdict::Never(reason.into()), None);
     }
     let fact = Fact::Submitted(Box::new(submission));
@@ -421,7 +421,7 @@
 }
 
 /// The quota may have changed between two submissions of the same work.
-fn same_work(one: &Submission, other: &Submission) -> bool {
+fn is_same_work(one: &Submission, other: &Submission) -> bool {
     one.kind == other.kind
         && one.tasks == other.tasks
         && one.needs == other.needs
@@ -431,7 +431,7 @@
         && one.target == other.target
 }
 
-fn impossible(cell: &Cell, submission: &Submission) -> Option<String> {
+fn infeasible_reason(cell: &Cell, submission: &Submission) -> Option<String> {
     if submission.tasks == 0 {
         return Some("the job has no tasks".to_owned());
     }
--- a/ashtiller/src/task/reconcile.rs
+++ b/ashtiller/src/task/reconcile.rs
@@ -168,13 +168,13 @@
         return (change, Vec::new());
     }
     let mut facts = Vec::new();
-    lose_former_life(cell, worker, report.boot, &mut facts, moment);
+    record_attempts_of_past_boots(cell, worker, report.boot, &mut facts, moment);
     let digest = cell.workers.get(worker).map_or(0, |host| host.digest);
     if !report.unchanged || report.digest != digest {
-        note_running(cell, worker, report);
+        update_running(cell, worker, report);
     }
     for ended in &report.ended {
-        take_end(cell, worker, ended, &mut facts, moment);
+        apply_end(cell, worker, ended, &mut facts, moment);
     }
     let reported = &report.ended;
     if let Some(host) = cell.workers.get_mut(worker) {
@@ -188,7 +188,7 @@
 }
 
 /// Attempts of an earlier life of the worker do not run any more.
-fn lose_former_life(
+fn record_attempts_of_past_boots(
     cell: &mut Cell,
     worker: &Arc<str>,
     boot: u64,
@@ -215,12 +215,12 @@
     }
 }
 
-fn note_running(cell: &mut Cell, worker: &Arc<str>, report: &Report) {
+fn update_running(cell: &mut Cell, worker: &Arc<str>, report: &Report) {
     let mut seen = BTreeMap::new();
     let mut strays = Vec::new();
     for running in &report.running {
         let id = parse_task_name(&running.task);
-        let ours = id.is_some_and(|id| is_ours(cell, worker, id, running.attempt));
+        let ours = id.is_some_and(|id| is_placed_on(cell, worker, id, running.attempt));
         match id {
             Some(id) if ours => {
                 seen.insert(id, running.speed);
@@ -235,7 +235,7 @@
     }
 }
 
-fn is_ours(cell: &Cell, worker: &Arc<str>, id: TaskId, attempt: u32) -> bool {
+fn is_placed_on(cell: &Cell, worker: &Arc<str>, id: TaskId, attempt: u32) -> bool {
     cell.task(id).is_some_and(|(task, _)| {
         let here = task
             .phase
@@ -245,14 +245,14 @@
     })
 }
 
-fn take_end(
+fn apply_end(
     cell: &mut Cell,
     worker: &Arc<str>,
     ended: &Ended,
     facts: &mut Vec<Fact>,
     moment: StepContext,
 ) {
-    let active = parse_task_name(&ended.task).filter(|id| is_ours(cell, worker, *id, ended.attempt));
+    let active = parse_task_name(&ended.task).filter(|id| is_placed_on(cell, worker, *id, ended.attempt));
     if let Some(id) = active {
         let end = match ended.end {
             ReportedEnd::Finished => End::Finished,
@@ -266,7 +266,7 @@
             number: ended.attempt,
         };
         record(cell, facts, Fact::Ended(attempt, end), moment);
-        note_health(cell, worker, id, end, moment.now);
+        update_health(cell, worker, id, end, moment.now);
     }
     let Some(host) = cell.workers.get_mut(worker) else {
         return;
@@ -285,7 +285,7 @@
     }
 }
 
-fn note_health(cell: &mut Cell, worker: &Arc<str>, id: TaskId, end: End, now: Duration) {
+fn update_health(cell: &mut Cell, worker: &Arc<str>, id: TaskId, end: End, now: Duration) {
     let Some(host) = cell.workers.get_mut(worker) else {
         return;
     };
--- a/ashtiller/src/task/record.rs
+++ b/ashtiller/src/task/record.rs
@@ -6,7 +6,7 @@
 /// Version that this code writes.
 const VERSION: u8 = 1;
 /// Bytes before the body: version and CRC-32 of the body.
-const PREFIX: usize = 5;
+const PREFIX_BYTES: usize = 5;
 
 /// Why a record cannot be used.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
@@ -31,7 +31,7 @@
 /// The value cannot be written.
 pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, RecordError> {
     let body = postcard::to_stdvec(value).map_err(|error| RecordError::Body(error.to_string()))?;
-    let mut record = Vec::with_capacity(PREFIX + body.len());
+    let mut record = Vec::with_capacity(PREFIX_BYTES + body.len());
     record.push(VERSION);
     record.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
     record.extend_from_slice(&body);
@@ -43,7 +43,7 @@
 /// # Errors
 /// The record is damaged or from a newer program.
 pub fn decode<T: DeserializeOwned>(record: &[u8]) -> Result<T, RecordError> {
-    let Some((prefix, body)) = record.split_at_checked(PREFIX) else {
+    let Some((prefix, body)) = record.split_at_checked(PREFIX_BYTES) else {
         return Err(RecordError::Short(record.len()));
     };
     if prefix[0] != VERSION {
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -35,15 +35,15 @@
 use crate::wire;
 
 /// Time limit of a call to another process; a job's answer waits for the log.
-const WIRE_LIMIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Least time between two cells handed to others.
-const MOVE_EVERY: Duration = Duration::from_secs(5);
+const HANDOVER_INTERVAL: Duration = Duration::from_secs(5);
 /// Time after the start before cells are taken over, so that heartbeats are heard.
-const SETTLE: Duration = Duration::from_millis(1500);
+const STARTUP_DELAY: Duration = Duration::from_millis(1500);
 /// Longest wait for the log in a planned stop.
-const STOP_LIMIT: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often a damaged cell is tried again.
-const DAMAGED_EVERY: Duration = Duration::from_secs(30);
+const DAMAGED_RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
 struct Shared {
     settings: Settings,
@@ -52,7 +52,7 @@
     worker: Arc<dyn WorkerClient>,
     config: Arc<Config>,
     registry: Registry,
-    score: Arc<SchedulerMetrics>,
+    metrics: Arc<SchedulerMetrics>,
     clock: Arc<dyn Clock>,
     owned: Mutex<BTreeMap<Arc<str>, OwnerHandle>>,
     damaged: Mutex<BTreeMap<Arc<str>, (String, Duration)>>,
@@ -109,7 +109,7 @@
         roster: consul,
         worker: agent::open(limit),
         config: config.clone(),
-        score: SchedulerMetrics::register(&registry)?,
+        metrics: SchedulerMetrics::register(&registry)?,
         registry,
         clock: clock.clone(),
         owned: Mutex::default(),
@@ -119,11 +119,11 @@
         settings,
     });
     let settings = &shared.settings;
-    let local: Arc<dyn Peer> = Arc::new(Local {
+    let local: Arc<dyn Peer> = Arc::new(SchedulerService {
         shared: shared.clone(),
     });
-    let served = wire::bind(settings.scheduler.peers, WIRE_LIMIT, local).await?;
-    let operated: Arc<dyn Operated> = Arc::new(Local {
+    let served = wire::bind(settings.scheduler.peers, CALL_TIMEOUT, local).await?;
+    let operated: Arc<dyn Operated> = Arc::new(SchedulerService {
         shared: shared.clone(),
     });
     let ops = ops::bind(settings.scheduler.operators, operated).await?;
@@ -148,7 +148,7 @@
     }));
     let _ = shared.membership.set(membership);
     let mut tasks = JoinSet::new();
-    tasks.spawn(keep_cells(shared.clone()));
+    tasks.spawn(reconcile_cells(shared.clone()));
     Ok(Scheduler {
         shared,
         ops,
@@ -191,7 +191,7 @@
         for handle in handles {
             moves.spawn(async move { handle.hand_over().await });
         }
-        let _ = time::timeout(STOP_LIMIT, moves.join_all()).await;
+        let _ = time::timeout(STOP_TIMEOUT, moves.join_all()).await;
         if let Some(membership) = self.shared.membership.get() {
             // So that others take the cells over at once.
             membership.spread().await;
@@ -280,14 +280,14 @@
             Ok(opened) => {
                 let epoch = opened.journal.epoch();
                 tracing::info!(%cell, epoch, next = opened.next_position, "cell taken over");
-                let handle = owner::spawn(opened, self.tools(cell));
+                let handle = owner::spawn(opened, self.owner_deps(cell));
                 self.owned.lock().insert(cell.clone(), handle);
                 self.damaged.lock().remove(cell);
                 self.spread().await;
             }
             Err(error @ OpenError::Damaged { .. }) => {
                 tracing::error!(%cell, %error, "the cell stays closed");
-                let until = self.clock.now() + DAMAGED_EVERY;
+                let until = self.clock.now() + DAMAGED_RETRY_INTERVAL;
                 let mut damaged = self.damaged.lock();
                 damaged.insert(cell.clone(), (error.to_string(), until));
             }
@@ -295,13 +295,13 @@
         }
     }
 
-    fn tools(&self, cell: &Arc<str>) -> OwnerDeps {
+    fn owner_deps(&self, cell: &Arc<str>) -> OwnerDeps {
         OwnerDeps {
             name: cell.clone(),
             settings: self.settings.scheduler.clone(),
             worker_client: self.worker.clone(),
             clock: self.clock.clone(),
-            metrics: self.score.clone(),
+            metrics: self.metrics.clone(),
         }
     }
 
@@ -313,8 +313,8 @@
 }
 
 /// Keeps owned cells in step with the members and the platform's list.
-async fn keep_cells(shared: Arc<Shared>) {
-    time::sleep(SETTLE).await;
+async fn reconcile_cells(shared: Arc<Shared>) {
+    time::sleep(STARTUP_DELAY).await;
     let mut ticks = time::interval(shared.settings.platform.refresh);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     let (roster, workers) = (
@@ -331,15 +331,15 @@
         }
         let workers = follower.list();
         if !workers.is_empty() {
-            sort_by_cell(&mut cells, &workers);
+            group_by_cell(&mut cells, &workers);
         }
-        forget_released(&shared);
+        remove_released(&shared);
         for (cell, workers) in &cells {
             match shared.decide(cell) {
                 CellAction::Open if shared.may_open(cell) => shared.open(cell).await,
                 CellAction::HandOver => {
                     let now = shared.clock.now();
-                    if moved.is_none_or(|last| now >= last + MOVE_EVERY) {
+                    if moved.is_none_or(|last| now >= last + HANDOVER_INTERVAL) {
                         moved = Some(now);
                         if let Some(handle) = shared.handle(cell) {
                             handle.hand_over().await;
@@ -357,7 +357,7 @@
 }
 
 /// A cell that lost its last worker stays known.
-fn sort_by_cell(cells: &mut BTreeMap<Arc<str>, Vec<Instance>>, workers: &[Instance]) {
+fn group_by_cell(cells: &mut BTreeMap<Arc<str>, Vec<Instance>>, workers: &[Instance]) {
     for listed in cells.values_mut() {
         listed.clear();
     }
@@ -369,18 +369,18 @@
     }
 }
 
-fn forget_released(shared: &Shared) {
+fn remove_released(shared: &Shared) {
     shared.owned.lock().retain(|cell, handle| {
         let kept = handle.is_owner();
         if !kept {
-            shared.score.remove_cell(cell);
+            shared.metrics.remove_cell(cell);
         }
         kept
     });
 }
 
 /// The scheduler as other processes and operators see it.
-struct Local {
+struct SchedulerService {
     shared: Arc<Shared>,
 }
 
@@ -388,7 +388,7 @@
     Verdict::NotOwner(format!("this scheduler does not own cell {cell}").into())
 }
 
-impl Peer for Local {
+impl Peer for SchedulerService {
     fn greet(&self, mine: Greeting) -> Called<'_, Greeting> {
         self.shared.config.heard(mine.revision);
         if let Some(membership) = self.shared.membership.get() {
@@ -437,7 +437,7 @@
     }
 }
 
-impl Operated for Local {
+impl Operated for SchedulerService {
     fn health(&self) -> Health {
         let known = self.shared.members().iter().next().is_some();
         Health {
--- a/ashtiller/src/task/session.rs
+++ b/ashtiller/src/task/session.rs
@@ -70,12 +70,12 @@
 /// One worker's lease.
 #[derive(Clone, Debug)]
 pub struct Session {
-    contact: FenceState,
+    fence_state: FenceState,
     seq: u64,
-    heard: u64,
-    former: Vec<u64>,
-    stamp: Option<(u64, Duration)>,
-    bound: Duration,
+    last_seq: u64,
+    past_boots: Vec<u64>,
+    last_report: Option<(u64, Duration)>,
+    lease_bound: Duration,
 }
 
 impl Session {
@@ -83,25 +83,25 @@
     #[must_use]
     pub fn new(bound: Duration) -> Self {
         Self {
-            contact: FenceState::Unfenced,
+            fence_state: FenceState::Unfenced,
             seq: 0,
-            heard: 0,
-            former: Vec::new(),
-            stamp: None,
-            bound,
+            last_seq: 0,
+            past_boots: Vec::new(),
+            last_report: None,
+            lease_bound: bound,
         }
     }
 
     /// Where the worker stands.
     #[must_use]
     pub fn fence_state(&self) -> FenceState {
-        self.contact
+        self.fence_state
     }
 
     /// Boot number, once known.
     #[must_use]
     pub fn boot(&self) -> Option<u64> {
-        match self.contact {
+        match self.fence_state {
             FenceState::Unfenced => None,
             FenceState::Fenced { boot } => Some(boot),
         }
@@ -110,27 +110,27 @@
     /// Time by which every lease granted so far has ended.
     #[must_use]
     pub fn lease_bound(&self) -> Duration {
-        self.bound
+        self.lease_bound
     }
 
     /// Age of the last answer.
     #[must_use]
     pub fn since_last_report(&self, now: Duration) -> Duration {
-        self.stamp.map_or(now, |(_, at)| now.saturating_sub(at))
+        self.last_report.map_or(now, |(_, at)| now.saturating_sub(at))
     }
 
     /// Prepares the next grant. Without `renew` it grants nothing new.
     pub fn grant(&mut self, terms: &LeaseTerms, renew: bool) -> Grant {
         self.seq += 1;
         let boot = self.boot().unwrap_or(0);
-        let Some((clock, at)) = self.stamp.filter(|_| renew && boot != 0) else {
+        let Some((clock, at)) = self.last_report.filter(|_| renew && boot != 0) else {
             return Grant {
                 seq: self.seq,
                 boot,
                 until: 0,
             };
         };
-        self.bound = self.bound.max(at + terms.lease + terms.margin);
+        self.lease_bound = self.lease_bound.max(at + terms.lease + terms.margin);
         let lease = u64::try_from(terms.lease.as_millis()).unwrap_or(u64::MAX);
         Grant {
             seq: self.seq,
@@ -148,24 +148,24 @@
             return Change::Stale;
         }
         let fenced = answer.epoch == epoch;
-        let change = match self.contact {
+        let change = match self.fence_state {
             FenceState::Fenced { boot } if boot != answer.boot => Change::Rebooted,
             FenceState::Unfenced if fenced => Change::Fenced,
             _ => Change::Same,
         };
         if fenced {
-            self.heard = answer.seq;
+            self.last_seq = answer.seq;
         }
         if change == Change::Rebooted {
-            self.former.extend(self.boot());
+            self.past_boots.extend(self.boot());
         }
         if change == Change::Fenced {
             // Leases of earlier owners were granted before this clock reading.
-            self.bound = now + terms.lease + terms.margin;
+            self.lease_bound = now + terms.lease + terms.margin;
         }
         if fenced || change == Change::Rebooted {
-            self.contact = FenceState::Fenced { boot: answer.boot };
-            self.stamp = Some((answer.clock, now));
+            self.fence_state = FenceState::Fenced { boot: answer.boot };
+            self.last_report = Some((answer.clock, now));
         }
         change
     }
@@ -173,8 +173,8 @@
     /// Answers may overtake each other. Within an epoch their numbers tell; a life
     /// of the worker that has ended does not come back.
     fn is_stale(&self, epoch: u64, answer: ReportHeader) -> bool {
-        let older = answer.epoch == epoch && answer.seq <= self.heard;
+        let older = answer.epoch == epoch && answer.seq <= self.last_seq;
         let rebooted = self.boot().is_some_and(|boot| boot != answer.boot);
-        self.former.contains(&answer.boot) || (older && !rebooted)
+        self.past_boots.contains(&answer.boot) || (older && !rebooted)
     }
 }
