--- a/ashtiller/src/agreed/apply.rs
+++ b/ashtiller/src/agreed/apply.rs
@@ -64,7 +64,7 @@
         return Ok((None, 0));
     };
     let value = serde_json::from_slice(&value)
-        .map_err(|error| Failure::none("read configuration", key, error))?;
+        .map_err(|error| Failure::no_effect("read configuration", key, error))?;
     Ok((Some(value), index))
 }
 
--- a/ashtiller/src/agreed/template.rs
+++ b/ashtiller/src/agreed/template.rs
@@ -184,7 +184,7 @@
             attempts: section.count("attempts", Some(5), 1..=100),
         };
         // A quota that could not be read has its own mistake.
-        if quota.processors > 0 && !job.needs.fits(quota) {
+        if quota.processors > 0 && !job.needs.fits_within(quota) {
             let allowed = format!("at most the account's quota of {quota}");
             section.reject("processors", &format!("a task of {}", job.needs), &allowed);
         }
--- a/ashtiller/src/base/counters.rs
+++ b/ashtiller/src/base/counters.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     /// The name is registered already.
-    pub fn count(&self, name: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
+    pub fn register_counter(&self, name: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
         let counter = IntCounter::with_opts(self.opts(name, help))?;
         self.registry.register(Box::new(counter.clone()))?;
         Ok(counter)
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// The name is registered already.
-    pub fn counts(
+    pub fn register_counter_vec(
         &self,
         name: &str,
         help: &str,
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// The name is registered already.
-    pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
+    pub fn register_gauge(&self, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
         let gauge = IntGauge::with_opts(self.opts(name, help))?;
         self.registry.register(Box::new(gauge.clone()))?;
         Ok(gauge)
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// The name is registered already.
-    pub fn gauges(
+    pub fn register_gauge_vec(
         &self,
         name: &str,
         help: &str,
--- a/ashtiller/src/base/failure.rs
+++ b/ashtiller/src/base/failure.rs
@@ -27,25 +27,25 @@
 
 impl Failure {
     /// A step that may have had its effect.
-    pub fn unknown(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
+    pub fn unknown_effect(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
         Self::new(step, peer, cause, Effect::Unknown)
     }
 
     /// A step that had no effect.
-    pub fn none(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
+    pub fn no_effect(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
         Self::new(step, peer, cause, Effect::None)
     }
 
     /// Whether the peer said nothing at all; else a connection was refused or broke, or an
     /// answer could not be read.
     #[must_use]
-    pub fn is_silence(&self) -> bool {
+    pub fn is_timeout(&self) -> bool {
         self.cause.contains("in time")
     }
 
     /// Whether nobody listens at the peer's address: its process has ended.
     #[must_use]
-    pub fn is_refusal(&self) -> bool {
+    pub fn is_connection_refused(&self) -> bool {
         self.cause.contains("refused")
     }
 
--- a/ashtiller/src/base/resources.rs
+++ b/ashtiller/src/base/resources.rs
@@ -20,7 +20,7 @@
 impl Resources {
     /// Whether this amount is within `limit` in every respect.
     #[must_use]
-    pub fn fits(&self, limit: &Self) -> bool {
+    pub fn fits_within(&self, limit: &Self) -> bool {
         self.processors <= limit.processors
             && self.memory <= limit.memory
             && self.accelerators <= limit.accelerators
@@ -52,7 +52,7 @@
         clippy::cast_precision_loss,
         reason = "a share needs no more than 52 bits"
     )]
-    pub fn share_of(&self, whole: &Self) -> f64 {
+    pub fn dominant_share_of(&self, whole: &Self) -> f64 {
         let share = |part: u64, whole: u64| match (part, whole) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
@@ -82,8 +82,8 @@
 /// Every placement of the project asks [`Pool::grants`] before it is recorded.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Pool {
-    whole: Resources,
-    taken: Resources,
+    capacity: Resources,
+    allocated: Resources,
 }
 
 impl Pool {
@@ -91,48 +91,48 @@
     #[must_use]
     pub fn new(whole: Resources) -> Self {
         Self {
-            whole,
-            taken: Resources::default(),
+            capacity: whole,
+            allocated: Resources::default(),
         }
     }
 
     /// All there is.
     #[must_use]
-    pub fn whole(&self) -> &Resources {
-        &self.whole
+    pub fn capacity(&self) -> &Resources {
+        &self.capacity
     }
 
     /// What is handed out.
     #[must_use]
-    pub fn taken(&self) -> &Resources {
-        &self.taken
+    pub fn allocated(&self) -> &Resources {
+        &self.allocated
     }
 
     /// What is left.
     #[must_use]
     pub fn free(&self) -> Resources {
-        self.whole.minus(&self.taken)
+        self.capacity.minus(&self.allocated)
     }
 
     /// Changes the size; what is taken stays taken, even beyond a smaller size.
     pub fn resize(&mut self, whole: Resources) {
-        self.whole = whole;
+        self.capacity = whole;
     }
 
     /// Whether `amount` may be handed out. Every placement asks here, and nothing
     /// else decides it.
     #[must_use]
-    pub fn grants(&self, amount: &Resources) -> bool {
-        self.taken.plus(amount).fits(&self.whole)
+    pub fn can_allocate(&self, amount: &Resources) -> bool {
+        self.allocated.plus(amount).fits_within(&self.capacity)
     }
 
     /// Counts an amount whose grant the log records.
-    pub fn restore(&mut self, amount: &Resources) {
-        self.taken = self.taken.plus(amount);
+    pub fn allocate(&mut self, amount: &Resources) {
+        self.allocated = self.allocated.plus(amount);
     }
 
     /// Takes back `amount`.
     pub fn release(&mut self, amount: &Resources) {
-        self.taken = self.taken.minus(amount);
+        self.allocated = self.allocated.minus(amount);
     }
 }
--- a/ashtiller/src/interference/fit.rs
+++ b/ashtiller/src/interference/fit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::guard;
-use crate::harm::Harm;
+use crate::harm::InterferenceModel;
 use crate::host::{WorkerState, Work};
 use crate::resources::Resources;
 use crate::template::Class;
@@ -14,7 +14,7 @@
 const HARM_WEIGHT: f64 = 4.0;
 
 /// What is known where a task is to be placed.
-pub struct Site<'a> {
+pub struct CandidateHost<'a> {
     /// The worker, whose free resources suffice.
     pub host: &'a WorkerState,
     /// What the task needs.
@@ -22,28 +22,28 @@
     /// What kind of work it is.
     pub work: Work,
     /// What was learned of harm.
-    pub harm: &'a Harm,
+    pub harm: &'a InterferenceModel,
     /// Time.
     pub now: Duration,
 }
 
-impl Site<'_> {
+impl CandidateHost<'_> {
     /// Share of the worker that is taken with this task.
     #[must_use]
     pub fn used(&self) -> f64 {
         self.host
             .pool()
-            .taken()
+            .allocated()
             .plus(self.needs)
-            .share_of(self.host.pool().whole())
+            .dominant_share_of(self.host.pool().capacity())
     }
 
     /// Accelerators that the task would keep from those that need them.
     #[must_use]
-    pub fn waste(&self) -> f64 {
+    pub fn stranded_accelerators(&self) -> f64 {
         let spare = self.needs.accelerators == 0;
         if spare {
-            f64::from(self.host.pool().whole().accelerators)
+            f64::from(self.host.pool().capacity().accelerators)
         } else {
             0.0
         }
@@ -51,7 +51,7 @@
 
     /// Harm to fear between this task and the work beside it, summed.
     #[must_use]
-    pub fn feared(&self) -> f64 {
+    pub fn expected_interference(&self) -> f64 {
         let beside = self
             .host
             .work_counts
@@ -65,13 +65,13 @@
             times
                 * self
                     .harm
-                    .fear(service, batch, self.host.load(service), self.now)
+                    .upper_bound(service, batch, self.host.load(service), self.now)
         });
         fears.sum()
     }
 }
 
-impl Site<'_> {
+impl CandidateHost<'_> {
     /// Speed in percent at which batch work may begin here by what was learned.
     #[must_use]
     pub fn speed(&self) -> u32 {
@@ -83,20 +83,20 @@
         let coming: f64 = self.host.pending_interference.iter().map(|(_, harm)| harm).sum();
         let speeds = services.map(|service| {
             let load = self.host.load(service.kind);
-            let fear = self.harm.fear(service.kind, self.work.kind, load, self.now);
-            guard::bearable(self.host.worst_latency_ratio + coming, fear, 0)
+            let fear = self.harm.upper_bound(service.kind, self.work.kind, load, self.now);
+            guard::sustainable_percent(self.host.worst_latency_ratio + coming, fear, 0)
         });
         speeds.min().unwrap_or(100)
     }
 }
 
 /// A way to choose a worker; `docs/DESIGN.md` compares them.
-pub trait Fit: Send + Sync {
+pub trait PlacementPolicy: Send + Sync {
     /// Cost of placing a task at a site, the least is chosen; `None` forbids it.
-    fn cost(&self, site: &Site) -> Option<f64>;
+    fn cost(&self, site: &CandidateHost) -> Option<f64>;
 
     /// Speed in percent at which a batch task begins at the site that was chosen.
-    fn speed(&self, _: &Site) -> u32 {
+    fn speed(&self, _: &CandidateHost) -> u32 {
         100
     }
 }
@@ -104,20 +104,20 @@
 /// Keeps services and batch work apart where harm was learned; fills the fullest
 /// worker with batch work and spreads latency-critical tasks.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Gentle;
+pub struct InterferenceAware;
 
-impl Fit for Gentle {
-    fn cost(&self, site: &Site) -> Option<f64> {
-        let sum = site.feared();
+impl PlacementPolicy for InterferenceAware {
+    fn cost(&self, site: &CandidateHost) -> Option<f64> {
+        let sum = site.expected_interference();
         match site.work.class {
             // A service must run somewhere; batch work can wait for a better place.
-            Class::LatencyCritical => Some(site.used() + site.waste() + HARM_WEIGHT * sum),
+            Class::LatencyCritical => Some(site.used() + site.stranded_accelerators() + HARM_WEIGHT * sum),
             Class::Batch if site.speed() < SPEED_MIN => None,
-            Class::Batch => Some(site.waste() - site.used() + HARM_WEIGHT * sum),
+            Class::Batch => Some(site.stranded_accelerators() - site.used() + HARM_WEIGHT * sum),
         }
     }
 
-    fn speed(&self, site: &Site) -> u32 {
+    fn speed(&self, site: &CandidateHost) -> u32 {
         site.speed().max(SPEED_MIN)
     }
 }
--- a/ashtiller/src/interference/guard.rs
+++ b/ashtiller/src/interference/guard.rs
@@ -31,9 +31,9 @@
 
 /// What to do next on a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Nothing.
-    Rest,
+    Nothing,
     /// Run a task at this speed in percent.
     Throttle(TaskId, u32),
     /// Checkpoint a task and stop it.
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Sight<'a> {
     /// Largest ratio of latency to target among the services.
-    pub worst: f64,
+    pub worst_ratio: f64,
     /// Age of the figures.
     pub lag: Duration,
     /// Batch tasks beside them.
@@ -71,14 +71,14 @@
 
 /// What is going on at one worker.
 #[derive(Clone, Debug, Default)]
-pub struct Guard {
+pub struct ThrottleController {
     over: u32,
     ease: u32,
     acted: Option<Duration>,
     slowed: BTreeMap<TaskId, Slowed>,
 }
 
-impl Guard {
+impl ThrottleController {
     /// Speed at which a task should run, in percent.
     #[must_use]
     pub fn percent(&self, task: TaskId) -> u32 {
@@ -86,7 +86,7 @@
     }
 
     /// A task begins at this speed, because of harm learned before.
-    pub fn admit(&mut self, task: TaskId, percent: u32, now: Duration) {
+    pub fn start_throttled(&mut self, task: TaskId, percent: u32, now: Duration) {
         if percent < 100 {
             self.slowed.insert(
                 task,
@@ -100,23 +100,23 @@
     }
 
     /// Decides after a report.
-    pub fn look(&mut self, sight: Sight, now: Duration) -> Act {
-        self.over = if sight.worst > OVER { self.over + 1 } else { 0 };
-        self.ease = if sight.worst < AIM { self.ease + 1 } else { 0 };
+    pub fn decide(&mut self, sight: Sight, now: Duration) -> Action {
+        self.over = if sight.worst_ratio > OVER { self.over + 1 } else { 0 };
+        self.ease = if sight.worst_ratio < AIM { self.ease + 1 } else { 0 };
         let shown = self
             .acted
             .is_none_or(|acted| now >= acted + sight.lag + SETTLE);
         if !shown {
-            return Act::Rest;
+            return Action::Nothing;
         }
         let act = if self.over >= OVER_ROW {
             self.restrain(sight, now)
         } else if self.ease >= EASE_ROW {
             self.let_back(sight, now)
         } else {
-            Act::Rest
+            Action::Nothing
         };
-        if act != Act::Rest {
+        if act != Action::Nothing {
             self.acted = Some(now);
             self.over = 0;
             self.ease = 0;
@@ -125,13 +125,13 @@
     }
 
     /// A task has left the worker.
-    pub fn forget(&mut self, task: TaskId) {
+    pub fn remove_task(&mut self, task: TaskId) {
         self.slowed.remove(&task);
     }
 
     /// Slows the suspect that does most harm at its speed; evicts it when it is at
     /// the least speed.
-    fn restrain(&mut self, sight: Sight, now: Duration) -> Act {
+    fn restrain(&mut self, sight: Sight, now: Duration) -> Action {
         let doing = |suspect: &&Suspect| suspect.harm * f64::from(self.percent(suspect.task));
         let fast = |suspect: &&Suspect| self.percent(suspect.task) > SLOWEST;
         let most = |one: &&Suspect, other: &&Suspect| doing(one).total_cmp(&doing(other));
@@ -139,7 +139,7 @@
         if let Some(suspect) = suspects().filter(fast).max_by(most) {
             let now_at = self.percent(suspect.task);
             // At most half, so that each step shows.
-            let percent = bearable(sight.worst, suspect.harm, now_at)
+            let percent = sustainable_percent(sight.worst_ratio, suspect.harm, now_at)
                 .min(now_at / 2)
                 .max(SLOWEST);
             let relapses = self
@@ -154,15 +154,15 @@
                     relapses,
                 },
             );
-            return Act::Throttle(suspect.task, percent);
+            return Action::Throttle(suspect.task, percent);
         }
         let evictable = suspects().filter(|suspect| suspect.evictable).max_by(most);
-        evictable.map_or(Act::Rest, |suspect| Act::Evict(suspect.task))
+        evictable.map_or(Action::Nothing, |suspect| Action::Evict(suspect.task))
     }
 
     /// Speeds up the least feared of those that have waited long enough, as far as
     /// the services can bear.
-    fn let_back(&mut self, sight: Sight, now: Duration) -> Act {
+    fn let_back(&mut self, sight: Sight, now: Duration) -> Action {
         let mut best: Option<(f64, TaskId, u32)> = None;
         for suspect in sight.suspects {
             let Some(slowed) = self.slowed.get(&suspect.task) else {
@@ -171,27 +171,27 @@
             let patience = PATIENCE
                 .saturating_mul(1 << slowed.relapses.min(8))
                 .min(PATIENCE_MAX);
-            let percent = bearable(sight.worst, suspect.harm, slowed.percent);
+            let percent = sustainable_percent(sight.worst_ratio, suspect.harm, slowed.percent);
             let worth = percent >= slowed.percent + STEP && now >= slowed.since + patience;
             if worth && best.is_none_or(|(least, _, _)| suspect.harm < least) {
                 best = Some((suspect.harm, suspect.task, percent));
             }
         }
         let Some((_, task, percent)) = best else {
-            return Act::Rest;
+            return Action::Nothing;
         };
         if let Some(slowed) = self.slowed.get_mut(&task) {
             slowed.percent = percent;
             slowed.since = now;
         }
-        Act::Throttle(task, percent)
+        Action::Throttle(task, percent)
     }
 }
 
 /// Speed in percent at which a task of this harm, now at `percent`, keeps the worst
 /// service at the aim.
 #[must_use]
-pub fn bearable(worst: f64, harm: f64, percent: u32) -> u32 {
+pub fn sustainable_percent(worst: f64, harm: f64, percent: u32) -> u32 {
     if harm <= 0.0 {
         return 100;
     }
--- a/ashtiller/src/interference/harm.rs
+++ b/ashtiller/src/interference/harm.rs
@@ -58,7 +58,7 @@
 
 /// Batch work beside a service.
 #[derive(Clone, Copy, Debug)]
-pub struct Beside {
+pub struct ColocatedBatch {
     /// Its kind.
     pub kind: Kind,
     /// Its speed, 0 to 1, summed over tasks of this kind.
@@ -67,7 +67,7 @@
 
 /// What was learned.
 #[derive(Clone, Debug, Default)]
-pub struct Harm {
+pub struct InterferenceModel {
     terms: HashMap<Key, Estimate>,
     /// Services that any report was about, by kind.
     reported: Vec<bool>,
@@ -75,7 +75,7 @@
 
 /// The band of a load between 0 and 1.
 #[must_use]
-pub fn band_of(load: f64) -> u32 {
+pub fn load_band(load: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -85,7 +85,7 @@
     band.min(BANDS - 1)
 }
 
-impl Harm {
+impl InterferenceModel {
     fn term(&self, key: Key, now: Duration) -> Estimate {
         let alone = key.1 == 0;
         let (prior, unknown) = if alone {
@@ -125,14 +125,14 @@
 
     /// Mean and standard deviation of the harm of `other` to `service`.
     #[must_use]
-    pub fn expect(&self, service: Kind, other: Kind, load: f64, now: Duration) -> (f64, f64) {
-        let term = self.term((service, other, band_of(load)), now);
+    pub fn estimate(&self, service: Kind, other: Kind, load: f64, now: Duration) -> (f64, f64) {
+        let term = self.term((service, other, load_band(load)), now);
         (term.mean, term.variance.sqrt())
     }
 
     /// Harm to fear: the mean with some of the doubt, never negative.
     #[must_use]
-    pub fn fear(&self, service: Kind, other: Kind, load: f64, now: Duration) -> f64 {
+    pub fn upper_bound(&self, service: Kind, other: Kind, load: f64, now: Duration) -> f64 {
         // Most kinds are never measured; they are asked about most.
         if !self
             .reported
@@ -142,7 +142,7 @@
         {
             return CAUTION * UNKNOWN.sqrt();
         }
-        let (mean, deviation) = self.expect(service, other, load, now);
+        let (mean, deviation) = self.estimate(service, other, load, now);
         (mean + CAUTION * deviation).max(0.0)
     }
 
@@ -150,7 +150,7 @@
     pub fn learn(
         &mut self,
         service: Kind,
-        others: &[Beside],
+        others: &[ColocatedBatch],
         load: f64,
         ratio: f64,
         now: Duration,
@@ -160,12 +160,12 @@
             self.reported.resize(place + 1, false);
         }
         self.reported[place] = true;
-        let band = band_of(load);
-        let alone = Beside {
+        let band = load_band(load);
+        let alone = ColocatedBatch {
             kind: 0,
             speed: 1.0,
         };
-        let parts: Vec<(Key, Beside, Estimate)> = std::iter::once(&alone)
+        let parts: Vec<(Key, ColocatedBatch, Estimate)> = std::iter::once(&alone)
             .chain(others)
             .filter(|part| part.speed > 0.0)
             .map(|part| {
--- a/ashtiller/src/interference/watch.rs
+++ b/ashtiller/src/interference/watch.rs
@@ -7,8 +7,8 @@
 use crate::cell::Cell;
 use crate::evict;
 use crate::fact::TaskId;
-use crate::guard::{Act, Sight, Suspect};
-use crate::harm::{Beside, Harm, Kind};
+use crate::guard::{Action, Sight, Suspect};
+use crate::harm::{ColocatedBatch, InterferenceModel, Kind};
 use crate::job::{Phase, Task};
 use crate::reconcile;
 use crate::template::Class;
@@ -33,14 +33,14 @@
 /// Learns from a report and decides what to do on its worker.
 pub fn observe(
     cell: &mut Cell,
-    harm: &mut Harm,
+    harm: &mut InterferenceModel,
     worker: &Arc<str>,
     report: &Report,
     now: Duration,
-) -> Act {
+) -> Action {
     let (services, batches) = sort_running(cell, worker, report);
     if services.is_empty() {
-        return Act::Rest;
+        return Action::Nothing;
     }
     let beside = sum_kinds(&batches);
     for service in &services {
@@ -55,7 +55,7 @@
         .map(|service| service.ratio)
         .fold(0.0, f64::max);
     let Some(host) = cell.workers.get_mut(worker) else {
-        return Act::Rest;
+        return Action::Nothing;
     };
     host.loads = services
         .iter()
@@ -65,9 +65,9 @@
     host.worst_latency_ratio = worst;
     host.pending_interference
         .retain(|(placed, _)| *placed + lag + SHOWN > now);
-    host.guard.look(
+    host.guard.decide(
         Sight {
-            worst,
+            worst_ratio: worst,
             lag,
             suspects: &suspects,
         },
@@ -127,12 +127,12 @@
     })
 }
 
-fn sum_kinds(batches: &[Batch]) -> Vec<Beside> {
-    let mut beside: Vec<Beside> = Vec::new();
+fn sum_kinds(batches: &[Batch]) -> Vec<ColocatedBatch> {
+    let mut beside: Vec<ColocatedBatch> = Vec::new();
     for batch in batches {
         match beside.iter_mut().find(|other| other.kind == batch.kind) {
             Some(other) => other.speed += batch.speed,
-            None => beside.push(Beside {
+            None => beside.push(ColocatedBatch {
                 kind: batch.kind,
                 speed: batch.speed,
             }),
@@ -143,7 +143,7 @@
 
 fn suspect(
     cell: &Cell,
-    harm: &Harm,
+    harm: &InterferenceModel,
     services: &[Service],
     batch: &Batch,
     now: Duration,
@@ -154,7 +154,7 @@
     }
     let feared = services
         .iter()
-        .map(|service| harm.fear(service.kind, batch.kind, service.load, now));
+        .map(|service| harm.upper_bound(service.kind, batch.kind, service.load, now));
     let evictable = evict::has_budget(cell, batch.task, now);
     Some(Suspect {
         task: batch.task,
--- a/ashtiller/src/net/calls.rs
+++ b/ashtiller/src/net/calls.rs
@@ -102,7 +102,7 @@
         }
         let stream = TcpStream::connect(address)
             .await
-            .map_err(|error| Failure::none(step, address, error))?;
+            .map_err(|error| Failure::no_effect(step, address, error))?;
         let mut system = RpcSystem::new(
             Box::new(network_of(stream, Side::Client, &self.bytes)),
             None,
@@ -168,15 +168,15 @@
     F: Future<Output = Result<T, capnp::Error>>,
 {
     let started = time::Instant::now();
-    let late = |_| Failure::none(step, address, "no connection in time");
+    let late = |_| Failure::no_effect(step, address, "no connection in time");
     let link = time::timeout(limit, links.connect(step, address))
         .await
         .map_err(late)??;
     let left = limit.saturating_sub(started.elapsed());
     let failure = match time::timeout(left, call(link.client.clone())).await {
         Ok(Ok(value)) => return Ok(value),
-        Ok(Err(error)) => Failure::unknown(step, address, error),
-        Err(_) => Failure::unknown(step, address, "no answer in time"),
+        Ok(Err(error)) => Failure::unknown_effect(step, address, error),
+        Err(_) => Failure::unknown_effect(step, address, "no answer in time"),
     };
     links.forget(address, &link);
     Err(failure)
--- a/ashtiller/src/net/consul.rs
+++ b/ashtiller/src/net/consul.rs
@@ -164,7 +164,7 @@
                     index,
                 })
             }
-            status => Err(Failure::none(step, self.address, status)),
+            status => Err(Failure::no_effect(step, self.address, status)),
         }
     }
 
@@ -173,13 +173,13 @@
         step: &'static str,
         body: &'a [u8],
     ) -> Result<T, Failure> {
-        serde_json::from_slice(body).map_err(|error| Failure::unknown(step, self.address, error))
+        serde_json::from_slice(body).map_err(|error| Failure::unknown_effect(step, self.address, error))
     }
 
     fn item(&self, step: &'static str, pair: Pair) -> Result<Item, Failure> {
         let value = STANDARD
             .decode(pair.value.unwrap_or_default())
-            .map_err(|error| Failure::none(step, self.address, error))?;
+            .map_err(|error| Failure::no_effect(step, self.address, error))?;
         Ok(Item {
             key: pair.key.into(),
             value: value.into(),
@@ -197,7 +197,7 @@
         let answer = self.call(step, method, target, body, self.timeout).await?;
         match answer.status {
             StatusCode::OK => Ok(answer.body.trim_ascii() == b"true"),
-            status => Err(Failure::unknown(step, self.address, status)),
+            status => Err(Failure::unknown_effect(step, self.address, status)),
         }
     }
 }
@@ -243,7 +243,7 @@
         Box::pin(async move {
             let steps: Vec<Step> = writes.iter().map(step_of).collect();
             let body = serde_json::to_vec(&steps)
-                .map_err(|error| Failure::none("commit", self.address, error))?;
+                .map_err(|error| Failure::no_effect("commit", self.address, error))?;
             let answer = self
                 .call("commit", Method::PUT, "/v1/txn", body.into(), self.timeout)
                 .await?;
@@ -255,7 +255,7 @@
                         failed.errors.iter().map(|step| step.op_index).collect(),
                     ))
                 }
-                status => Err(Failure::unknown("commit", self.address, status)),
+                status => Err(Failure::unknown_effect("commit", self.address, status)),
             }
         })
     }
@@ -299,7 +299,7 @@
             match answer.status {
                 StatusCode::OK => Ok(true),
                 StatusCode::NOT_FOUND => Ok(false),
-                status => Err(Failure::unknown("renew", self.address, status)),
+                status => Err(Failure::unknown_effect("renew", self.address, status)),
             }
         })
     }
@@ -340,7 +340,7 @@
                 .call("instances", Method::GET, &target, Bytes::new(), limit)
                 .await?;
             if answer.status != StatusCode::OK {
-                return Err(Failure::none("instances", self.address, answer.status));
+                return Err(Failure::no_effect("instances", self.address, answer.status));
             }
             let listed: Vec<Listed> = self.decode("instances", &answer.body)?;
             let instances = listed.iter().filter_map(instance_of).collect();
--- a/ashtiller/src/net/ops.rs
+++ b/ashtiller/src/net/ops.rs
@@ -95,7 +95,7 @@
 /// # Errors
 /// The port cannot be bound.
 pub async fn bind(address: SocketAddr, role: Arc<dyn Operated>) -> Result<Ops, Failure> {
-    let failed = |error| Failure::none("bind operators' port", address, error);
+    let failed = |error| Failure::no_effect("bind operators' port", address, error);
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     let listener = tokio::spawn(accept(listener, role));
--- a/ashtiller/src/net/remote.rs
+++ b/ashtiller/src/net/remote.rs
@@ -28,11 +28,11 @@
     ) -> Result<T, Failure> {
         let (asked, answer) = oneshot::channel();
         let sent = self.wire.send(self.address, call(asked));
-        sent.map_err(|()| Failure::none(step, self.address, "the wire is busy"))?;
+        sent.map_err(|()| Failure::no_effect(step, self.address, "the wire is busy"))?;
         // The thread's own limit comes first; this one covers a stuck thread.
         match time::timeout(self.wire.limit() * 2, answer).await {
             Ok(Ok(done)) => done,
-            _ => Err(Failure::unknown(
+            _ => Err(Failure::unknown_effect(
                 step,
                 self.address,
                 "the wire gave no answer",
--- a/ashtiller/src/net/web.rs
+++ b/ashtiller/src/net/web.rs
@@ -146,7 +146,7 @@
         limit: Duration,
     ) -> Result<Answer, Failure> {
         let started = Instant::now();
-        let timed_out = |_| Failure::none(step, peer, "no connection in time");
+        let timed_out = |_| Failure::no_effect(step, peer, "no connection in time");
         let link = time::timeout(limit, self.connect(step, peer, call.apart))
             .await
             .map_err(timed_out)??;
@@ -155,7 +155,7 @@
         let exchange = exchange(step, peer, link, call);
         let Ok(done) = time::timeout(left, exchange).await else {
             self.distrust(step, peer, answered);
-            return Err(Failure::unknown(step, peer, "no answer in time"));
+            return Err(Failure::unknown_effect(step, peer, "no answer in time"));
         };
         let (answer, link) = done?;
         self.keep(peer, link);
@@ -212,7 +212,7 @@
 
 /// Opens a connection.
 async fn open(step: &'static str, peer: SocketAddr) -> Result<Link, Failure> {
-    let failed = |error: &dyn std::fmt::Display| Failure::none(step, peer, error);
+    let failed = |error: &dyn std::fmt::Display| Failure::no_effect(step, peer, error);
     let stream = TcpStream::connect(peer)
         .await
         .map_err(|error| failed(&error))?;
@@ -240,7 +240,7 @@
     mut link: Link,
     call: Call<'_>,
 ) -> Result<(Answer, Link), Failure> {
-    let failed = |error: &dyn std::fmt::Display| Failure::unknown(step, peer, error);
+    let failed = |error: &dyn std::fmt::Display| Failure::unknown_effect(step, peer, error);
     let mut request = Request::builder()
         .method(call.method)
         .uri(call.target)
@@ -250,7 +250,7 @@
     }
     let request = request
         .body(Full::new(call.body))
-        .map_err(|error| Failure::none(step, peer, error))?;
+        .map_err(|error| Failure::no_effect(step, peer, error))?;
     let response = link
         .sender
         .send_request(request)
--- a/ashtiller/src/net/wire.rs
+++ b/ashtiller/src/net/wire.rs
@@ -94,7 +94,7 @@
     local: Arc<dyn Peer>,
 ) -> anyhow::Result<Served> {
     let listener = std::net::TcpListener::bind(address)
-        .map_err(|error| Failure::none("bind peers' port", address, error))?;
+        .map_err(|error| Failure::no_effect("bind peers' port", address, error))?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
     let (calls, received) = mpsc::channel(BACKLOG);
--- a/ashtiller/src/request/claims.rs
+++ b/ashtiller/src/request/claims.rs
@@ -89,9 +89,9 @@
     pub async fn claim(&self, claim: Claim) -> Claimed {
         let (asked, answer) = oneshot::channel();
         if self.sender.try_send((claim, asked)).is_err() {
-            return Claimed::Refused(Failure::none("claim", "store", "too many claims wait"));
+            return Claimed::Refused(Failure::no_effect("claim", "store", "too many claims wait"));
         }
-        let gone = |_| Claimed::Refused(Failure::none("claim", "store", "the writer stopped"));
+        let gone = |_| Claimed::Refused(Failure::no_effect("claim", "store", "the writer stopped"));
         answer.await.unwrap_or_else(gone)
     }
 
--- a/ashtiller/src/request/front.rs
+++ b/ashtiller/src/request/front.rs
@@ -63,7 +63,7 @@
     router: Arc<Router>,
     tally: Arc<Tally>,
 ) -> Result<Front, Failure> {
-    let failed = |error| Failure::none("bind callers' port", settings.callers, error);
+    let failed = |error| Failure::no_effect("bind callers' port", settings.callers, error);
     let listener = TcpListener::bind(settings.callers).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     let (stage, stages) = watch::channel(Stage::Open);
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -355,7 +355,7 @@
     T: Send + 'static,
 {
     Box::pin(async move {
-        Err(Failure::none(
+        Err(Failure::no_effect(
             step,
             "gateway",
             "this process is no scheduler",
--- a/ashtiller/src/request/pool.rs
+++ b/ashtiller/src/request/pool.rs
@@ -105,14 +105,14 @@
                 return Ok(link);
             }
         }
-        let late = |_| Failure::none("connect", endpoint, "no connection in time");
+        let late = |_| Failure::no_effect("connect", endpoint, "no connection in time");
         time::timeout(self.connect, self.open(endpoint))
             .await
             .map_err(late)?
     }
 
     async fn open(&self, endpoint: SocketAddr) -> Result<Link, Failure> {
-        let failed = |error: &dyn std::fmt::Display| Failure::none("connect", endpoint, error);
+        let failed = |error: &dyn std::fmt::Display| Failure::no_effect("connect", endpoint, error);
         let stream = TcpStream::connect(endpoint)
             .await
             .map_err(|error| failed(&error))?;
--- a/ashtiller/src/request/tally.rs
+++ b/ashtiller/src/request/tally.rs
@@ -47,23 +47,23 @@
     pub fn open(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counters = Counters::new(registry, "gateway");
         Ok(Self {
-            answered: counters.counts(
+            answered: counters.register_counter_vec(
                 "answered_total",
                 "Requests answered by an endpoint.",
                 "status",
             )?,
-            ended: counters.counts("ended_total", "Requests ended by the gateway.", "outcome")?,
-            wrong: counters.count("wrong_total", "Requests not passed on.")?,
-            cut: counters.count("cut_total", "Answers cut in the middle.")?,
+            ended: counters.register_counter_vec("ended_total", "Requests ended by the gateway.", "outcome")?,
+            wrong: counters.register_counter("wrong_total", "Requests not passed on.")?,
+            cut: counters.register_counter("cut_total", "Answers cut in the middle.")?,
             unanswered: counters
-                .count("unanswered_total", "Attempts without an answer in time.")?,
-            retries: counters.count("retries_total", "Second and later attempts.")?,
-            unspent: counters.count("retries_denied_total", "Retries denied by the budget.")?,
-            callers: counters.gauge("callers", "Connections from callers.")?,
-            requests: counters.gauge("requests", "Requests in progress.")?,
-            claimed: counters.count("claims_total", "Idempotency keys claimed.")?,
-            repeated: counters.count("repeats_total", "Requests whose key was claimed before.")?,
-            asks: counters.count("slot_asks_total", "Questions for slots sent.")?,
+                .register_counter("unanswered_total", "Attempts without an answer in time.")?,
+            retries: counters.register_counter("retries_total", "Second and later attempts.")?,
+            unspent: counters.register_counter("retries_denied_total", "Retries denied by the budget.")?,
+            callers: counters.register_gauge("callers", "Connections from callers.")?,
+            requests: counters.register_gauge("requests", "Requests in progress.")?,
+            claimed: counters.register_counter("claims_total", "Idempotency keys claimed.")?,
+            repeated: counters.register_counter("repeats_total", "Requests whose key was claimed before.")?,
+            asks: counters.register_counter("slot_asks_total", "Questions for slots sent.")?,
             latency: latency(registry)?,
         })
     }
--- a/ashtiller/src/task/agent.rs
+++ b/ashtiller/src/task/agent.rs
@@ -190,7 +190,7 @@
     fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report> {
         Box::pin(async move {
             let body =
-                serde_json::to_vec(sync).map_err(|error| Failure::none("sync", worker, error))?;
+                serde_json::to_vec(sync).map_err(|error| Failure::no_effect("sync", worker, error))?;
             let answer = self
                 .client
                 .call(
@@ -204,10 +204,10 @@
                 .await?;
             // A refusal carries a report too.
             if answer.status != StatusCode::OK && answer.status != StatusCode::CONFLICT {
-                return Err(Failure::unknown("sync", worker, answer.status));
+                return Err(Failure::unknown_effect("sync", worker, answer.status));
             }
             serde_json::from_slice(&answer.body)
-                .map_err(|error| Failure::unknown("sync", worker, error))
+                .map_err(|error| Failure::unknown_effect("sync", worker, error))
         })
     }
 }
--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -117,7 +117,7 @@
         for (index, task) in (0..).zip(&job.tasks) {
             let id = TaskId { job: number, index };
             if let Some(place) = task.phase.placement() {
-                held.pool.restore(&needs);
+                held.pool.allocate(&needs);
                 self.workers
                     .entry(place.worker.clone())
                     .or_default()
@@ -232,7 +232,7 @@
             .entry(account)
             .or_default()
             .pool
-            .restore(&needs);
+            .allocate(&needs);
         task.attempt = attempt.number;
         task.phase = Phase::Placed(place);
     }
--- a/ashtiller/src/task/evict.rs
+++ b/ashtiller/src/task/evict.rs
@@ -49,7 +49,7 @@
 }
 
 fn victims_on(cell: &Cell, host: &WorkerState, needs: &Resources, now: Duration) -> Option<Vec<Attempt>> {
-    if !needs.fits(host.pool().whole()) {
+    if !needs.fits_within(host.pool().capacity()) {
         return None;
     }
     let mut candidates: Vec<Candidate> = host
@@ -61,13 +61,13 @@
     let mut free = host.pool().free();
     let mut victims = Vec::new();
     for victim in candidates {
-        if needs.fits(&free) {
+        if needs.fits_within(&free) {
             break;
         }
         free = free.plus(&victim.needs);
         victims.push(victim.attempt);
     }
-    (needs.fits(&free) && !victims.is_empty()).then_some(victims)
+    (needs.fits_within(&free) && !victims.is_empty()).then_some(victims)
 }
 
 /// Whether a batch task may be evicted within its account's budget.
--- a/ashtiller/src/task/explain.rs
+++ b/ashtiller/src/task/explain.rs
@@ -122,8 +122,8 @@
                 () => "leaving or silent",
             },
             tasks: host.tasks.len(),
-            taken: host.pool().taken().to_string(),
-            whole: host.pool().whole().to_string(),
+            taken: host.pool().allocated().to_string(),
+            whole: host.pool().capacity().to_string(),
         })
         .collect()
 }
@@ -137,8 +137,8 @@
     accounts
         .map(|(name, held)| AccountView {
             account: name.clone(),
-            taken: held.pool.taken().to_string(),
-            quota: held.pool.whole().to_string(),
+            taken: held.pool.allocated().to_string(),
+            quota: held.pool.capacity().to_string(),
             queued: cell.backlog().account_len(name),
             evictions: held.eviction_times.len(),
         })
@@ -196,15 +196,15 @@
         return format!("failed {} times; tried again in {pause} s", task.failures);
     }
     let held = cell.accounts().get(&submission.account);
-    if let Some(held) = held.filter(|held| !held.pool.grants(&needs)) {
-        let (taken, quota) = (held.pool.taken(), held.pool.whole());
+    if let Some(held) = held.filter(|held| !held.pool.can_allocate(&needs)) {
+        let (taken, quota) = (held.pool.allocated(), held.pool.capacity());
         return format!("over quota: needs {needs}; {taken} of {quota} taken");
     }
     let live = || cell.workers.values().filter(|host| host.accepts_attempts(now, terms));
     if live().next().is_none() {
         return "no live worker in this cell".to_owned();
     }
-    if live().any(|host| host.pool().grants(&needs)) {
+    if live().any(|host| host.pool().can_allocate(&needs)) {
         let rank = Priority::of(submission);
         let queued = cell.backlog().queued(rank, &submission.account);
         let ahead = queued.take_while(|queued| *queued != id).count();
--- a/ashtiller/src/task/host.rs
+++ b/ashtiller/src/task/host.rs
@@ -7,7 +7,7 @@
 
 use crate::endpoint::Phase;
 use crate::fact::TaskId;
-use crate::guard::Guard;
+use crate::guard::ThrottleController;
 use crate::harm::Kind;
 use crate::reconcile::Ack;
 use crate::resources::{Pool, Resources};
@@ -63,7 +63,7 @@
     /// Harm to fear from tasks placed too lately to show in a report, and when.
     pub pending_interference: Vec<(Duration, f64)>,
     /// Services over their target, and what is done about it.
-    pub guard: Guard,
+    pub guard: ThrottleController,
     /// Attempts that the last report showed running and the log does not place here.
     pub unknown_attempts: Vec<(Arc<str>, u32)>,
     /// Reported ends to be acknowledged.
@@ -91,7 +91,7 @@
             loads: BTreeMap::new(),
             worst_latency_ratio: 0.0,
             pending_interference: Vec::new(),
-            guard: Guard::default(),
+            guard: ThrottleController::default(),
             unknown_attempts: Vec::new(),
             acks: Vec::new(),
             failed_tasks: BTreeSet::new(),
@@ -117,7 +117,7 @@
     pub fn add_task(&mut self, task: TaskId, needs: &Resources, work: Work) {
         self.tasks.insert(task);
         *self.work_counts.entry(work).or_default() += 1;
-        self.pool.restore(needs);
+        self.pool.allocate(needs);
     }
 
     /// Takes back a grant.
@@ -126,7 +126,7 @@
             return;
         }
         self.pool.release(needs);
-        self.guard.forget(task);
+        self.guard.remove_task(task);
         if let Some(count) = self.work_counts.get_mut(&work) {
             *count -= 1;
         }
--- a/ashtiller/src/task/jobs.rs
+++ b/ashtiller/src/task/jobs.rs
@@ -185,7 +185,7 @@
                 _ => found = self.store.get(&key).await?,
             }
         }
-        let missing = || Failure::none("home cell", account, "it was not recorded");
+        let missing = || Failure::no_effect("home cell", account, "it was not recorded");
         let value = found.ok_or_else(missing)?.value;
         let cell: Arc<str> = String::from_utf8_lossy(&value).into();
         self.home_cells.lock().insert(account.clone(), cell.clone());
@@ -199,7 +199,7 @@
             .into_iter()
             .map(|worker| worker.zone)
             .collect();
-        let none = || Failure::none("home cell", account, "the platform lists no workers");
+        let none = || Failure::no_effect("home cell", account, "the platform lists no workers");
         rendezvous::first(account, &cells).ok_or_else(none)
     }
 
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -343,10 +343,10 @@
             },
         );
         let value = record::encode(&self.head)
-            .map_err(|damage| Failure::none("snapshot", &self.cell, damage))?;
+            .map_err(|damage| Failure::no_effect("snapshot", &self.cell, damage))?;
         let key = head_key(&self.cell);
         if !self.store.swap(&key, value.into(), self.head_index).await? {
-            return Err(Failure::none(
+            return Err(Failure::no_effect(
                 "snapshot",
                 &self.cell,
                 "another owner wrote one",
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -21,7 +21,7 @@
     WorkerAnswered, Cancel, OwnershipChecked, HandOver, WorkersListed, Show, SnapshotWritten, Submit, Tick, EntryWritten,
 };
 use crate::fact::{Body, Fact};
-use crate::fit::Gentle;
+use crate::fit::InterferenceAware;
 use crate::journal::{Journal, OpenedCell};
 use crate::peer::{Submission, Verdict};
 use crate::plan::{self, Planner};
@@ -144,7 +144,7 @@
     let owner = Owner {
         deps: tools,
         terms,
-        planner: Planner::new(Box::new(Gentle), terms),
+        planner: Planner::new(Box::new(InterferenceAware), terms),
         cell,
         former_leases_end: now + former,
         ownership_confirmed_at: now,
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -14,9 +14,9 @@
 use crate::endpoint;
 use crate::evict;
 use crate::fact::{Attempt, End, Fact, TaskId};
-use crate::fit::{Fit, Site};
-use crate::guard::Act;
-use crate::harm::Harm;
+use crate::fit::{PlacementPolicy, CandidateHost};
+use crate::guard::Action;
+use crate::harm::InterferenceModel;
 use crate::host::{WorkerState, Work};
 use crate::job::Phase;
 use crate::peer::{Submission, Verdict};
@@ -45,9 +45,9 @@
 
 /// Decides for one cell.
 pub struct Planner {
-    fit: Box<dyn Fit>,
+    fit: Box<dyn PlacementPolicy>,
     terms: LeaseTerms,
-    harm: Harm,
+    harm: InterferenceModel,
     reservations: BTreeMap<TaskId, Reservation>,
     /// Shapes that found no worker in this round. A round only takes room away, so
     /// what did not fit once does not fit again.
@@ -59,11 +59,11 @@
 impl Planner {
     /// A planner that chooses workers by `fit`.
     #[must_use]
-    pub fn new(fit: Box<dyn Fit>, terms: LeaseTerms) -> Self {
+    pub fn new(fit: Box<dyn PlacementPolicy>, terms: LeaseTerms) -> Self {
         Self {
             fit,
             terms,
-            harm: Harm::default(),
+            harm: InterferenceModel::default(),
             reservations: BTreeMap::new(),
             unplaceable: Vec::new(),
             without_victims: Vec::new(),
@@ -100,7 +100,7 @@
         now: Duration,
     ) -> Vec<Fact> {
         let mut facts = Vec::new();
-        if let Act::Evict(id) = watch::observe(cell, &mut self.harm, worker, report, now) {
+        if let Action::Evict(id) = watch::observe(cell, &mut self.harm, worker, report, now) {
             let number = cell.task(id).map_or(0, |(task, _)| task.attempt);
             let attempt = Attempt { task: id, number };
             record(cell, &mut facts, Fact::Evicting(attempt), position, now);
@@ -110,7 +110,7 @@
 
     /// What was learned of harm.
     #[must_use]
-    pub fn harm(&self) -> &Harm {
+    pub fn harm(&self) -> &InterferenceModel {
         &self.harm
     }
 
@@ -188,7 +188,7 @@
             let quota = cell
                 .accounts()
                 .get(account)
-                .is_some_and(|held| held.pool.grants(&needs));
+                .is_some_and(|held| held.pool.can_allocate(&needs));
             if task.retry_at > now || !quota {
                 continue;
             }
@@ -241,7 +241,7 @@
         let pledged = self.reserved_for_others(id, rank);
         let mut best: Option<(f64, &Arc<str>, u64)> = None;
         for (name, host) in &cell.workers {
-            let open = host.pool().grants(&submission.needs) && host.accepts_attempts(now, &self.terms);
+            let open = host.pool().can_allocate(&submission.needs) && host.accepts_attempts(now, &self.terms);
             let Some(boot) = host
                 .session
                 .boot()
@@ -249,7 +249,7 @@
             else {
                 continue;
             };
-            let site = Site {
+            let site = CandidateHost {
                 host,
                 needs: &submission.needs,
                 work,
@@ -289,15 +289,15 @@
         let Some(host) = cell.workers.get_mut(&worker) else {
             return;
         };
-        let site = Site {
+        let site = CandidateHost {
             host,
             needs: &needs,
             work,
             harm: &self.harm,
             now,
         };
-        let (percent, feared) = (self.fit.speed(&site), site.feared());
-        host.guard.admit(id, percent, now);
+        let (percent, feared) = (self.fit.speed(&site), site.expected_interference());
+        host.guard.start_throttled(id, percent, now);
         host.pending_interference.push((now, feared * f64::from(percent) / 100.0));
     }
 
@@ -347,7 +347,7 @@
     let share = cell
         .accounts()
         .get(account)
-        .map_or(0.0, |held| held.pool.taken().share_of(held.pool.whole()));
+        .map_or(0.0, |held| held.pool.allocated().dominant_share_of(held.pool.capacity()));
     // Non-negative floats order as their bits do.
     Reverse((share.to_bits(), account.clone()))
 }
@@ -436,14 +436,14 @@
         return Some("the job has no tasks".to_owned());
     }
     let needs = &submission.needs;
-    if !needs.fits(&submission.quota) {
+    if !needs.fits_within(&submission.quota) {
         return Some(format!(
             "a task needs {needs}; the account's quota is {}",
             submission.quota
         ));
     }
     let listed = || cell.workers.values().filter(|host| host.address.is_some());
-    let possible = listed().any(|host| needs.fits(host.pool().whole()));
+    let possible = listed().any(|host| needs.fits_within(host.pool().capacity()));
     if possible || listed().next().is_none() {
         return None;
     }
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -399,7 +399,7 @@
 
     fn lend(&self, _: Ask) -> Called<'_, Vec<(u64, u32)>> {
         Box::pin(async {
-            Err(Failure::none(
+            Err(Failure::no_effect(
                 "lend",
                 "scheduler",
                 "this process is no gateway",
@@ -412,7 +412,7 @@
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
             };
-            let lost = || Failure::unknown("submit", &cell, "the cell was released meanwhile");
+            let lost = || Failure::unknown_effect("submit", &cell, "the cell was released meanwhile");
             handle.submit(job).await.ok_or_else(lost)
         })
     }
@@ -422,7 +422,7 @@
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
             };
-            let lost = || Failure::unknown("cancel", &cell, "the cell was released meanwhile");
+            let lost = || Failure::unknown_effect("cancel", &cell, "the cell was released meanwhile");
             handle.cancel(account, job).await.ok_or_else(lost)
         })
     }
--- a/ashtiller/src/task/score.rs
+++ b/ashtiller/src/task/score.rs
@@ -32,15 +32,15 @@
     pub fn register(registry: &Registry) -> Result<Arc<Self>, prometheus::Error> {
         let counters = Counters::new(registry, "scheduler");
         let help = "Tasks by cell and what became of them since this owner began.";
-        let tasks = counters.gauges("tasks", help, &["cell", "state"])?;
+        let tasks = counters.register_gauge_vec("tasks", help, &["cell", "state"])?;
         Ok(Arc::new(Self {
-            entries: counters.count("log_entries_total", "Log entries written.")?,
-            entry_bytes: counters.count("log_bytes_total", "Bytes of log entries.")?,
-            snapshots: counters.count("snapshots_total", "Snapshots begun.")?,
-            snapshot_bytes: counters.count("snapshot_bytes_total", "Bytes of snapshots.")?,
-            calls: counters.count("worker_calls_total", "Calls to workers.")?,
+            entries: counters.register_counter("log_entries_total", "Log entries written.")?,
+            entry_bytes: counters.register_counter("log_bytes_total", "Bytes of log entries.")?,
+            snapshots: counters.register_counter("snapshots_total", "Snapshots begun.")?,
+            snapshot_bytes: counters.register_counter("snapshot_bytes_total", "Bytes of snapshots.")?,
+            calls: counters.register_counter("worker_calls_total", "Calls to workers.")?,
             calls_failed: counters
-                .count("worker_calls_failed_total", "Failed calls to workers.")?,
+                .register_counter("worker_calls_failed_total", "Failed calls to workers.")?,
             tasks,
         }))
     }
--- a/ashtiller/src/workflow/core/evacuation.rs
+++ b/ashtiller/src/workflow/core/evacuation.rs
@@ -76,7 +76,7 @@
         let Some(bound) = self.terms.evacuation else {
             return true;
         };
-        let under_way = relay::QUEUED_MAX + self.order_timeout();
+        let under_way = relay::MAX_QUEUE_DELAY + self.order_timeout();
         self.evacuation_age(now)
             .is_some_and(|age| age + under_way < bound)
     }
--- a/ashtiller/src/workflow/core/fleet.rs
+++ b/ashtiller/src/workflow/core/fleet.rs
@@ -188,7 +188,7 @@
             id: worker.incarnation().clone(),
             service: worker.listed.service.clone(),
             free: worker.pool.free(),
-            whole: *worker.pool.whole(),
+            whole: *worker.pool.capacity(),
             failures: worker.failures(),
             trial: worker.on_trial(),
             serving: Vec::new(),
@@ -319,7 +319,7 @@
 
     /// Whether a task that wants this much of a service's worker fits here.
     pub fn has_capacity(&self, service: &Arc<str>, room: &Resources) -> bool {
-        !self.closed && room.fits(&self.free) && is_same(&self.service, service)
+        !self.closed && room.fits_within(&self.free) && is_same(&self.service, service)
     }
 
     /// Whether all runs there were placed so long ago.
@@ -357,7 +357,7 @@
             .whole
             .minus(&self.free)
             .plus(&wish.resources)
-            .share_of(&self.whole);
+            .dominant_share_of(&self.whole);
         match wish.share {
             RunSharing::Fills(image) => {
                 cost += self.fill_cost(image, asked(wish.step), wish.selectivity, known, on);
--- a/ashtiller/src/workflow/core/gate.rs
+++ b/ashtiller/src/workflow/core/gate.rs
@@ -122,7 +122,7 @@
         let mut gates = BTreeMap::new();
         let workers = self.workers.values();
         let roomy = workers
-            .filter(|worker| *worker.listed.service == *service && room.fits(&worker.pool.free()));
+            .filter(|worker| *worker.listed.service == *service && room.fits_within(&worker.pool.free()));
         for gate in roomy.map(|worker| self.eligibility(worker, now)) {
             if gate != Eligibility::Eligible {
                 *gates.entry(gate).or_insert(0) += 1;
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -293,7 +293,7 @@
                 } else {
                     let until = Some(now.at + LATE_MAX);
                     live.in_doubt = until;
-                    if failure.is_silence()
+                    if failure.is_timeout()
                         && let Some(worker) = self.workers.get_mut(&live.worker)
                     {
                         worker.renewing = worker.renewing.max(until);
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -279,7 +279,7 @@
 
 fn whole_of(worker: &Worker) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "thousandths of processors")]
-    let whole = worker.pool.whole().processors as f64;
+    let whole = worker.pool.capacity().processors as f64;
     whole.max(1.0)
 }
 
--- a/ashtiller/src/workflow/core/place.rs
+++ b/ashtiller/src/workflow/core/place.rs
@@ -27,8 +27,8 @@
         let Some(worker) = self.workers.get(id) else {
             return FitsWhen::Never;
         };
-        let (whole, taken) = (worker.pool.whole(), worker.pool.taken());
-        if taken.fits(whole) {
+        let (whole, taken) = (worker.pool.capacity(), worker.pool.allocated());
+        if taken.fits_within(whole) {
             return FitsWhen::Now;
         }
         let withdrawn = worker.runs.iter().filter(|other| {
@@ -43,7 +43,7 @@
             Some(job.step(other.task)?.room())
         });
         let later = rooms.fold(*taken, |left: Resources, room| left.minus(&room));
-        if later.fits(whole) {
+        if later.fits_within(whole) {
             FitsWhen::Later
         } else {
             FitsWhen::Never
@@ -62,7 +62,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.pool.restore(&step.room());
+        worker.pool.allocate(&step.room());
         worker.runs.insert(run);
         match step.sharing {
             Sharing::Serves(_) => worker.serving += 1,
@@ -93,7 +93,7 @@
         if !step.fills() && !self.passed_over.is_empty() {
             self.freed_workers.insert(live.worker.clone());
         }
-        if !worker.pool.taken().fits(worker.pool.whole()) {
+        if !worker.pool.allocated().fits_within(worker.pool.capacity()) {
             // A start may have waited for the room.
             worker.wake();
         }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -28,7 +28,7 @@
     fn is_within(&self, other: &Self) -> bool {
         self.service == other.service
             && self.share == other.share
-            && self.resources.fits(&other.resources)
+            && self.resources.fits_within(&other.resources)
             && self.selectivity <= other.selectivity
     }
 }
@@ -90,7 +90,7 @@
 
     fn admits(&self, wish: &PlacementRequest<'_>) -> bool {
         let spread = wish.step.spread;
-        wish.resources.fits(&self.left) && (spread == 0 || self.here < spread)
+        wish.resources.fits_within(&self.left) && (spread == 0 || self.here < spread)
     }
 }
 
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -83,7 +83,7 @@
                 if worker.answers {
                     tracing::info!(worker = %id, %failure, runs = worker.runs.len(), "worker does not answer");
                 }
-                let silent = failure.is_silence();
+                let silent = failure.is_timeout();
                 if silent {
                     worker.note_unanswered(&asked);
                 }
--- a/ashtiller/src/workflow/core/room.rs
+++ b/ashtiller/src/workflow/core/room.rs
@@ -204,7 +204,7 @@
                     short += 1;
                 }
             }
-            room.fits(&free).then_some((short, worker.incarnation()))
+            room.fits_within(&free).then_some((short, worker.incarnation()))
         });
         emptying.min().map(|(_, id)| id.clone())
     }
--- a/ashtiller/src/workflow/log/compaction.rs
+++ b/ashtiller/src/workflow/log/compaction.rs
@@ -12,7 +12,7 @@
 use crate::failure::{Effect, Failure};
 use crate::workflow::book::LogState;
 use crate::workflow::kv::{Committed, Txn};
-use crate::workflow::log::{Base, Log};
+use crate::workflow::log::{SnapshotHead, Log};
 use crate::workflow::snapshot;
 
 /// Time that one part should take: a delayed entry still counts as written in time.
@@ -72,9 +72,9 @@
         let began = Instant::now();
         let item = self.store.get(&self.base_key(), false).await?;
         let revision = item.as_ref().map_or(0, |item| item.revision);
-        let former: Option<Base> = item.and_then(|item| postcard::from_bytes(&item.value).ok());
+        let former: Option<SnapshotHead> = item.and_then(|item| postcard::from_bytes(&item.value).ok());
         let parts = self.write_parts(epoch, position, snapshot).await?;
-        self.write_base(epoch, Base { position, parts }, revision)
+        self.write_base(epoch, SnapshotHead { position, parts }, revision)
             .await?;
         let first = former.as_ref().map_or(1, |base| base.position + 1);
         let mut old: Vec<String> = (first..=position).map(|at| self.entry_key(at)).collect();
@@ -98,10 +98,10 @@
     /// Makes a snapshot the newest one in place of that at `revision`. Without this condition, one
     /// that took long, or a write that is carried out late, could replace a newer snapshot whose
     /// entries are removed.
-    async fn write_base(&self, epoch: u64, base: Base, revision: u64) -> Result<(), Failure> {
+    async fn write_base(&self, epoch: u64, base: SnapshotHead, revision: u64) -> Result<(), Failure> {
         let key = self.base_key();
         let value = postcard::to_stdvec(&base)
-            .map_err(|error| Failure::none("encode base", &key, error))?;
+            .map_err(|error| Failure::no_effect("encode base", &key, error))?;
         let txn = Txn {
             expect: vec![(self.lead_key(), epoch), (key.clone(), revision)],
             put: vec![(key, value.into())],
@@ -182,16 +182,16 @@
         let Some(item) = self.store.get(&key, false).await? else {
             return Ok((LogState::default(), 0));
         };
-        let base: Base = postcard::from_bytes(&item.value)
-            .map_err(|error| Failure::none("decode base", &key, error))?;
+        let base: SnapshotHead = postcard::from_bytes(&item.value)
+            .map_err(|error| Failure::no_effect("decode base", &key, error))?;
         let bytes = self.read_parts(&base).await?;
         let book = snapshot::decode(&bytes)
-            .map_err(|error| Failure::none("decode snapshot", &key, error))?;
+            .map_err(|error| Failure::no_effect("decode snapshot", &key, error))?;
         Ok((book, base.position))
     }
 
     /// Reads the parts of a snapshot, many in one answer.
-    async fn read_parts(&self, base: &Base) -> Result<Vec<u8>, Failure> {
+    async fn read_parts(&self, base: &SnapshotHead) -> Result<Vec<u8>, Failure> {
         let prefix = self.part_prefix(base.position);
         let mut parts = vec![None; base.parts as usize];
         let mut after = None;
@@ -212,7 +212,7 @@
         }
         let parts: Option<Vec<Bytes>> = parts.into_iter().collect();
         let parts =
-            parts.ok_or_else(|| Failure::none("read snapshot", &prefix, "a part is missing"))?;
+            parts.ok_or_else(|| Failure::no_effect("read snapshot", &prefix, "a part is missing"))?;
         Ok(parts.concat())
     }
 
@@ -230,5 +230,5 @@
 }
 
 fn superseded(prefix: &str) -> Failure {
-    Failure::none("compact log", prefix, "another owner or a newer snapshot")
+    Failure::no_effect("compact log", prefix, "another owner or a newer snapshot")
 }
--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -35,7 +35,7 @@
 
 /// What the base key holds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Base {
+struct SnapshotHead {
     /// Entries up to this position are in the snapshot.
     position: u64,
     /// Number of parts of the snapshot.
@@ -53,14 +53,14 @@
 
 /// The newest entry as it was seen at a time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Sight {
+pub struct LogTail {
     newest: u64,
     at: time::Instant,
 }
 
 /// Why an entry was not written.
 #[derive(Clone, Debug)]
-pub enum Lost {
+pub enum AppendError {
     /// Another process owns the log; the entry was not written and never will be.
     Superseded,
 }
@@ -87,7 +87,7 @@
     /// Every job.
     pub book: LogState,
     /// Position of the next entry.
-    pub next: u64,
+    pub next_position: u64,
 }
 
 impl Log {
@@ -141,26 +141,26 @@
     ///
     /// # Errors
     /// The store did not answer; the lead may have been written.
-    pub async fn seize(&self, mine: &LogOwner, former: u64) -> Result<Seized, Failure> {
+    pub async fn acquire(&self, mine: &LogOwner, former: u64) -> Result<Acquisition, Failure> {
         let key = self.lead_key();
         let value =
-            postcard::to_stdvec(mine).map_err(|error| Failure::none("encode lead", &key, error))?;
+            postcard::to_stdvec(mine).map_err(|error| Failure::no_effect("encode lead", &key, error))?;
         let txn = Txn {
             expect: vec![(key.clone(), former)],
             put: vec![(key.clone(), value.into())],
             remove: Vec::new(),
         };
         match self.store.commit(&txn).await? {
-            Committed::Done(revision) => Ok(Seized::Mine(revision)),
+            Committed::Done(revision) => Ok(Acquisition::Acquired(revision)),
             Committed::Conflict(items) => {
                 let Some(item) = items.into_iter().find(|item| *item.key == *key) else {
-                    return Ok(Seized::Theirs(None));
+                    return Ok(Acquisition::HeldByOther(None));
                 };
                 let lead = decode_lead(&key, &item.value, item.revision);
                 if lead.incarnation == mine.incarnation {
-                    return Ok(Seized::Mine(item.revision));
+                    return Ok(Acquisition::Acquired(item.revision));
                 }
-                Ok(Seized::Theirs(Some(lead)))
+                Ok(Acquisition::HeldByOther(Some(lead)))
             }
         }
     }
@@ -185,14 +185,14 @@
                     continue;
                 }
                 let entry: Entry = postcard::from_bytes(&item.value)
-                    .map_err(|error| Failure::none("decode entry", &item.key, error))?;
+                    .map_err(|error| Failure::no_effect("decode entry", &item.key, error))?;
                 for fact in &entry.facts {
                     book.apply(fact, now);
                 }
                 next += 1;
             }
             if !page.more || page.items.is_empty() {
-                return Ok(Replayed { book, next });
+                return Ok(Replayed { book, next_position: next });
             }
         }
     }
@@ -201,7 +201,7 @@
     ///
     /// # Errors
     /// The store did not answer.
-    pub async fn sight(&self, behind: u64) -> Result<Sight, Failure> {
+    pub async fn read_tail(&self, behind: u64) -> Result<LogTail, Failure> {
         let at = time::Instant::now();
         let prefix = self.entry_prefix();
         let mut newest = behind;
@@ -209,13 +209,13 @@
         loop {
             let page = self.store.scan(&prefix, Some(&after)).await?;
             let Some(last) = page.items.last() else {
-                return Ok(Sight { newest, at });
+                return Ok(LogTail { newest, at });
             };
             after = last.key.to_string();
             let positions = page.items.iter().filter_map(|item| position_of(&item.key));
             newest = positions.fold(newest, u64::max);
             if !page.more {
-                return Ok(Sight { newest, at });
+                return Ok(LogTail { newest, at });
             }
         }
     }
@@ -225,9 +225,9 @@
     ///
     /// # Errors
     /// The store did not answer.
-    pub async fn has_grown(&self, since: Sight) -> Result<bool, Failure> {
+    pub async fn has_grown(&self, since: LogTail) -> Result<bool, Failure> {
         time::sleep_until(since.at + GROWTH).await;
-        Ok(self.sight(since.newest).await?.newest != since.newest)
+        Ok(self.read_tail(since.newest).await?.newest != since.newest)
     }
 
     /// Encodes an entry.
@@ -241,7 +241,7 @@
         };
         postcard::to_stdvec(&entry)
             .map(Bytes::from)
-            .map_err(|error| Failure::none("encode entry", &*self.prefix, error))
+            .map_err(|error| Failure::no_effect("encode entry", &*self.prefix, error))
     }
 
     /// Writes an entry, again and again until it is known to be written or that it
@@ -249,7 +249,7 @@
     ///
     /// # Errors
     /// Another process owns the log.
-    pub async fn append(&self, epoch: u64, position: u64, value: Bytes) -> Result<Written, Lost> {
+    pub async fn append(&self, epoch: u64, position: u64, value: Bytes) -> Result<Written, AppendError> {
         let key = self.entry_key(position);
         let txn = Txn {
             expect: vec![(self.lead_key(), epoch), (key.clone(), 0)],
@@ -266,7 +266,7 @@
                         .iter()
                         .find(|item| *item.key == *key && item.value == value);
                     let Some(ours) = ours else {
-                        return Err(Lost::Superseded);
+                        return Err(AppendError::Superseded);
                     };
                     // An earlier try had its effect; it proves nothing about now.
                     let sent = self.confirm_lead(epoch, sent).await?;
@@ -286,11 +286,11 @@
 
     /// The entry is written; whether the lead is still held is another question, and
     /// a former owner must not act on the entry any more.
-    async fn confirm_lead(&self, epoch: u64, mut sent: Moment) -> Result<Moment, Lost> {
+    async fn confirm_lead(&self, epoch: u64, mut sent: Moment) -> Result<Moment, AppendError> {
         loop {
             match self.read_lead(false).await {
                 Ok(Some(lead)) if lead.epoch == epoch => return Ok(sent),
-                Ok(_) => return Err(Lost::Superseded),
+                Ok(_) => return Err(AppendError::Superseded),
                 Err(failure) => {
                     tracing::warn!(%failure, "lead not read; it is read again");
                     time::sleep(RETRY).await;
@@ -302,18 +302,18 @@
 
     /// Whether a snapshot is due behind this position.
     #[must_use]
-    pub fn wants_snapshot(position: u64) -> bool {
+    pub fn is_snapshot_due(position: u64) -> bool {
         position.is_multiple_of(SNAPSHOT_EVERY)
     }
 }
 
 /// What became of an attempt to own a log.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Seized {
+pub enum Acquisition {
     /// It is ours, at this epoch.
-    Mine(u64),
+    Acquired(u64),
     /// Another process has it.
-    Theirs(Option<LogOwner>),
+    HeldByOther(Option<LogOwner>),
 }
 
 /// The owner that a lead key names. Others may write there too: what cannot be read names an
--- a/ashtiller/src/workflow/membership/campaign.rs
+++ b/ashtiller/src/workflow/membership/campaign.rs
@@ -11,7 +11,7 @@
 
 use crate::failure::{Effect, Failure};
 use crate::workflow::fact::{PreviousOwner, LogOwner};
-use crate::workflow::log::{Seized, Sight};
+use crate::workflow::log::{Acquisition, LogTail};
 use crate::workflow::membership::heir;
 use crate::workflow::membership::succession;
 use crate::workflow::message::{PeerRequest, Heartbeat, Reply};
@@ -45,7 +45,7 @@
     /// It has ended, or says that it does not own the log.
     Ended,
     /// It does not answer; its log as it was when that was first doubted.
-    Silent(Option<Sight>),
+    Silent(Option<LogTail>),
 }
 
 /// Follows or replaces the owner until the process ends.
@@ -85,7 +85,7 @@
 }
 
 async fn ask_others(node: &Rc<Node>) {
-    for address in node.others() {
+    for address in node.peer_addresses() {
         match node
             .links
             .ask("ask for the owner", address, &PeerRequest::Lead, LEAD_LIMIT)
@@ -124,7 +124,7 @@
                     node.adopt_config(&Arc::new(*config));
                 }
                 if let Some(news) = welcome.members {
-                    node.take_members(news, welcome.list);
+                    node.apply_membership_update(news, welcome.list);
                 }
                 if welcome.version < node.config().version {
                     send_config(node, lead).await;
@@ -151,7 +151,7 @@
     node: &Rc<Node>,
     lead: &LogOwner,
     hello: &PeerRequest,
-) -> (Result<Reply, Failure>, Option<Sight>) {
+) -> (Result<Reply, Failure>, Option<LogTail>) {
     let answer = node
         .links
         .ask("greet owner", lead.address, hello, HELLO_LIMIT);
@@ -161,7 +161,7 @@
     }
     let mut sight = None;
     let look = async {
-        match node.log.sight(node.position()).await {
+        match node.log.read_tail(node.position()).await {
             Ok(seen) => sight = Some(seen),
             Err(failure) => tracing::info!(%failure, "log not read"),
         }
@@ -176,11 +176,11 @@
 
 /// A broken connection may be a reset: the next heartbeat opens another. Nobody
 /// listening means that the process has ended.
-fn judge(failure: &Failure, sight: Option<Sight>) -> Option<Loss> {
-    if failure.is_refusal() {
+fn judge(failure: &Failure, sight: Option<LogTail>) -> Option<Loss> {
+    if failure.is_connection_refused() {
         return Some(Loss::Ended);
     }
-    let silent = failure.is_silence() || failure.effect == Effect::None;
+    let silent = failure.is_timeout() || failure.effect == Effect::None;
     silent.then_some(Loss::Silent(sight))
 }
 
@@ -237,11 +237,11 @@
 }
 
 /// Whether an owner that does not answer here still writes to its log.
-async fn is_alive(node: &Rc<Node>, lead: &LogOwner, sight: Option<Sight>) -> bool {
+async fn is_alive(node: &Rc<Node>, lead: &LogOwner, sight: Option<LogTail>) -> bool {
     let grown = async {
         let since = match sight {
             Some(sight) => sight,
-            None => node.log.sight(node.position()).await?,
+            None => node.log.read_tail(node.position()).await?,
         };
         node.log.has_grown(since).await
     };
@@ -289,13 +289,13 @@
 async fn seize(node: &Rc<Node>, former: Option<PreviousOwner>) {
     let mine = node.as_lead(former);
     let replaced = former.map_or(0, |former| former.epoch);
-    match node.log.seize(&mine, replaced).await {
-        Ok(Seized::Mine(epoch)) => {
+    match node.log.acquire(&mine, replaced).await {
+        Ok(Acquisition::Acquired(epoch)) => {
             let lead = LogOwner { epoch, ..mine };
             owner::spawn(node, lead);
         }
-        Ok(Seized::Theirs(Some(lead))) => node.adopt_lead(&lead),
-        Ok(Seized::Theirs(None)) => {}
+        Ok(Acquisition::HeldByOther(Some(lead))) => node.adopt_lead(&lead),
+        Ok(Acquisition::HeldByOther(None)) => {}
         Err(failure) => {
             tracing::warn!(%failure, "lead not confirmed");
             find_lead(node).await;
--- a/ashtiller/src/workflow/membership/heir.rs
+++ b/ashtiller/src/workflow/membership/heir.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use crate::workflow::membership::member::{FIT_AGE, Member};
+use crate::workflow::membership::member::{MAX_STORE_AGE_MS, Member};
 
 /// Time without the store after which the log is handed to an instance that has it:
 /// above the slowest answers that were seen, 0.35 s.
@@ -19,7 +19,7 @@
 
 /// Why the log goes to another instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Reason {
+pub enum HandoverReason {
     /// This one is about to stop.
     Leaving,
     /// This one has not reached the store for so long.
@@ -30,7 +30,7 @@
 
 /// How an owner stands.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct OwnerHealth {
     /// Processors, in thousandths.
     pub processors: u64,
     /// Whether it is about to stop.
@@ -40,20 +40,20 @@
     /// Time since the store last answered anything.
     pub store_age: Duration,
     /// Whether it is calm enough to hand the log to a larger instance.
-    pub calm: bool,
+    pub is_stable: bool,
 }
 
-impl Standing {
+impl OwnerHealth {
     /// Why it should hand the log over, if it should.
     #[must_use]
-    pub fn reason(&self) -> Option<Reason> {
+    pub fn reason(&self) -> Option<HandoverReason> {
         // If the store answers other calls, its answer to the entry waits in a queue of this
         // owner's making, which a successor would have as well, behind a replay of the log.
         let cut = self.store_age.saturating_add(LATE_ANSWER) >= self.stalled;
         match () {
-            () if self.leaving => Some(Reason::Leaving),
-            () if self.stalled >= HAND_OVER && cut => Some(Reason::Cut(self.stalled)),
-            () if self.calm => Some(Reason::Small),
+            () if self.leaving => Some(HandoverReason::Leaving),
+            () if self.stalled >= HAND_OVER && cut => Some(HandoverReason::Cut(self.stalled)),
+            () if self.is_stable => Some(HandoverReason::Small),
             () => None,
         }
     }
@@ -69,22 +69,22 @@
 #[must_use]
 pub fn choose<'a>(
     own: &str,
-    standing: &Standing,
-    reason: Reason,
+    standing: &OwnerHealth,
+    reason: HandoverReason,
     members: &'a [Member],
 ) -> Option<&'a Member> {
     // Only contact with the store after this instance lost it says anything.
     let oldest = match reason {
-        Reason::Cut(stalled) => {
+        HandoverReason::Cut(stalled) => {
             let age = stalled.saturating_sub(HELLO_AGE).as_millis();
-            u32::try_from(age).unwrap_or(FIT_AGE)
+            u32::try_from(age).unwrap_or(MAX_STORE_AGE_MS)
         }
-        Reason::Leaving | Reason::Small => FIT_AGE,
+        HandoverReason::Leaving | HandoverReason::Small => MAX_STORE_AGE_MS,
     };
     let others = members
         .iter()
         .filter(|member| *member.name != *own && !member.leaving && member.store_age < oldest);
-    let fast = others.filter(|member| reason == Reason::Leaving || member.store_took < SLOW);
-    let fit = fast.filter(|member| reason != Reason::Small || standing.is_smaller_than(member));
+    let fast = others.filter(|member| reason == HandoverReason::Leaving || member.store_took < SLOW);
+    let fit = fast.filter(|member| reason != HandoverReason::Small || standing.is_smaller_than(member));
     fit.min_by_key(|member| (Reverse(member.processors), member.store_age))
 }
--- a/ashtiller/src/workflow/membership/member.rs
+++ b/ashtiller/src/workflow/membership/member.rs
@@ -7,7 +7,7 @@
 
 /// Age of the last contact with the store, in milliseconds, up to which a member may get the
 /// log.
-pub const FIT_AGE: u32 = 1500;
+pub const MAX_STORE_AGE_MS: u32 = 1500;
 
 /// One entry instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -31,8 +31,8 @@
 impl Member {
     /// Whether it could own the log, as far as is known.
     #[must_use]
-    pub fn is_fit(&self) -> bool {
-        !self.leaving && self.store_age < FIT_AGE
+    pub fn is_eligible(&self) -> bool {
+        !self.leaving && self.store_age < MAX_STORE_AGE_MS
     }
 }
 
@@ -47,7 +47,7 @@
 
 /// What a member does not know yet of the others.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum News {
+pub enum MembershipUpdate {
     /// All members.
     All(Vec<Member>),
     /// What has changed since the version that it knows.
--- a/ashtiller/src/workflow/membership/members.rs
+++ b/ashtiller/src/workflow/membership/members.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::clock::Moment;
-use crate::workflow::membership::member::{Member, News, Version};
+use crate::workflow::membership::member::{Member, MembershipUpdate, Version};
 
 /// Silence after which a member is forgotten: eight heartbeats.
 const SILENT: Duration = Duration::from_secs(2);
@@ -44,12 +44,12 @@
 
 /// What others should know of a member, without what changes all the time.
 fn visible(member: &Member) -> (SocketAddr, bool) {
-    (member.address, member.is_fit())
+    (member.address, member.is_eligible())
 }
 
 impl Members {
     /// Goes on with the list as its owner at this epoch.
-    pub fn begin(&mut self, epoch: u64) {
+    pub fn begin_ownership(&mut self, epoch: u64) {
         self.inherited = self.version;
         self.version = Version { epoch, count: 0 };
         // They had no reason to greet this process before.
@@ -63,7 +63,7 @@
     }
 
     /// A member has sent a heartbeat to this process, the owner.
-    pub fn hear(&mut self, member: Member) {
+    pub fn record_heartbeat(&mut self, member: Member) {
         let now = Moment::now();
         let swept = self.swept.get_or_insert(now);
         let since = now.since(*swept);
@@ -120,17 +120,17 @@
 
     /// What a follower that knows the list as of `since` has missed.
     #[must_use]
-    pub fn news(&self, since: Version) -> Option<News> {
+    pub fn changes_since(&self, since: Version) -> Option<MembershipUpdate> {
         if since == self.version {
             return None;
         }
         if !self.is_followed_from(since) {
-            return Some(News::All(self.iter().cloned().collect()));
+            return Some(MembershipUpdate::All(self.iter().cloned().collect()));
         }
         let changed = self.known.values().filter(|known| known.changed > since);
         let gone = self.gone.iter();
         let gone = gone.filter(|(at, name)| *at > since && !self.known.contains_key(name));
-        Some(News::Changes {
+        Some(MembershipUpdate::Changes {
             changed: changed.map(|known| known.member.clone()).collect(),
             gone: gone.map(|(_, name)| name.clone()).collect(),
         })
@@ -145,17 +145,17 @@
     }
 
     /// Takes what the owner tells, after which the list is as of `version`.
-    pub fn take(&mut self, news: News, version: Version) {
+    pub fn apply_update(&mut self, news: MembershipUpdate, version: Version) {
         let now = Moment::now();
         self.version = version;
         let changed = match news {
-            News::All(members) => {
+            MembershipUpdate::All(members) => {
                 self.known.clear();
                 self.gone.clear();
                 self.horizon = version;
                 members
             }
-            News::Changes { changed, gone } => {
+            MembershipUpdate::Changes { changed, gone } => {
                 for name in gone {
                     self.known.remove(&name);
                     self.note_gone(name, version);
--- a/ashtiller/src/workflow/membership/succession.rs
+++ b/ashtiller/src/workflow/membership/succession.rs
@@ -28,7 +28,7 @@
     let own = place(processors, name);
     let others = members
         .iter()
-        .filter(|member| *member.name != *lost && member.is_fit());
+        .filter(|member| *member.name != *lost && member.is_eligible());
     others
         .filter(|member| place(member.processors, &member.name) < own)
         .count()
--- a/ashtiller/src/workflow/message.rs
+++ b/ashtiller/src/workflow/message.rs
@@ -7,8 +7,8 @@
 use crate::workflow::config::Config;
 use crate::workflow::fact::{PreviousOwner, LogOwner, Outcome};
 use crate::workflow::job::Job;
-use crate::workflow::membership::member::{Member, News, Version};
-use crate::workflow::relay::{Parcels, Results};
+use crate::workflow::membership::member::{Member, MembershipUpdate, Version};
+use crate::workflow::relay::{CallBatch, ResultBatch};
 
 /// A heartbeat.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -46,9 +46,9 @@
     /// How many jobs of a queue have not begun?
     Pending(Arc<str>),
     /// Make these calls to workers.
-    RelayCalls(Box<Parcels>),
+    RelayCalls(Box<CallBatch>),
     /// What came of calls that the sender was given.
-    RelayResults(Box<Results>),
+    RelayResults(Box<ResultBatch>),
 }
 
 impl PeerRequest {
@@ -81,7 +81,7 @@
     /// Version of the answering process's configuration.
     pub version: u64,
     /// What the asker does not know of the members.
-    pub members: Option<News>,
+    pub members: Option<MembershipUpdate>,
     /// As of when it knows them then.
     pub list: Version,
     /// Position of the newest durable entry, where the process owns the log.
--- a/ashtiller/src/workflow/node/answer.rs
+++ b/ashtiller/src/workflow/node/answer.rs
@@ -26,7 +26,7 @@
         let owns = self.owns();
         // Who does not own the log knows no members to tell of.
         let (members, list) = if owns {
-            self.hear_member(hello)
+            self.record_heartbeat(hello)
         } else {
             (None, Version::default())
         };
@@ -68,14 +68,14 @@
                     Reply::Lead(self.lead())
                 }
                 PeerRequest::RelayCalls(parcels) => {
-                    self.carrier.carry(*parcels);
+                    self.carrier.execute_batch(*parcels);
                     Reply::Noted
                 }
                 PeerRequest::RelayResults(results) => {
-                    self.calls.take(*results);
+                    self.worker_client.take(*results);
                     Reply::Noted
                 }
-                ask => self.ask_here(ask, ASK_LIMIT).await,
+                ask => self.ask_local_owner(ask, ASK_LIMIT).await,
             }
         })
     }
--- a/ashtiller/src/workflow/node/ask.rs
+++ b/ashtiller/src/workflow/node/ask.rs
@@ -8,7 +8,7 @@
 use crate::failure::{Effect, Failure};
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
-use crate::workflow::owner::Asked;
+use crate::workflow::owner::OwnerRequest;
 
 /// Pause between two tries to reach the owner.
 const AGAIN: Duration = Duration::from_millis(40);
@@ -52,7 +52,7 @@
     async fn try_owner(&self, ask: &PeerRequest, deadline: Instant) -> Result<Reply, Failure> {
         let left = deadline.saturating_duration_since(Instant::now());
         if self.owns() {
-            return Ok(self.ask_here(ask.clone(), left).await);
+            return Ok(self.ask_local_owner(ask.clone(), left).await);
         }
         let Some(lead) = self.lead().filter(|lead| lead.incarnation != self.life) else {
             return Ok(Reply::NotOwner);
@@ -63,12 +63,12 @@
     }
 
     /// Asks the log that this process owns.
-    pub(super) async fn ask_here(&self, ask: PeerRequest, limit: Duration) -> Reply {
+    pub(super) async fn ask_local_owner(&self, ask: PeerRequest, limit: Duration) -> Reply {
         let Some(owner) = self.owner.borrow().clone() else {
             return Reply::NotOwner;
         };
         let (sender, reply) = oneshot::channel();
-        if owner.try_send(Asked { ask, reply: sender }).is_err() {
+        if owner.try_send(OwnerRequest { ask, reply: sender }).is_err() {
             return Reply::Refused(1000);
         }
         match time::timeout(limit, reply).await {
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -26,14 +26,14 @@
 use crate::workflow::log::Log;
 use crate::workflow::machines::{Machines, Wave};
 use crate::workflow::membership::campaign;
-use crate::workflow::membership::member::{Member, News, Version};
+use crate::workflow::membership::member::{Member, MembershipUpdate, Version};
 use crate::workflow::membership::members::Members;
 use crate::workflow::message::Heartbeat;
 use crate::workflow::metrics::Metrics;
-use crate::workflow::owner::Asked;
+use crate::workflow::owner::OwnerRequest;
 use crate::workflow::peers::PeerConnections;
-use crate::workflow::relay::carrier::Carrier;
-use crate::workflow::relay::sender::Sender;
+use crate::workflow::relay::carrier::RelayServer;
+use crate::workflow::relay::sender::RelayClient;
 use crate::workflow::settings::Settings;
 
 /// Prefix of everything that this project keeps in the store.
@@ -56,9 +56,9 @@
     /// Connections to other instances.
     pub links: Rc<PeerConnections>,
     /// Calls to workers for owners elsewhere.
-    pub carrier: Rc<Carrier>,
+    pub carrier: Rc<RelayServer>,
     /// Calls to workers for the owner here.
-    pub calls: Rc<Sender>,
+    pub worker_client: Rc<RelayClient>,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The log.
@@ -70,17 +70,17 @@
     waves: watch::Sender<BTreeMap<u64, Wave>>,
     evacuations: watch::Sender<Evacuations>,
     members: RefCell<Members>,
-    owner: RefCell<Option<mpsc::Sender<Asked>>>,
-    patience: watch::Sender<Duration>,
-    store_seen: Cell<Option<Moment>>,
-    store_took: Cell<Duration>,
+    owner: RefCell<Option<mpsc::Sender<OwnerRequest>>>,
+    long_poll_wait: watch::Sender<Duration>,
+    last_store_contact: Cell<Option<Moment>>,
+    store_latency: Cell<Duration>,
     position: Cell<u64>,
     leaving: Cell<bool>,
     dump: watch::Sender<Arc<str>>,
 }
 
 /// What the process reaches outside.
-pub struct Outside {
+pub struct Dependencies {
     /// Key-value service.
     pub store: Arc<dyn Store>,
     /// Workers.
@@ -98,9 +98,9 @@
     ///
     /// # Errors
     /// The metrics cannot be registered.
-    pub fn open(settings: Settings, outside: Outside) -> anyhow::Result<Rc<Self>> {
+    pub fn open(settings: Settings, outside: Dependencies) -> anyhow::Result<Rc<Self>> {
         let life = rand::random::<u64>();
-        let Outside {
+        let Dependencies {
             store,
             agents,
             advisor,
@@ -115,8 +115,8 @@
             advisor,
             machines,
             dialect,
-            carrier: Carrier::new(agents.clone(), links.clone()),
-            calls: Sender::new(agents.clone(), links.clone(), settings.entry.peers),
+            carrier: RelayServer::new(agents.clone(), links.clone()),
+            worker_client: RelayClient::new(agents.clone(), links.clone(), settings.entry.peers),
             links,
             settings,
             agents,
@@ -128,9 +128,9 @@
             evacuations: watch::Sender::default(),
             members: RefCell::default(),
             owner: RefCell::default(),
-            patience: watch::Sender::new(follow::LONG_WAIT),
-            store_seen: Cell::default(),
-            store_took: Cell::default(),
+            long_poll_wait: watch::Sender::new(follow::LONG_WAIT),
+            last_store_contact: Cell::default(),
+            store_latency: Cell::default(),
             position: Cell::default(),
             leaving: Cell::new(false),
             dump: watch::Sender::new(Arc::from("{}")),
@@ -180,13 +180,13 @@
             "owns": self.owns(), "store_age_ms": self.as_member().store_age,
             "members": self.members().iter().map(|member| &*member.name).collect::<Vec<&str>>(),
             "silent_ms_by_peer": self.links.ages(),
-            "relays": self.calls.relays(),
+            "relays": self.worker_client.relays(),
             "owned": owned,
         })
     }
 
     /// Shows the state of the log that this process owns.
-    pub fn show_owned(&self, dump: &serde_json::Value) {
+    pub fn publish_dump(&self, dump: &serde_json::Value) {
         self.dump.send_replace(dump.to_string().into());
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Begins a planned stop.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.leaving.set(true);
     }
 
@@ -290,7 +290,7 @@
             name: self.settings.instance.name.clone(),
             address: self.settings.entry.peers,
             store_age: u32::try_from(age).unwrap_or(u32::MAX),
-            store_took: u32::try_from(self.store_took.get().as_millis()).unwrap_or(u32::MAX),
+            store_took: u32::try_from(self.store_latency.get().as_millis()).unwrap_or(u32::MAX),
             leaving: self.leaving.get(),
             processors: self.settings.entry.processors,
             zone: self.settings.instance.zone.clone(),
@@ -304,7 +304,7 @@
     }
 
     /// Whether some other instance is like this.
-    pub fn has_member(&self, like: impl Fn(&Member) -> bool) -> bool {
+    pub fn any_member(&self, like: impl Fn(&Member) -> bool) -> bool {
         self.members.borrow().iter().any(like)
     }
 
@@ -315,26 +315,26 @@
     }
 
     /// Takes what the owner tells of the members.
-    pub fn take_members(&self, news: News, version: Version) {
-        self.members.borrow_mut().take(news, version);
+    pub fn apply_membership_update(&self, news: MembershipUpdate, version: Version) {
+        self.members.borrow_mut().apply_update(news, version);
     }
 
     /// Keeps the list of members from now on, as the owner at this epoch.
-    pub fn keep_members(&self, epoch: u64) {
-        self.members.borrow_mut().begin(epoch);
+    pub fn own_member_list(&self, epoch: u64) {
+        self.members.borrow_mut().begin_ownership(epoch);
     }
 
     /// Takes note of a heartbeat; the result is what the sender has missed of the members, and
     /// as of when it knows them then.
-    fn hear_member(&self, hello: &Heartbeat) -> (Option<News>, Version) {
+    fn record_heartbeat(&self, hello: &Heartbeat) -> (Option<MembershipUpdate>, Version) {
         let mut members = self.members.borrow_mut();
-        members.hear(hello.member.clone());
-        (members.news(hello.members), members.version())
+        members.record_heartbeat(hello.member.clone());
+        (members.changes_since(hello.members), members.version())
     }
 
     /// Where other instances may be reached: members first, then seeds.
     #[must_use]
-    pub fn others(&self) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         let port = self.settings.entry.peers.port();
         let mut others: Vec<SocketAddr> = self
             .members
@@ -353,8 +353,8 @@
 
     /// Installs or removes the queue of questions to the own log. While this process owns
     /// the log nobody else brings it news, so its watches wait for a short time only.
-    pub fn set_owner(&self, owner: Option<mpsc::Sender<Asked>>) {
-        self.patience.send_replace(match owner {
+    pub fn set_owner(&self, owner: Option<mpsc::Sender<OwnerRequest>>) {
+        self.long_poll_wait.send_replace(match owner {
             Some(_) => self.settings.tuning.watch_wait(),
             None => follow::LONG_WAIT,
         });
@@ -369,20 +369,20 @@
 
     /// Follows how long one watch of the store may wait.
     #[must_use]
-    pub fn watch_patience(&self) -> watch::Receiver<Duration> {
-        self.patience.subscribe()
+    pub fn watch_long_poll_wait(&self) -> watch::Receiver<Duration> {
+        self.long_poll_wait.subscribe()
     }
 
     /// Time since the store last answered this process.
     #[must_use]
     pub fn store_age(&self) -> Duration {
-        let seen = self.store_seen.get();
+        let seen = self.last_store_contact.get();
         seen.map_or(Duration::MAX, Moment::elapsed)
     }
 
     /// The store has answered.
-    pub fn note_store(&self) {
-        self.store_seen.set(Some(Moment::now()));
+    pub fn note_store_contact(&self) {
+        self.last_store_contact.set(Some(Moment::now()));
     }
 
     /// Position of the newest entry that this process knows to be durable.
--- a/ashtiller/src/workflow/node/news.rs
+++ b/ashtiller/src/workflow/node/news.rs
@@ -23,11 +23,11 @@
         task::spawn_local(follow::follow(
             self.store.clone(),
             prefix,
-            self.watch_patience(),
+            self.watch_long_poll_wait(),
             sender,
         ));
         while let Some(seen) = seen.recv().await {
-            self.note_store();
+            self.note_store_contact();
             self.evacuations
                 .send_modify(|known| known.take(&*self.dialect, &seen));
             let items = match seen {
@@ -54,8 +54,8 @@
             let began = Instant::now();
             match self.log.read_lead(true).await {
                 Ok(lead) => {
-                    self.store_took.set(began.elapsed());
-                    self.note_store();
+                    self.store_latency.set(began.elapsed());
+                    self.note_store_contact();
                     if failed {
                         tracing::info!("store answers again");
                     }
--- a/ashtiller/src/workflow/owner/carry.rs
+++ b/ashtiller/src/workflow/owner/carry.rs
@@ -10,14 +10,14 @@
 use crate::workflow::kv::Txn;
 use crate::workflow::log::Log;
 use crate::workflow::machines::Holder;
-use crate::workflow::owner::{HAND_OVER_PAUSE, Input, Owner};
+use crate::workflow::owner::{HAND_OVER_PAUSE, Event, Owner};
 use crate::workflow::snapshot;
 
 impl Owner {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Answer(ticket, reply) => {
-                if let Some(waiting) = self.waiting.remove(&ticket) {
+                if let Some(waiting) = self.pending_replies.remove(&ticket) {
                     let _ = waiting.send(reply);
                 }
             }
@@ -26,10 +26,10 @@
                 let (node, sender) = (self.node.clone(), self.sender.clone());
                 task::spawn_local(async move {
                     let began = Instant::now();
-                    let said = node.calls.order(&target, &order).await;
+                    let said = node.worker_client.order(&target, &order).await;
                     node.metrics.note_order(order.kind(), began.elapsed());
                     let _ = sender
-                        .send(Input::Answered(target.incarnation, run, order, said))
+                        .send(Event::OrderCompleted(target.incarnation, run, order, said))
                         .await;
                 });
             }
@@ -42,9 +42,9 @@
                             let (workers, limit) = (&question.workers, question.limit);
                             advisor.advise(job, key.1, key.2, workers, limit).await
                         }
-                        None => Err(Failure::none("ask advisor", job, "the settings name none")),
+                        None => Err(Failure::no_effect("ask advisor", job, "the settings name none")),
                     };
-                    let advised = Input::Advised(*key, question.asked_at, answer);
+                    let advised = Event::Advised(*key, question.asked_at, answer);
                     let _ = sender.send(advised).await;
                 });
             }
@@ -57,27 +57,27 @@
                 task::spawn_local(async move {
                     let done = match machines {
                         Some(machines) => machines.order(&holder, &machine, &duty).await,
-                        None => Err(Failure::none(
+                        None => Err(Failure::no_effect(
                             "order machine",
                             &machine,
                             "the settings name no interface",
                         )),
                     };
-                    let _ = sender.send(Input::Duty(machine, duty, done)).await;
+                    let _ = sender.send(Event::Duty(machine, duty, done)).await;
                 });
             }
             Effect::Look(target, look) => {
-                let (calls, sender) = (self.node.calls.clone(), self.sender.clone());
+                let (calls, sender) = (self.node.worker_client.clone(), self.sender.clone());
                 task::spawn_local(async move {
                     let looked = calls.look(&target, &look).await;
-                    let _ = sender.send(Input::Looked(target.incarnation, looked)).await;
+                    let _ = sender.send(Event::Looked(target.incarnation, looked)).await;
                 });
             }
         }
     }
 
     pub(super) fn append(&mut self, position: u64, facts: Vec<LogRecord>) {
-        if Log::wants_snapshot(position) {
+        if Log::is_snapshot_due(position) {
             match snapshot::encode(self.core.log_state()) {
                 Ok(bytes) => self.snapshot = Some((position, bytes)),
                 Err(error) => tracing::error!(%error, "snapshot not encoded"),
@@ -87,7 +87,7 @@
             Ok(value) => value,
             Err(failure) => {
                 tracing::error!(%failure, "entry not encoded; the log is given up");
-                self.over = true;
+                self.stopped = true;
                 return;
             }
         };
@@ -95,7 +95,7 @@
         task::spawn_local(async move {
             tokio::select! {
                 written = log.append(epoch, position, value) => {
-                    let _ = sender.send(Input::Appended(position, written)).await;
+                    let _ = sender.send(Event::Appended(position, written)).await;
                 }
                 () = sender.closed() => {}
             }
@@ -126,11 +126,11 @@
     }
 
     /// Tells operators how the waves stand, each state once.
-    pub(super) fn tell_waves(&mut self) {
+    pub(super) fn write_wave_status(&mut self) {
         let states = self.core.wave_states();
         for (number, over) in states {
             let durable = !over || self.core.is_settled();
-            if !durable || !self.told.insert((number, over)) {
+            if !durable || !self.written_waves.insert((number, over)) {
                 continue;
             }
             let (key, value) = self.node.dialect.wave_status(number, over);
@@ -148,7 +148,7 @@
                         false
                     }
                 };
-                let _ = sender.send(Input::Told(number, over, told)).await;
+                let _ = sender.send(Event::WaveStatusWritten(number, over, told)).await;
             });
         }
     }
--- a/ashtiller/src/workflow/owner/former.rs
+++ b/ashtiller/src/workflow/owner/former.rs
@@ -8,7 +8,7 @@
 use crate::workflow::fact::PreviousOwner;
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
-use crate::workflow::owner::{Input, Owner};
+use crate::workflow::owner::{Event, Owner};
 
 /// Time limit of one question.
 const ASK_LIMIT: Duration = Duration::from_millis(500);
@@ -18,7 +18,7 @@
 
 impl Owner {
     /// Takes note when the owner that this one replaced is known to have ended.
-    pub(super) fn clear_former(&mut self) {
+    pub(super) fn watch_predecessor(&mut self) {
         let Some(former) = self.lead.former else {
             let now = self.now();
             self.core.note_former_owner_ended(0, now);
@@ -33,7 +33,7 @@
             };
             tokio::select! {
                 () = asked => {
-                    let _ = sender.send(Input::Cleared(former.epoch)).await;
+                    let _ = sender.send(Event::PredecessorEnded(former.epoch)).await;
                 }
                 () = sender.closed() => {}
             }
@@ -55,6 +55,6 @@
     {
         Ok(Reply::Ended(ended)) => ended,
         Ok(_) => false,
-        Err(failure) => failure.is_refusal(),
+        Err(failure) => failure.is_connection_refused(),
     }
 }
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -6,9 +6,9 @@
 use tokio::time::Instant;
 
 use crate::workflow::core::Now;
-use crate::workflow::membership::heir::{self, Standing};
+use crate::workflow::membership::heir::{self, OwnerHealth};
 use crate::workflow::message::{PeerRequest, Reply};
-use crate::workflow::owner::{HAND_OVER_PAUSE, Input, Owner, TAKE_OVER_LIMIT};
+use crate::workflow::owner::{HAND_OVER_PAUSE, Event, Owner, TAKE_OVER_LIMIT};
 
 /// Time after which an owner looks for a larger instance, so that members are known.
 const SETTLE: Duration = Duration::from_millis(1200);
@@ -24,7 +24,7 @@
             return;
         };
         if self
-            .handing
+            .last_handover
             .is_some_and(|at| at.elapsed() < HAND_OVER_PAUSE)
         {
             return;
@@ -34,7 +34,7 @@
         let Some(heir) = heir::choose(own, &standing, reason, &members).cloned() else {
             return;
         };
-        self.handing = Some(Instant::now());
+        self.last_handover = Some(Instant::now());
         tracing::warn!(heir = %heir.name, heir_store_age_ms = heir.store_age, ?reason,
             stalled_ms = standing.stalled.as_millis(), store_age_ms = standing.store_age.as_millis(),
             "hands over the log");
@@ -57,22 +57,22 @@
                     false
                 }
             };
-            let _ = sender.send(Input::HandedOver(done)).await;
+            let _ = sender.send(Event::HandoverFinished(done)).await;
         });
     }
 
-    fn standing(&self, now: Now) -> Standing {
+    fn standing(&self, now: Now) -> OwnerHealth {
         let stalled = self.core.stalled_for(now);
-        let mut standing = Standing {
+        let mut standing = OwnerHealth {
             processors: self.node.settings.entry.processors,
             leaving: self.node.is_leaving(),
             stalled,
             store_age: self.node.store_age(),
-            calm: false,
+            is_stable: false,
         };
-        let larger = || self.node.has_member(|it| standing.is_smaller_than(it));
+        let larger = || self.node.any_member(|it| standing.is_smaller_than(it));
         let calm = now.at > SETTLE && stalled < CALM && larger();
-        standing.calm = calm;
+        standing.is_stable = calm;
         standing
     }
 }
--- a/ashtiller/src/workflow/owner/inputs.rs
+++ b/ashtiller/src/workflow/owner/inputs.rs
@@ -7,37 +7,37 @@
 use crate::workflow::evacuations::Evacuations;
 use crate::workflow::follow::StoreUpdate;
 use crate::workflow::kv::{Change, Item};
-use crate::workflow::log::{Lost, Written};
+use crate::workflow::log::{AppendError, Written};
 use crate::workflow::message::{PeerRequest, Reply};
-use crate::workflow::owner::{Asked, Input, Owner};
+use crate::workflow::owner::{OwnerRequest, Event, Owner};
 
 /// Inputs taken before the state machine is polled.
 const BATCH: usize = 128;
 
 impl Owner {
-    pub(super) fn take_inputs(&mut self, first: Option<Input>) {
+    pub(super) fn handle_events(&mut self, first: Option<Event>) {
         let mut next = first;
         for _ in 0..BATCH {
             let Some(input) = next else {
                 return;
             };
-            self.take_input(input);
-            next = self.inputs.try_recv().ok();
+            self.handle_event(input);
+            next = self.events.try_recv().ok();
         }
         if let Some(input) = next {
-            self.take_input(input);
+            self.handle_event(input);
         }
     }
 
-    pub(super) fn take_input(&mut self, input: Input) {
+    pub(super) fn handle_event(&mut self, input: Event) {
         let now = self.now();
         match input {
-            Input::Looked(worker, looked) => self.core.handle_poll_reply(&worker, looked, now),
-            Input::Answered(worker, run, order, said) => {
+            Event::Looked(worker, looked) => self.core.handle_poll_reply(&worker, looked, now),
+            Event::OrderCompleted(worker, run, order, said) => {
                 self.core.handle_order_reply(&worker, run, &order, said, now);
             }
-            Input::Appended(position, Ok(Written { sent, revision })) => {
-                self.node.note_store();
+            Event::Appended(position, Ok(Written { sent, revision })) => {
+                self.node.note_store_contact();
                 self.node.note_position(position);
                 self.node.metrics.note_commit(sent.elapsed());
                 let sent = sent.since(self.start);
@@ -45,31 +45,31 @@
                 self.core.note_durable(position, sent, now);
                 self.compact(position);
             }
-            Input::Appended(position, Err(Lost::Superseded)) => {
+            Event::Appended(position, Err(AppendError::Superseded)) => {
                 tracing::warn!(
                     position,
                     epoch = self.lead.epoch,
                     "superseded; the entry is not written"
                 );
-                self.over = true;
+                self.stopped = true;
             }
-            Input::Workers(seen) => self.take_workers(seen, now),
-            Input::Duty(machine, duty, done) => self.core.handle_machine_reply(&machine, &duty, done, now),
-            Input::Told(number, over, told) => {
+            Event::Workers(seen) => self.handle_worker_listing(seen, now),
+            Event::Duty(machine, duty, done) => self.core.handle_machine_reply(&machine, &duty, done, now),
+            Event::WaveStatusWritten(number, over, told) => {
                 if !told {
-                    self.told.remove(&(number, over));
+                    self.written_waves.remove(&(number, over));
                 }
             }
-            Input::Advised(key, asked_at, answer) => {
+            Event::Advised(key, asked_at, answer) => {
                 self.core.handle_advice(key, asked_at, answer, now);
             }
-            Input::HandedOver(done) => self.over |= done,
-            Input::Cleared(former) => self.core.note_former_owner_ended(former, now),
+            Event::HandoverFinished(done) => self.stopped |= done,
+            Event::PredecessorEnded(former) => self.core.note_former_owner_ended(former, now),
         }
     }
 
-    pub(super) fn take_workers(&mut self, seen: StoreUpdate, now: Now) {
-        self.node.note_store();
+    pub(super) fn handle_worker_listing(&mut self, seen: StoreUpdate, now: Now) {
+        self.node.note_store_contact();
         let as_of = match seen {
             StoreUpdate::All { items, as_of } => {
                 let read = items.iter().map(|item| self.read_worker(item));
@@ -101,7 +101,7 @@
         self.core.note_complete_listing(as_of);
     }
 
-    pub(super) fn take_evacuations(&mut self, known: &Evacuations, now: Now) {
+    pub(super) fn update_evacuations(&mut self, known: &Evacuations, now: Now) {
         if let Some(as_of) = known.as_of {
             self.core
                 .note_evacuations(&known.zones, as_of.elapsed(), now);
@@ -130,22 +130,22 @@
         key.strip_prefix(prefix).unwrap_or(key).into()
     }
 
-    pub(super) fn take_asked(&mut self, first: Option<Asked>) {
+    pub(super) fn handle_requests(&mut self, first: Option<OwnerRequest>) {
         let mut next = first;
         for _ in 0..BATCH {
             let Some(asked) = next else {
                 return;
             };
-            self.answer(asked);
-            next = self.asked.try_recv().ok();
+            self.handle_request(asked);
+            next = self.requests.try_recv().ok();
         }
         if let Some(asked) = next {
-            self.answer(asked);
+            self.handle_request(asked);
         }
     }
 
-    pub(super) fn answer(&mut self, asked: Asked) {
-        let Asked { ask, reply } = asked;
+    pub(super) fn handle_request(&mut self, asked: OwnerRequest) {
+        let OwnerRequest { ask, reply } = asked;
         let now = self.now();
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
@@ -153,12 +153,12 @@
             PeerRequest::State(id) => self.core.state(&id),
             PeerRequest::Pending(queue) => self.core.count_pending(&queue),
             PeerRequest::Submit(job) => {
-                self.waiting.insert(ticket, reply);
+                self.pending_replies.insert(ticket, reply);
                 self.core.submit(*job, ticket, now);
                 return;
             }
             PeerRequest::Cancel(id) => {
-                self.waiting.insert(ticket, reply);
+                self.pending_replies.insert(ticket, reply);
                 self.core.cancel(&id, ticket, now);
                 return;
             }
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -24,7 +24,7 @@
 use crate::workflow::fact::{LogOwner, Run};
 use crate::workflow::follow::{self, StoreUpdate};
 use crate::workflow::life::Incarnation;
-use crate::workflow::log::{Lost, Replayed, Written};
+use crate::workflow::log::{AppendError, Replayed, Written};
 use crate::workflow::machines::{Done, MachineOrder};
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
@@ -45,7 +45,7 @@
 const HAND_OVER_PAUSE: Duration = Duration::from_millis(500);
 
 /// A question to the owner and where its answer goes.
-pub struct Asked {
+pub struct OwnerRequest {
     /// Question.
     pub ask: PeerRequest,
     /// Where the answer goes.
@@ -53,17 +53,17 @@
 }
 
 /// What comes back from outside.
-enum Input {
+enum Event {
     Looked(Incarnation, Result<PollReply, Failure>),
-    Answered(Incarnation, Run, Order, Result<OrderReply, Failure>),
-    Appended(u64, Result<Written, Lost>),
+    OrderCompleted(Incarnation, Run, Order, Result<OrderReply, Failure>),
+    Appended(u64, Result<Written, AppendError>),
     Workers(StoreUpdate),
     Advised(StepKey, Duration, Result<Tickets, Failure>),
     Duty(Arc<str>, MachineOrder, Result<Done, Failure>),
-    Told(u64, bool, bool),
-    HandedOver(bool),
+    WaveStatusWritten(u64, bool, bool),
+    HandoverFinished(bool),
     /// The owner at this epoch, which this one replaced, has ended.
-    Cleared(u64),
+    PredecessorEnded(u64),
 }
 
 /// Begins to own the log as `lead`.
@@ -75,11 +75,11 @@
     let (sender, asked) = mpsc::channel(QUEUE);
     node.set_owner(Some(sender));
     node.adopt_lead(&lead);
-    node.keep_members(lead.epoch);
+    node.own_member_list(lead.epoch);
     task::spawn_local(run(node.clone(), lead, asked));
 }
 
-async fn run(node: Rc<Node>, lead: LogOwner, asked: mpsc::Receiver<Asked>) {
+async fn run(node: Rc<Node>, lead: LogOwner, asked: mpsc::Receiver<OwnerRequest>) {
     let start = Moment::now();
     announce(&node, &lead);
     let replayed = loop {
@@ -102,7 +102,7 @@
     node.metrics.note_takeover(start.elapsed());
     tracing::info!(
         epoch = lead.epoch,
-        next = replayed.next,
+        next = replayed.next_position,
         jobs = replayed.book.jobs.len(),
         open = replayed.book.open().len(),
         took_ms = start.elapsed().as_millis(),
@@ -114,7 +114,7 @@
         node.settings.tuning,
         lead.epoch,
         replayed.book,
-        replayed.next,
+        replayed.next_position,
         now,
     );
     let mut owner = Owner {
@@ -122,19 +122,19 @@
         lead,
         core,
         start,
-        asked,
-        inputs,
+        requests: asked,
+        events: inputs,
         sender,
-        waiting: HashMap::new(),
+        pending_replies: HashMap::new(),
         next_ticket: 0,
         snapshot: None,
         compaction: None,
-        handing: None,
-        told: BTreeSet::new(),
-        unread: unread::Unread::default(),
-        counted: Counts::default(),
-        shown: Instant::now(),
-        over: false,
+        last_handover: None,
+        written_waves: BTreeSet::new(),
+        unread: unread::UnreadableEntries::default(),
+        last_counts: Counts::default(),
+        last_published: Instant::now(),
+        stopped: false,
     };
     owner.serve().await;
     let counts = owner.core.counts();
@@ -145,7 +145,7 @@
     );
     node.set_owner(None);
     node.metrics.forget_waits();
-    owner.refuse_waiting();
+    owner.reject_pending();
 }
 
 /// Reads the log, unless it has another owner by now.
@@ -170,7 +170,7 @@
 }
 
 fn announce(node: &Rc<Node>, lead: &LogOwner) {
-    for address in node.others() {
+    for address in node.peer_addresses() {
         let (node, lead) = (node.clone(), lead.clone());
         task::spawn_local(async move {
             let ask = PeerRequest::OwnerIs(lead);
@@ -190,26 +190,26 @@
     lead: LogOwner,
     core: Core,
     start: Moment,
-    asked: mpsc::Receiver<Asked>,
-    inputs: mpsc::Receiver<Input>,
-    sender: mpsc::Sender<Input>,
-    waiting: HashMap<Ticket, oneshot::Sender<Reply>>,
+    requests: mpsc::Receiver<OwnerRequest>,
+    events: mpsc::Receiver<Event>,
+    sender: mpsc::Sender<Event>,
+    pending_replies: HashMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: u64,
     snapshot: Option<(u64, Vec<u8>)>,
     compaction: Option<JoinHandle<()>>,
-    handing: Option<Instant>,
-    told: BTreeSet<(u64, bool)>,
+    last_handover: Option<Instant>,
+    written_waves: BTreeSet<(u64, bool)>,
     /// Workers' entries that cannot be read.
-    unread: unread::Unread,
-    counted: Counts,
-    shown: Instant,
-    over: bool,
+    unread: unread::UnreadableEntries,
+    last_counts: Counts,
+    last_published: Instant,
+    stopped: bool,
 }
 
 impl Owner {
     async fn serve(&mut self) {
         self.follow_workers();
-        self.clear_former();
+        self.watch_predecessor();
         let mut waves = self.node.watch_waves();
         waves.mark_changed();
         let mut evacuations = self.node.watch_evacuations();
@@ -219,11 +219,11 @@
         let mut tick = time::interval(TICK);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         let mut polled = Instant::now();
-        while !self.over {
+        while !self.stopped {
             tokio::select! {
                 biased;
-                input = self.inputs.recv() => self.take_inputs(input),
-                asked = self.asked.recv() => self.take_asked(asked),
+                input = self.events.recv() => self.handle_events(input),
+                asked = self.requests.recv() => self.handle_requests(asked),
                 _ = tick.tick() => {}
             }
             if config.has_changed().unwrap_or(false) {
@@ -232,7 +232,7 @@
             // What comes at the same time is decided together.
             if polled.elapsed() < POLL {
                 time::sleep_until(polled + POLL).await;
-                self.take_waiting();
+                self.drain_ready();
             }
             polled = Instant::now();
             let now = self.now();
@@ -242,17 +242,17 @@
                 }
             }
             if evacuations.has_changed().unwrap_or(false) {
-                self.take_evacuations(&evacuations.borrow_and_update(), now);
+                self.update_evacuations(&evacuations.borrow_and_update(), now);
             }
-            self.tell_waves();
+            self.write_wave_status();
             self.choose_relays();
             for effect in self.core.poll(now) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
             self.consider_hand_over(now);
-            self.show(now);
-            self.over |= self.core.is_superseded();
-            self.over |= self
+            self.publish_state(now);
+            self.stopped |= self.core.is_superseded();
+            self.stopped |= self
                 .node
                 .lead()
                 .is_none_or(|lead| lead.epoch != self.lead.epoch);
@@ -260,19 +260,19 @@
     }
 
     fn choose_relays(&self) {
-        let calls = &self.node.calls;
+        let calls = &self.node.worker_client;
         let workers = self.core.workers().len();
-        if calls.is_due(workers) {
-            calls.choose(workers, &self.node.members());
+        if calls.is_relay_choice_due(workers) {
+            calls.choose_relays(workers, &self.node.members());
         }
     }
 
-    fn take_waiting(&mut self) {
-        if let Ok(input) = self.inputs.try_recv() {
-            self.take_inputs(Some(input));
+    fn drain_ready(&mut self) {
+        if let Ok(input) = self.events.try_recv() {
+            self.handle_events(Some(input));
         }
-        if let Ok(asked) = self.asked.try_recv() {
-            self.take_asked(Some(asked));
+        if let Ok(asked) = self.requests.try_recv() {
+            self.handle_requests(Some(asked));
         }
     }
 
@@ -283,12 +283,12 @@
     fn follow_workers(&self) {
         let (sender, mut seen) = mpsc::channel(16);
         let prefix = self.node.dialect.worker_prefix();
-        let (store, patience) = (self.node.store.clone(), self.node.watch_patience());
+        let (store, patience) = (self.node.store.clone(), self.node.watch_long_poll_wait());
         task::spawn_local(follow::follow(store, prefix, patience, sender));
         let inputs = self.sender.clone();
         task::spawn_local(async move {
             while let Some(seen) = seen.recv().await {
-                if inputs.send(Input::Workers(seen)).await.is_err() {
+                if inputs.send(Event::Workers(seen)).await.is_err() {
                     return;
                 }
             }
@@ -296,36 +296,36 @@
     }
 
     /// Counts what was done, and shows the state for a dump.
-    fn show(&mut self, now: Now) {
-        if self.shown.elapsed() < SHOW {
+    fn publish_state(&mut self, now: Now) {
+        if self.last_published.elapsed() < SHOW {
             return;
         }
-        self.shown = Instant::now();
+        self.last_published = Instant::now();
         let counts = self.core.counts();
-        self.node.metrics.note_counts(&self.counted, &counts);
+        self.node.metrics.note_counts(&self.last_counts, &counts);
         for times in self.core.drain_job_times() {
             self.node.metrics.note_times(&times);
         }
-        self.counted = counts;
+        self.last_counts = counts;
         let gates = self.core.workers_by_eligibility(now);
         self.node
             .metrics
             .note_waits(&self.core.summarize_waits(now), &gates);
-        let calls = &self.node.calls;
+        let calls = &self.node.worker_client;
         self.node.metrics.note_pressure(
             self.core.pressure(),
             calls.relays().len(),
-            calls.carried(),
+            calls.relayed_count(),
         );
-        self.node.show_owned(&self.core.dump(now));
+        self.node.publish_dump(&self.core.dump(now));
     }
 
     /// Entries that were not confirmed may have been written.
-    fn refuse_waiting(&mut self) {
-        for (_, reply) in self.waiting.drain() {
+    fn reject_pending(&mut self) {
+        for (_, reply) in self.pending_replies.drain() {
             let _ = reply.send(Reply::Unknown);
         }
-        while let Ok(asked) = self.asked.try_recv() {
+        while let Ok(asked) = self.requests.try_recv() {
             let _ = asked.reply.send(Reply::NotOwner);
         }
     }
--- a/ashtiller/src/workflow/owner/unread.rs
+++ b/ashtiller/src/workflow/owner/unread.rs
@@ -8,9 +8,9 @@
 
 /// Entries that cannot be read, by key, with the revision that was told.
 #[derive(Debug, Default)]
-pub struct Unread(BTreeMap<Arc<str>, u64>);
+pub struct UnreadableEntries(BTreeMap<Arc<str>, u64>);
 
-impl Unread {
+impl UnreadableEntries {
     /// Whether this revision of an entry was not told before.
     pub fn is_new(&mut self, key: &Arc<str>, revision: u64) -> bool {
         if self.0.len() >= MOST {
--- a/ashtiller/src/workflow/peers.rs
+++ b/ashtiller/src/workflow/peers.rs
@@ -124,7 +124,7 @@
                 Ok(Err(error)) => error.to_string(),
                 // What else was heard since says that the connection lives.
                 Err(_) if link.heard.get() >= sent => {
-                    return Err(Failure::unknown(step, address, "no answer in time"));
+                    return Err(Failure::unknown_effect(step, address, "no answer in time"));
                 }
                 Err(_) => "no answer in time".to_owned(),
             },
@@ -132,7 +132,7 @@
             never = self.doubt(step, &link, sent) => match never {},
         };
         self.forget(&link);
-        Err(Failure::unknown(step, address, cause))
+        Err(Failure::unknown_effect(step, address, cause))
     }
 
     /// Has the connection checked whenever it is silent for long.
@@ -198,8 +198,8 @@
     async fn open(&self, step: &'static str, address: SocketAddr) -> Result<Rc<Link>, Failure> {
         let stream = time::timeout(CONNECT, self.dial.dial(address))
             .await
-            .map_err(|_| Failure::none(step, address, "no connection in time"))?
-            .map_err(|error| Failure::none(step, address, error))?;
+            .map_err(|_| Failure::no_effect(step, address, "no connection in time"))?
+            .map_err(|error| Failure::no_effect(step, address, error))?;
         let (reader, writer) = io::split(stream);
         let network = calls::network_over(reader, writer, Side::Client, &self.bytes);
         let mut system = RpcSystem::new(Box::new(network), None);
--- a/ashtiller/src/workflow/relay/carrier.rs
+++ b/ashtiller/src/workflow/relay/carrier.rs
@@ -12,7 +12,7 @@
 use crate::workflow::agents::{WorkerClient, Order};
 use crate::workflow::message::PeerRequest;
 use crate::workflow::peers::PeerConnections;
-use crate::workflow::relay::{Call, GATHER, MESSAGE_LIMIT, Outcome, Parcel, Parcels, Results};
+use crate::workflow::relay::{Call, BATCH_DELAY, MESSAGE_LIMIT, Outcome, RelayedCall, CallBatch, ResultBatch};
 
 /// Payloads kept of one session; a job's tasks start within seconds of each other.
 const PAYLOADS_MAX: usize = 4096;
@@ -45,7 +45,7 @@
 }
 
 /// Makes calls for owners.
-pub struct Carrier {
+pub struct RelayServer {
     agents: Arc<dyn WorkerClient>,
     links: Rc<PeerConnections>,
     sessions: RefCell<BTreeMap<u64, Session>>,
@@ -53,7 +53,7 @@
     order: RefCell<VecDeque<u64>>,
 }
 
-impl Carrier {
+impl RelayServer {
     /// A relay that has no calls yet.
     #[must_use]
     pub fn new(agents: Arc<dyn WorkerClient>, links: Rc<PeerConnections>) -> Rc<Self> {
@@ -66,7 +66,7 @@
     }
 
     /// Begins to make the calls, each on its own.
-    pub fn carry(self: &Rc<Self>, parcels: Parcels) {
+    pub fn execute_batch(self: &Rc<Self>, parcels: CallBatch) {
         let (owner, session) = (parcels.owner, parcels.session);
         self.open_session(session, parcels.payloads);
         for parcel in parcels.parcels {
@@ -93,7 +93,7 @@
         sessions.entry(session).or_default().learn(payloads);
     }
 
-    async fn call(&self, session: u64, parcel: Parcel) -> Outcome {
+    async fn call(&self, session: u64, parcel: RelayedCall) -> Outcome {
         match parcel.call {
             Call::Order(mut order) => {
                 if let Order::Start(start) = &mut order {
@@ -125,7 +125,7 @@
         }
         let carrier = self.clone();
         task::spawn_local(async move {
-            time::sleep(GATHER).await;
+            time::sleep(BATCH_DELAY).await;
             carrier.send(owner, session).await;
         });
     }
@@ -134,7 +134,7 @@
     async fn send(&self, owner: SocketAddr, session: u64) {
         while let Some(results) = self.take_results(session) {
             let count = results.len();
-            let ask = PeerRequest::RelayResults(Box::new(Results { session, results }));
+            let ask = PeerRequest::RelayResults(Box::new(ResultBatch { session, results }));
             // The owner asks again for what it misses: ends stay listed until acknowledged.
             if let Err(failure) = self
                 .links
--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -24,12 +24,12 @@
 
 /// For how long calls and results are gathered, so that one message carries many: a tenth
 /// of the time for which facts are gathered into an entry, twice over.
-pub const GATHER: Duration = Duration::from_millis(6);
+pub const BATCH_DELAY: Duration = Duration::from_millis(6);
 /// Time limit of a message between an owner and its relay, which only takes note of it.
 pub const MESSAGE_LIMIT: Duration = Duration::from_millis(700);
 /// Longest time from a call's decision until its relay begins to make it: it waits for the
 /// message under way, and goes with the next one.
-pub const QUEUED_MAX: Duration = MESSAGE_LIMIT.saturating_mul(2).saturating_add(GATHER);
+pub const MAX_QUEUE_DELAY: Duration = MESSAGE_LIMIT.saturating_mul(2).saturating_add(BATCH_DELAY);
 
 /// A call to a worker.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -42,7 +42,7 @@
 
 /// A call that a relay is to make.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Parcel {
+pub struct RelayedCall {
     /// Number of the call in its session.
     pub number: u64,
     /// Worker.
@@ -53,7 +53,7 @@
 
 /// Calls from an owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Parcels {
+pub struct CallBatch {
     /// Where results go.
     pub owner: SocketAddr,
     /// Number of the session, within which payloads are sent once.
@@ -61,7 +61,7 @@
     /// Payloads of jobs by their ids, for the starts from here on.
     pub payloads: Vec<(Arc<str>, Arc<str>)>,
     /// Calls.
-    pub parcels: Vec<Parcel>,
+    pub parcels: Vec<RelayedCall>,
 }
 
 /// What came of a call.
@@ -88,7 +88,7 @@
 
 /// What came of calls.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Results {
+pub struct ResultBatch {
     /// Number of the session.
     pub session: u64,
     /// Calls by their numbers.
--- a/ashtiller/src/workflow/relay/route.rs
+++ b/ashtiller/src/workflow/relay/route.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub struct Routes {
     zones: BTreeMap<Arc<str>, SocketAddr>,
-    down: BTreeMap<SocketAddr, Instant>,
+    excluded: BTreeMap<SocketAddr, Instant>,
     failures: BTreeMap<SocketAddr, u32>,
     direct: BTreeMap<Arc<str>, Detour>,
 }
@@ -39,11 +39,11 @@
     /// Chooses the relay of each zone among the other instances: the largest, and of several
     /// the first by name, so that the choice rests.
     pub fn choose(&mut self, members: &[Member], own: SocketAddr, now: Instant) {
-        self.down.retain(|_, until| *until > now);
+        self.excluded.retain(|_, until| *until > now);
         self.direct.retain(|_, detour| detour.until > now);
         let mut best: BTreeMap<Arc<str>, &Member> = BTreeMap::new();
         let fit = members.iter().filter(|member| {
-            member.address != own && !member.leaving && !self.down.contains_key(&member.address)
+            member.address != own && !member.leaving && !self.excluded.contains_key(&member.address)
         });
         for member in fit {
             let known = best.entry(member.zone.clone()).or_insert(member);
@@ -58,7 +58,7 @@
 
     /// The relay for a worker, if it has one now.
     #[must_use]
-    pub fn find(&self, zone: &str, worker: &str, now: Instant) -> Option<SocketAddr> {
+    pub fn relay_for(&self, zone: &str, worker: &str, now: Instant) -> Option<SocketAddr> {
         let detour = self.direct.get(worker);
         if detour.is_some_and(|detour| detour.until > now) {
             return None;
@@ -82,7 +82,7 @@
 
     /// A worker has answered a direct call. If it was not reached over a relay just before, that
     /// is the relay's fault; one that answers neither way says nothing of it.
-    pub fn note_direct(&mut self, worker: &str, now: Instant) {
+    pub fn note_direct_answer(&mut self, worker: &str, now: Instant) {
         let detour = self.direct.get_mut(worker);
         let Some(relay) = detour.and_then(|detour| detour.over.take()) else {
             return;
@@ -90,14 +90,14 @@
         let failures = self.failures.entry(relay).or_insert(0);
         *failures += 1;
         if *failures >= FAILURES_MAX {
-            self.drop_relay(relay, now);
+            self.exclude_relay(relay, now);
         }
     }
 
     /// An instance is not a relay for a while.
-    pub fn drop_relay(&mut self, relay: SocketAddr, now: Instant) {
+    pub fn exclude_relay(&mut self, relay: SocketAddr, now: Instant) {
         self.failures.remove(&relay);
-        if self.down.insert(relay, now + DOWN).is_none() {
+        if self.excluded.insert(relay, now + DOWN).is_none() {
             tracing::info!(%relay, "relay fails; its zone has another, or none");
         }
         self.zones.retain(|_, address| *address != relay);
--- a/ashtiller/src/workflow/relay/sender.rs
+++ b/ashtiller/src/workflow/relay/sender.rs
@@ -19,12 +19,12 @@
 use crate::workflow::peers::PeerConnections;
 use crate::workflow::relay::route::Routes;
 use crate::workflow::relay::{
-    Call, GATHER, MESSAGE_LIMIT, Outcome, Parcel, Parcels, QUEUED_MAX, Results,
+    Call, BATCH_DELAY, MESSAGE_LIMIT, Outcome, RelayedCall, CallBatch, MAX_QUEUE_DELAY, ResultBatch,
 };
 
 /// Workers from which on calls go over relays. With fewer, one instance's conversation takes
 /// under a tenth of a core, and the way over another only costs.
-pub const RELAYED_MIN: usize = 120;
+pub const MIN_RELAYED_WORKERS: usize = 120;
 /// Time that the way over a relay may take beyond the worker's own: two gatherings, and two
 /// ways between zones.
 const DETOUR: Duration = Duration::from_millis(150);
@@ -36,7 +36,7 @@
 struct Queue {
     session: u64,
     /// Calls that wait, since when.
-    parcels: Vec<(Moment, Parcel)>,
+    parcels: Vec<(Moment, RelayedCall)>,
     payloads: Vec<(Arc<str>, Arc<str>)>,
     /// Jobs whose payloads the relay has.
     known: HashSet<Arc<str>>,
@@ -50,7 +50,7 @@
 }
 
 /// Calls to workers, directly or over relays.
-pub struct Sender {
+pub struct RelayClient {
     agents: Arc<dyn WorkerClient>,
     links: Rc<PeerConnections>,
     own: SocketAddr,
@@ -61,10 +61,10 @@
     queues: RefCell<HashMap<SocketAddr, Queue>>,
     waiting: RefCell<HashMap<u64, Waiting>>,
     next: Cell<u64>,
-    carried: Cell<u64>,
+    relayed_count: Cell<u64>,
 }
 
-impl Sender {
+impl RelayClient {
     /// Calls go directly until relays are chosen; results come to `own`.
     #[must_use]
     pub fn new(agents: Arc<dyn WorkerClient>, links: Rc<PeerConnections>, own: SocketAddr) -> Rc<Self> {
@@ -78,7 +78,7 @@
             queues: RefCell::default(),
             waiting: RefCell::default(),
             next: Cell::new(1),
-            carried: Cell::default(),
+            relayed_count: Cell::default(),
         })
     }
 
@@ -86,24 +86,24 @@
     /// once when it has become large. A new owner knows no workers at first; without relays when
     /// the first list comes it opened connections of its own: 4,169 files with 3,000 workers.
     #[must_use]
-    pub fn is_due(&self, workers: usize) -> bool {
-        let grown = workers >= RELAYED_MIN && !self.large.get();
+    pub fn is_relay_choice_due(&self, workers: usize) -> bool {
+        let grown = workers >= MIN_RELAYED_WORKERS && !self.large.get();
         grown || self.chosen.get().is_none_or(|at| at.elapsed() >= CHOOSE)
     }
 
     /// Chooses relays for a fleet of so many workers.
-    pub fn choose(&self, workers: usize, members: &[Member]) {
+    pub fn choose_relays(&self, workers: usize, members: &[Member]) {
         let now = Instant::now();
         self.chosen.set(Some(now));
-        self.large.set(workers >= RELAYED_MIN);
+        self.large.set(workers >= MIN_RELAYED_WORKERS);
         let members = if self.large.get() { members } else { &[] };
         self.routes.borrow_mut().choose(members, self.own, now);
     }
 
     /// Calls that went over relays so far.
     #[must_use]
-    pub fn carried(&self) -> u64 {
-        self.carried.get()
+    pub fn relayed_count(&self) -> u64 {
+        self.relayed_count.get()
     }
 
     /// Relays by availability zone, for a dump.
@@ -155,14 +155,14 @@
     fn note_direct(&self, to: &Target, answered: bool) {
         if answered {
             let mut routes = self.routes.borrow_mut();
-            routes.note_direct(to.incarnation.id(), Instant::now());
+            routes.note_direct_answer(to.incarnation.id(), Instant::now());
         }
     }
 
     fn find(&self, to: &Target) -> Option<SocketAddr> {
         self.routes
             .borrow()
-            .find(&to.zone, to.incarnation.id(), Instant::now())
+            .relay_for(&to.zone, to.incarnation.id(), Instant::now())
     }
 
     async fn call(
@@ -180,7 +180,7 @@
         self.waiting.borrow_mut().insert(number, waiting);
         self.enqueue(
             relay,
-            Parcel {
+            RelayedCall {
                 number,
                 to: to.clone(),
                 call,
@@ -198,14 +198,14 @@
                 }
                 Ok(outcome)
             }
-            Ok(Err(_)) => Err(Failure::unknown(
+            Ok(Err(_)) => Err(Failure::unknown_effect(
                 step,
                 to.address,
                 "the relay was lost, no answer in time",
             )),
             Err(_) => {
                 routes.note_failure(relay, to.incarnation.id(), Instant::now());
-                Err(Failure::unknown(
+                Err(Failure::unknown_effect(
                     step,
                     to.address,
                     "no answer over the relay in time",
@@ -215,7 +215,7 @@
     }
 
     /// Puts a call into the next message to a relay.
-    fn enqueue(self: &Rc<Self>, relay: SocketAddr, mut parcel: Parcel) {
+    fn enqueue(self: &Rc<Self>, relay: SocketAddr, mut parcel: RelayedCall) {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(relay).or_insert_with(|| Queue {
             session: rand::random(),
@@ -233,7 +233,7 @@
         }
         let sender = self.clone();
         task::spawn_local(async move {
-            time::sleep(GATHER).await;
+            time::sleep(BATCH_DELAY).await;
             sender.send(relay).await;
         });
     }
@@ -249,7 +249,7 @@
                 .ask("give calls", relay, &ask, MESSAGE_LIMIT)
                 .await
             {
-                Ok(_) => self.carried.set(self.carried.get() + count),
+                Ok(_) => self.relayed_count.set(self.relayed_count.get() + count),
                 Err(failure) => {
                     tracing::info!(%failure, count, "calls not given to a relay");
                     self.lose(relay);
@@ -259,18 +259,18 @@
     }
 
     /// What waits for a relay; with nothing, the next call begins a message of its own.
-    fn take_parcels(&self, relay: SocketAddr) -> Option<Parcels> {
+    fn take_parcels(&self, relay: SocketAddr) -> Option<CallBatch> {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.get_mut(&relay)?;
         // While the process was stopped, what a call was decided on may have changed.
         queue
             .parcels
-            .retain(|(since, _)| since.elapsed() + MESSAGE_LIMIT <= QUEUED_MAX);
+            .retain(|(since, _)| since.elapsed() + MESSAGE_LIMIT <= MAX_QUEUE_DELAY);
         if queue.parcels.is_empty() {
             queue.sending = false;
             return None;
         }
-        Some(Parcels {
+        Some(CallBatch {
             owner: self.own,
             session: queue.session,
             payloads: std::mem::take(&mut queue.payloads),
@@ -280,7 +280,7 @@
 
     /// A relay is lost: its calls have ended, and their workers are called otherwise.
     fn lose(&self, relay: SocketAddr) {
-        self.routes.borrow_mut().drop_relay(relay, Instant::now());
+        self.routes.borrow_mut().exclude_relay(relay, Instant::now());
         self.renew(relay);
         if let Some(queue) = self.queues.borrow_mut().get_mut(&relay) {
             queue.parcels.clear();
@@ -304,7 +304,7 @@
     }
 
     /// Takes what came of calls.
-    pub fn take(&self, results: Results) {
+    pub fn take(&self, results: ResultBatch) {
         let mut waiting = self.waiting.borrow_mut();
         for (number, outcome) in results.results {
             if let Some(waiting) = waiting.remove(&number) {
@@ -317,8 +317,8 @@
 
 fn fail(step: &'static str, to: &Target, outcome: &Outcome) -> Failure {
     match outcome {
-        Outcome::Failed(cause, true) => Failure::unknown(step, to.address, cause),
-        Outcome::Failed(cause, false) => Failure::none(step, to.address, cause),
-        _ => Failure::none(step, to.address, "the relay lacks the job's payload"),
+        Outcome::Failed(cause, true) => Failure::unknown_effect(step, to.address, cause),
+        Outcome::Failed(cause, false) => Failure::no_effect(step, to.address, cause),
+        _ => Failure::no_effect(step, to.address, "the relay lacks the job's payload"),
     }
 }
--- a/ashtiller/src/workflow/terms.rs
+++ b/ashtiller/src/workflow/terms.rs
@@ -4,7 +4,7 @@
 
 use crate::workflow::agents::ORDER_TIMEOUT_MIN;
 use crate::workflow::follow;
-use crate::workflow::relay::QUEUED_MAX;
+use crate::workflow::relay::MAX_QUEUE_DELAY;
 use crate::workflow::switches::Switches;
 
 /// Longest lease that is of use: a service whose worker has gone without a word starts
@@ -12,7 +12,7 @@
 pub const LEASE_MAX: Duration = Duration::from_secs(6);
 
 /// Time for which a start is under way at most while workers answer as usual.
-pub const START_MAX: Duration = QUEUED_MAX.saturating_add(ORDER_TIMEOUT_MIN);
+pub const START_MAX: Duration = MAX_QUEUE_DELAY.saturating_add(ORDER_TIMEOUT_MIN);
 
 /// Times and limits. The platform's bounds come from the settings; what is ours is
 /// explained where [`Terms::default`] sets it.
--- a/ashtiller/tests/fleet/node.rs
+++ b/ashtiller/tests/fleet/node.rs
@@ -7,7 +7,7 @@
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
 use ashtiller::fact::{Body, Entry, Fact};
-use ashtiller::fit::Gentle;
+use ashtiller::fit::InterferenceAware;
 use ashtiller::peer::Submission;
 use ashtiller::plan::{self, Planner};
 use ashtiller::reconcile::{self, StepContext};
@@ -66,7 +66,7 @@
             alive: true,
             superseded: false,
             cell,
-            planner: Planner::new(Box::new(Gentle), terms),
+            planner: Planner::new(Box::new(InterferenceAware), terms),
             terms,
             epoch,
             writer,
--- a/ashtiller/tests/links/entries.rs
+++ b/ashtiller/tests/links/entries.rs
@@ -117,7 +117,7 @@
     if let Ok(listed) = dialect.worker(&key(), bytes) {
         // What is read can be reckoned with: a hundred such workers do not overflow.
         let sum = (0..100).fold(listed.capacity, |sum, _| sum.plus(&listed.capacity));
-        assert!(listed.capacity.fits(&sum));
+        assert!(listed.capacity.fits_within(&sum));
     }
     for name in ["config", "wave/3", "wave/x", "other"] {
         let _ = dialect.operated(&format!("{operators}{name}"), bytes);
--- a/ashtiller/tests/links/follower.rs
+++ b/ashtiller/tests/links/follower.rs
@@ -12,7 +12,7 @@
 use ashtiller::workflow::agents::{WorkerClient, Poll, PollReply, Order, OrderReply, Target};
 use ashtiller::workflow::config::{Config, PlatformCodec, ListedWorker, OperatorEntry};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
-use ashtiller::workflow::node::{Node, Outside};
+use ashtiller::workflow::node::{Node, Dependencies};
 use ashtiller::workflow::settings::Settings;
 use bytes::Bytes;
 use tokio::time;
@@ -108,11 +108,11 @@
 
 impl WorkerClient for Nobody {
     fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> Called<'a, OrderReply> {
-        Box::pin(async move { Err(Failure::none("order", &to.incarnation, "there are no workers")) })
+        Box::pin(async move { Err(Failure::no_effect("order", &to.incarnation, "there are no workers")) })
     }
 
     fn poll<'a>(&'a self, to: &'a Target, _: &'a Poll) -> Called<'a, PollReply> {
-        Box::pin(async move { Err(Failure::none("look", &to.incarnation, "there are no workers")) })
+        Box::pin(async move { Err(Failure::no_effect("look", &to.incarnation, "there are no workers")) })
     }
 }
 
@@ -146,7 +146,7 @@
 pub async fn open(net: &Rc<Net>, peer: &Rc<Peer>) -> (Rc<Node>, Arc<Memory>) {
     net.host(crate::peer::ADDRESS, peer.clone());
     let store = Arc::new(Memory::default());
-    let outside = Outside {
+    let outside = Dependencies {
         store: store.clone(),
         agents: Arc::new(Nobody),
         advisor: None,
@@ -160,7 +160,7 @@
         version: 1,
         ..Config::default()
     }));
-    node.log.seize(&Peer::as_lead(), 0).await.expect("lead");
+    node.log.acquire(&Peer::as_lead(), 0).await.expect("lead");
     node.spawn();
     while peer.greeted.borrow().len() < 8 {
         time::sleep(CALL).await;
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -12,8 +12,8 @@
 use ashtiller::workflow::link::RequestHandler;
 use ashtiller::workflow::membership::member::Member;
 use ashtiller::workflow::message::{PeerRequest, Reply};
-use ashtiller::workflow::relay::carrier::Carrier;
-use ashtiller::workflow::relay::sender::{RELAYED_MIN, Sender};
+use ashtiller::workflow::relay::carrier::RelayServer;
+use ashtiller::workflow::relay::sender::{MIN_RELAYED_WORKERS, RelayClient};
 use futures_util::future::LocalBoxFuture;
 use parking_lot::Mutex;
 use tokio::task::{self, LocalSet};
@@ -49,10 +49,10 @@
         Box::pin(async move {
             if cut {
                 time::sleep(to.timeout).await;
-                return Err(Failure::unknown("start", to.address, "no answer in time"));
+                return Err(Failure::unknown_effect("start", to.address, "no answer in time"));
             }
             if down {
-                return Err(Failure::none("start", to.address, "connection refused"));
+                return Err(Failure::no_effect("start", to.address, "connection refused"));
             }
             Ok(OrderReply::Done(7))
         })
@@ -74,7 +74,7 @@
 
 /// The instance that relays.
 struct Relay {
-    carrier: RefCell<Rc<Carrier>>,
+    carrier: RefCell<Rc<RelayServer>>,
     frozen: Cell<bool>,
 }
 
@@ -85,7 +85,7 @@
                 return std::future::pending().await;
             }
             if let PeerRequest::RelayCalls(parcels) = ask {
-                self.carrier.borrow().carry(*parcels);
+                self.carrier.borrow().execute_batch(*parcels);
             }
             Reply::Noted
         })
@@ -93,7 +93,7 @@
 }
 
 /// The owner's instance.
-struct Owner(Rc<Sender>);
+struct Owner(Rc<RelayClient>);
 
 impl RequestHandler for Owner {
     fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
@@ -108,7 +108,7 @@
     net: Rc<Net>,
     workers: Arc<Workers>,
     relay: Rc<Relay>,
-    sender: Rc<Sender>,
+    sender: Rc<RelayClient>,
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -127,13 +127,13 @@
             })
         };
         let relay = Rc::new(Relay {
-            carrier: RefCell::new(Carrier::new(view("relay"), net.links())),
+            carrier: RefCell::new(RelayServer::new(view("relay"), net.links())),
             frozen: Cell::new(false),
         });
         net.host(address(2), relay.clone());
-        let sender = Sender::new(view("owner"), net.links(), address(1));
+        let sender = RelayClient::new(view("owner"), net.links(), address(1));
         net.host(address(1), Rc::new(Owner(sender.clone())));
-        sender.choose(workers, &[member()]);
+        sender.choose_relays(workers, &[member()]);
         Self {
             net,
             workers: fleet,
@@ -160,7 +160,7 @@
             workers: self.workers.clone(),
             from: "relay",
         };
-        let carrier = Carrier::new(Arc::new(view), self.net.links());
+        let carrier = RelayServer::new(Arc::new(view), self.net.links());
         *self.relay.carrier.borrow_mut() = carrier;
     }
 }
@@ -215,7 +215,7 @@
 #[test]
 fn what_a_worker_gets_over_a_relay_is_what_the_owner_sent() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
         for index in 0..3 {
             assert_eq!(scene.start(index).await, Ok(OrderReply::Done(7)));
         }
@@ -228,7 +228,7 @@
 #[test]
 fn a_small_fleet_is_called_directly() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN - 1);
+        let scene = Scene::open(MIN_RELAYED_WORKERS - 1);
         assert_eq!(scene.start(0).await, Ok(OrderReply::Done(7)));
         assert_eq!(scene.callers(), ["owner"]);
     });
@@ -237,7 +237,7 @@
 #[test]
 fn calls_that_come_together_go_together() {
     play(async {
-        let scene = Rc::new(Scene::open(RELAYED_MIN));
+        let scene = Rc::new(Scene::open(MIN_RELAYED_WORKERS));
         let calls = (0..50).map(|index| {
             let scene = scene.clone();
             task::spawn_local(async move { scene.start(index).await })
@@ -253,7 +253,7 @@
 #[test]
 fn a_relay_that_says_nothing_is_replaced_by_direct_calls() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
         assert!(scene.start(0).await.is_ok());
         scene.relay.frozen.set(true);
         assert_eq!(scene.start(1).await, Err(Effect::Unknown));
@@ -270,9 +270,9 @@
 #[test]
 fn a_relay_that_is_gone_costs_no_call_its_outcome_for_long() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
-        scene.sender.choose(
-            RELAYED_MIN,
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
+        scene.sender.choose_relays(
+            MIN_RELAYED_WORKERS,
             &[Member {
                 address: address(3),
                 ..member()
@@ -289,7 +289,7 @@
 #[test]
 fn a_relay_that_began_anew_gets_the_payload_again() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
         assert!(scene.start(0).await.is_ok());
         scene.restart_relay();
         assert_eq!(scene.start(1).await, Err(Effect::None), "it knows no job");
@@ -302,7 +302,7 @@
 #[test]
 fn connections_that_go_silent_are_noticed_within_a_second() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
         assert!(scene.start(0).await.is_ok());
         scene.net.strike();
         let began = time::Instant::now();
@@ -317,7 +317,7 @@
 #[test]
 fn looks_over_a_relay_wait_as_long_as_they_are_told() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
         let look = Poll {
             until: Some(6007),
             ends_recorded: 3,
@@ -339,10 +339,10 @@
 fn relays_are_chosen_at_once_when_a_new_owner_learns_of_its_workers() {
     play(async {
         let scene = Scene::open(0);
-        assert!(!scene.sender.is_due(RELAYED_MIN - 1), "just chosen");
-        assert!(scene.sender.is_due(RELAYED_MIN));
-        scene.sender.choose(RELAYED_MIN, &[member()]);
-        assert!(!scene.sender.is_due(RELAYED_MIN), "just chosen");
+        assert!(!scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS - 1), "just chosen");
+        assert!(scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS));
+        scene.sender.choose_relays(MIN_RELAYED_WORKERS, &[member()]);
+        assert!(!scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS), "just chosen");
         assert!(scene.start(0).await.is_ok());
         assert_eq!(scene.callers(), ["relay"]);
     });
@@ -354,7 +354,7 @@
 #[test]
 fn calls_that_waited_while_the_process_was_stopped_are_dropped() {
     play(async {
-        let scene = Rc::new(Scene::open(RELAYED_MIN));
+        let scene = Rc::new(Scene::open(MIN_RELAYED_WORKERS));
         assert!(scene.start(0).await.is_ok());
         let call = {
             let scene = scene.clone();
@@ -375,7 +375,7 @@
 #[test]
 fn workers_that_crash_together_cost_no_relay() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
         *scene.workers.down.lock() = (0..40).map(target).collect();
         for index in 0..40 {
             assert_eq!(scene.start(index).await, Err(Effect::None));
@@ -391,7 +391,7 @@
 #[test]
 fn a_relay_that_is_cut_off_from_its_workers_is_not_used() {
     play(async {
-        let scene = Scene::open(RELAYED_MIN);
+        let scene = Scene::open(MIN_RELAYED_WORKERS);
         assert!(scene.start(0).await.is_ok());
         *scene.workers.cut.lock() = Some("relay");
         for index in 1..=8 {
--- a/ashtiller/tests/membership/heir.rs
+++ b/ashtiller/tests/membership/heir.rs
@@ -4,24 +4,24 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::membership::heir::{self, Reason, Standing};
+use ashtiller::workflow::membership::heir::{self, HandoverReason, OwnerHealth};
 use ashtiller::workflow::membership::member::Member;
 
 use crate::{fleet, name};
 
 const MS: Duration = Duration::from_millis(1);
 
-fn standing() -> Standing {
-    Standing {
+fn standing() -> OwnerHealth {
+    OwnerHealth {
         processors: 120,
         leaving: false,
         stalled: Duration::ZERO,
         store_age: 10 * MS,
-        calm: false,
+        is_stable: false,
     }
 }
 
-fn heir(standing: &Standing, members: &[Member]) -> Option<Member> {
+fn heir(standing: &OwnerHealth, members: &[Member]) -> Option<Member> {
     let reason = standing.reason()?;
     heir::choose(&name(7), standing, reason, members).cloned()
 }
@@ -29,7 +29,7 @@
 #[test]
 fn an_owner_whose_store_answers_other_calls_keeps_the_log() {
     for stalled in [800 * MS, 2000 * MS, 6000 * MS] {
-        let slow = Standing {
+        let slow = OwnerHealth {
             stalled,
             store_age: 300 * MS,
             ..standing()
@@ -40,12 +40,12 @@
 
 #[test]
 fn an_owner_that_lost_the_store_hands_the_log_to_the_largest_that_has_it() {
-    let cut = Standing {
+    let cut = OwnerHealth {
         stalled: 810 * MS,
         store_age: 790 * MS,
         ..standing()
     };
-    assert_eq!(cut.reason(), Some(Reason::Cut(810 * MS)));
+    assert_eq!(cut.reason(), Some(HandoverReason::Cut(810 * MS)));
     let mut members = fleet(60);
     assert_eq!(heir(&cut, &members).map(|it| it.processors), Some(1000));
     for member in &mut members {
@@ -60,7 +60,7 @@
 
 #[test]
 fn an_owner_that_stops_hands_the_log_to_one_that_does_not() {
-    let leaves = Standing {
+    let leaves = OwnerHealth {
         leaving: true,
         ..standing()
     };
@@ -74,8 +74,8 @@
 
 #[test]
 fn a_small_owner_hands_the_log_to_a_larger_one_only() {
-    let calm = Standing {
-        calm: true,
+    let calm = OwnerHealth {
+        is_stable: true,
         ..standing()
     };
     let members = fleet(60);
--- a/ashtiller/tests/membership/list.rs
+++ b/ashtiller/tests/membership/list.rs
@@ -19,9 +19,9 @@
 /// An owner that has heard of all members, and the version that all of them know.
 fn open(size: u32) -> (Members, Version) {
     let mut owner = Members::default();
-    owner.begin(5);
+    owner.begin_ownership(5);
     for member in fleet(size) {
-        owner.hear(member);
+        owner.record_heartbeat(member);
     }
     let version = owner.version();
     (owner, version)
@@ -29,7 +29,7 @@
 
 /// Bytes of what a follower that knows `version` is told; it knows the newest one then.
 fn tell(owner: &Members, version: &mut Version) -> usize {
-    let news = owner.news(*version);
+    let news = owner.changes_since(*version);
     *version = owner.version();
     news.map_or(0, |news| postcard::to_stdvec(&news).unwrap().len())
 }
@@ -43,7 +43,7 @@
             leaving: true,
             ..member(7)
         };
-        owner.hear(leaves);
+        owner.record_heartbeat(leaves);
         bytes += tell(&owner, &mut known);
         for _ in 0..10 {
             time::advance(Duration::from_millis(250)).await;
@@ -51,11 +51,11 @@
                 .into_iter()
                 .filter(|it| it.name != member(7).name)
             {
-                owner.hear(other);
+                owner.record_heartbeat(other);
             }
             bytes += tell(&owner, &mut known);
         }
-        owner.hear(member(7));
+        owner.record_heartbeat(member(7));
         bytes += tell(&owner, &mut known);
         assert!(bytes > 0 && bytes < RESTART, "{bytes} in a fleet of {size}");
     }
@@ -66,7 +66,7 @@
 async fn an_owner_that_stood_still_forgets_nobody() {
     let (mut owner, mut known) = open(300);
     time::advance(Duration::from_secs(5)).await;
-    owner.hear(member(0));
+    owner.record_heartbeat(member(0));
     assert_eq!(tell(&owner, &mut known), 0);
     assert_eq!(owner.iter().count(), 300);
 }
@@ -76,7 +76,7 @@
     let (mut owner, mut known) = open(300);
     time::advance(Duration::from_millis(250)).await;
     for member in fleet(300) {
-        owner.hear(Member {
+        owner.record_heartbeat(Member {
             store_age: member.store_age + 200,
             ..member
         });
@@ -90,16 +90,16 @@
 async fn a_take_over_costs_no_lists() {
     let (mut former, known) = open(300);
     let mut heir = Members::default();
-    heir.take(former.news(Version::default()).unwrap(), known);
-    heir.begin(9);
+    heir.apply_update(former.changes_since(Version::default()).unwrap(), known);
+    heir.begin_ownership(9);
     let mut version = known;
-    heir.hear(Member {
+    heir.record_heartbeat(Member {
         leaving: true,
         ..member(3)
     });
     let bytes = tell(&heir, &mut version);
     assert!(bytes < RESTART, "{bytes}");
-    former.hear(member(300));
+    former.record_heartbeat(member(300));
     let mut ahead = former.version();
     assert!(tell(&heir, &mut ahead) > 300 * 20);
 }
@@ -122,7 +122,7 @@
 
     fn names(&self) -> BTreeMap<Arc<str>, bool> {
         let members = self.list.iter();
-        members.map(|it| (it.name.clone(), it.is_fit())).collect()
+        members.map(|it| (it.name.clone(), it.is_eligible())).collect()
     }
 }
 
@@ -136,10 +136,10 @@
         let member = instances[number].member.clone();
         let known = instances[number].list.version();
         let kept = &mut instances[owner].list;
-        kept.hear(member);
-        let (news, version) = (kept.news(known), kept.version());
+        kept.record_heartbeat(member);
+        let (news, version) = (kept.changes_since(known), kept.version());
         if let Some(news) = news.filter(|_| !lost(random)) {
-            instances[number].list.take(news, version);
+            instances[number].list.apply_update(news, version);
         }
     }
 }
@@ -152,7 +152,7 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut instances: Vec<Instance> = (0..24).map(Instance::new).collect();
         let (mut owner, mut epoch) = (0, 1);
-        instances[0].list.begin(epoch);
+        instances[0].list.begin_ownership(epoch);
         for _ in 0..120 {
             time::advance(Duration::from_millis(250)).await;
             let chosen = random.random_range(0..24);
@@ -162,7 +162,7 @@
                     instances[chosen].up = chosen == owner;
                     if chosen == owner {
                         epoch += 1;
-                        instances[owner].list.begin(epoch);
+                        instances[owner].list.begin_ownership(epoch);
                     }
                 }
                 2 | 3 => instances[chosen].up = true,
@@ -170,7 +170,7 @@
                 5 if instances[chosen].up && chosen != owner => {
                     epoch += 1;
                     owner = chosen;
-                    instances[owner].list.begin(epoch);
+                    instances[owner].list.begin_ownership(epoch);
                 }
                 _ => {}
             }
--- a/ashtiller/tests/owner/compaction.rs
+++ b/ashtiller/tests/owner/compaction.rs
@@ -14,7 +14,7 @@
 use ashtiller::workflow::book::LogState;
 use ashtiller::workflow::fact::{LogRecord, LogOwner};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
-use ashtiller::workflow::log::{Log, PartSize, Seized};
+use ashtiller::workflow::log::{Log, PartSize, Acquisition};
 use ashtiller::workflow::snapshot;
 use ashtiller::workflow::terms::Tuning;
 use bytes::Bytes;
@@ -102,7 +102,7 @@
     }
 
     fn watch<'a>(&'a self, key: &'a str, _: u64, _: Duration) -> Called<'a, Watched> {
-        Box::pin(async move { Err(Failure::none("watch", key, "not asked for")) })
+        Box::pin(async move { Err(Failure::no_effect("watch", key, "not asked for")) })
     }
 
     fn commit<'a>(&'a self, txn: &'a Txn) -> Called<'a, Committed> {
@@ -111,14 +111,14 @@
             let through = self.send(bytes.sum());
             if through > Instant::now() + LIMIT {
                 time::sleep(LIMIT).await;
-                return Err(Failure::unknown("write", "store", "no answer in time"));
+                return Err(Failure::unknown_effect("write", "store", "no answer in time"));
             }
             time::sleep_until(through).await;
             let done = self.apply(txn);
             let mut state = self.0.lock();
             if state.lost > 0 && txn.put.iter().any(|(key, _)| key.contains("/snap/")) {
                 state.lost -= 1;
-                return Err(Failure::unknown("write", "store", "the answer is lost"));
+                return Err(Failure::unknown_effect("write", "store", "the answer is lost"));
             }
             Ok(done)
         })
@@ -153,7 +153,7 @@
 
 async fn open(store: &Arc<Thin>) -> (Log, u64) {
     let log = Log::new(store.clone(), "flow/", 1);
-    let Ok(Seized::Mine(epoch)) = log.seize(&lead(), 0).await else {
+    let Ok(Acquisition::Acquired(epoch)) = log.acquire(&lead(), 0).await else {
         panic!("the log has no owner yet");
     };
     (log, epoch)
@@ -232,7 +232,7 @@
     log.compact(epoch, 4, &small).await.expect("written");
     assert!(late.await.unwrap().is_err(), "it comes late");
     let replayed = log.replay(Duration::ZERO).await.expect("a whole log");
-    assert_eq!(replayed.next, 5);
+    assert_eq!(replayed.next_position, 5);
     assert!(replayed.book.jobs.is_empty());
 }
 
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -269,16 +269,16 @@
                     .handle_poll_reply(&target.incarnation, Ok(PollReply::OtherIncarnation(None)), self.now);
             }
             Effect::Order(target, run, order) if self.crashed.contains(&target.incarnation) => {
-                let nothing = Failure::unknown("order", &target.incarnation, "connection refused");
+                let nothing = Failure::unknown_effect("order", &target.incarnation, "connection refused");
                 self.core
                     .handle_order_reply(&target.incarnation, run, &order, Err(nothing), self.now);
             }
             Effect::Look(target, _) if Some(&target.incarnation) == self.mute.as_ref() => {
-                let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
+                let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                 self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Look(target, _) if self.crashed.contains(&target.incarnation) => {
-                let nothing = Failure::unknown("look", &target.incarnation, "connection refused");
+                let nothing = Failure::unknown_effect("look", &target.incarnation, "connection refused");
                 self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Append(position, facts) => {
@@ -290,7 +290,7 @@
                 }
             }
             Effect::Order(target, run, order) if Some(&target.incarnation) == self.deaf.as_ref() => {
-                let nothing = Failure::unknown("order", &target.incarnation, "no answer");
+                let nothing = Failure::unknown_effect("order", &target.incarnation, "no answer");
                 self.core
                     .handle_order_reply(&target.incarnation, run, &order, Err(nothing), self.now);
                 self.orders.push((target.incarnation, run, order));
@@ -312,7 +312,7 @@
                 self.orders.push((target.incarnation, run, order));
             }
             Effect::Look(target, _) if Some(&target.incarnation) == self.silent.as_ref() => {
-                let nothing = Failure::unknown("look", &target.incarnation, "no answer");
+                let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer");
                 self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Look(target, look) if self.patient => {
@@ -330,14 +330,14 @@
                 let good = question.workers.iter().filter(allowed).take(1);
                 let good = good.map(|id| (id.clone(), Arc::from("t")));
                 let answer = match std::mem::take(&mut self.advisor) {
-                    Advisor::LosesOne => Err(Failure::unknown("advise", "advisor", "no answer")),
+                    Advisor::LosesOne => Err(Failure::unknown_effect("advise", "advisor", "no answer")),
                     _ => Ok(good.collect()),
                 };
                 self.asked.push(question);
                 self.core.handle_advice(key, asked_at, answer, self.now);
             }
             Effect::Duty(machine, duty) => {
-                let nothing = Failure::unknown("order machine", &machine, "no answer");
+                let nothing = Failure::unknown_effect("order machine", &machine, "no answer");
                 let said = self.says.ok_or(nothing);
                 self.core.handle_machine_reply(&machine, &duty, said, self.now);
                 self.duties.push((machine, duty));
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -78,7 +78,7 @@
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     assert_eq!(first.fence, look.fence);
-    let refused = Failure::none("order", &first.incarnation, "connection refused");
+    let refused = Failure::no_effect("order", &first.incarnation, "connection refused");
     let core = &mut driver.core;
     core.handle_order_reply(&first.incarnation, run, &order, Err(refused), driver.now);
     let (again, ..) = await_call(&mut driver, starts);
@@ -89,7 +89,7 @@
 fn a_later_owner_has_a_higher_fence_than_any_of_before() {
     let (mut driver, look) = begin(listed(0));
     see_entry(&mut driver, 9);
-    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
     driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let (target, ..) = await_call(&mut driver, |effect| match effect {
         Effect::Look(target, look) => Some((target.clone(), look.clone())),
@@ -106,7 +106,7 @@
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
     driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
@@ -130,7 +130,7 @@
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("order", &first.incarnation, "no answer in time");
+    let nothing = Failure::unknown_effect("order", &first.incarnation, "no answer in time");
     let core = &mut driver.core;
     core.handle_order_reply(&first.incarnation, run, &order, Err(nothing), driver.now);
     driver
@@ -148,7 +148,7 @@
     };
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
     driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
     driver.reborn.insert(look.incarnation, next.incarnation.clone());
@@ -169,7 +169,7 @@
     };
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown("look", &look.incarnation, "no answer in time");
+    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
     driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
     driver.core.list_worker(next.clone(), driver.now);
--- a/ashtiller/tests/owner/first_looks.rs
+++ b/ashtiller/tests/owner/first_looks.rs
@@ -73,7 +73,7 @@
                     finished: Vec::new(),
                 })
             } else {
-                Err(Failure::unknown("look", &life, "no answer in time"))
+                Err(Failure::unknown_effect("look", &life, "no answer in time"))
             };
             core.handle_poll_reply(&life, looked, now);
         }
--- a/ashtiller/tests/owner/freshness.rs
+++ b/ashtiller/tests/owner/freshness.rs
@@ -25,7 +25,7 @@
 
 impl Store for Lists {
     fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
-        Box::pin(async move { Err(Failure::none("read", key, "not asked for")) })
+        Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
     fn scan<'a>(&'a self, prefix: &'a str, _: Option<&'a str>) -> Called<'a, Page> {
@@ -54,7 +54,7 @@
     }
 
     fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
-        Box::pin(async { Err(Failure::none("write", "store", "not asked for")) })
+        Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
 
--- a/ashtiller/tests/owner/growth.rs
+++ b/ashtiller/tests/owner/growth.rs
@@ -15,7 +15,7 @@
 
 impl Store for Entries {
     fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
-        Box::pin(async move { Err(Failure::none("read", key, "not asked for")) })
+        Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
     fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
@@ -35,11 +35,11 @@
     }
 
     fn watch<'a>(&'a self, key: &'a str, _: u64, _: Duration) -> Called<'a, Watched> {
-        Box::pin(async move { Err(Failure::none("watch", key, "not asked for")) })
+        Box::pin(async move { Err(Failure::no_effect("watch", key, "not asked for")) })
     }
 
     fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
-        Box::pin(async { Err(Failure::none("write", "store", "not asked for")) })
+        Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
 
@@ -50,7 +50,7 @@
     for (added, expected) in [(0, false), (1, true)] {
         let entries = Arc::new(Entries(AtomicU64::new(7)));
         let log = Log::new(entries.clone(), "flow/", 1);
-        let sight = log.sight(5).await.expect("sight");
+        let sight = log.read_tail(5).await.expect("sight");
         time::advance(Duration::from_millis(700)).await;
         entries.0.fetch_add(added, Ordering::Relaxed);
         let asked = Instant::now();
--- a/ashtiller/tests/owner/listing.rs
+++ b/ashtiller/tests/owner/listing.rs
@@ -22,7 +22,7 @@
 
 impl Store for Pages {
     fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
-        Box::pin(async move { Err(Failure::none("read", key, "not asked for")) })
+        Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
     fn scan<'a>(&'a self, _: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
@@ -42,7 +42,7 @@
     }
 
     fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
-        Box::pin(async { Err(Failure::none("write", "store", "not asked for")) })
+        Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
 
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -207,7 +207,7 @@
         for effect in driver.core.poll(driver.now) {
             match effect {
                 Effect::Look(target, look) if look.ends_recorded > 0 => {
-                    let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
+                    let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                     driver
                         .core
                         .handle_poll_reply(&target.incarnation, Err(nothing), driver.now);
@@ -265,7 +265,7 @@
                     started = Some((target.incarnation, driver.now.at));
                 }
                 (Effect::Look(target, _), Some((life, _))) if target.incarnation == *life => {
-                    let nothing = Failure::unknown("look", life, "no answer in time");
+                    let nothing = Failure::unknown_effect("look", life, "no answer in time");
                     driver.core.handle_poll_reply(life, Err(nothing), driver.now);
                 }
                 (other, _) => driver.carry_out(other),
@@ -337,7 +337,7 @@
         for effect in driver.core.poll(driver.now) {
             match effect {
                 Effect::Order(target, run, order @ Order::Start(_)) if target.incarnation == life => {
-                    let nothing = Failure::unknown("order", &life, "no answer in time");
+                    let nothing = Failure::unknown_effect("order", &life, "no answer in time");
                     let core = &mut driver.core;
                     core.handle_order_reply(&life, run, &order, Err(nothing), driver.now);
                     unanswered = true;
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -49,7 +49,7 @@
         late = rest;
         let due: Vec<(Duration, Incarnation)> = due;
         for (_, id) in due {
-            let nothing = Failure::unknown("look", &id, "no answer");
+            let nothing = Failure::unknown_effect("look", &id, "no answer");
             driver.core.handle_poll_reply(&id, Err(nothing), driver.now);
         }
     }
--- a/ashtiller/tests/owner/slow.rs
+++ b/ashtiller/tests/owner/slow.rs
@@ -69,14 +69,14 @@
 ) -> Result<T, Failure> {
     time::sleep(delay.min(limit)).await;
     if delay > limit {
-        return Err(Failure::unknown(step, "store", "no answer in time"));
+        return Err(Failure::unknown_effect(step, "store", "no answer in time"));
     }
     Ok(it)
 }
 
 impl Store for Quiet {
     fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
-        Box::pin(async move { Err(Failure::none("read", key, "not asked for")) })
+        Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
     fn scan<'a>(&'a self, _: &'a str, _: Option<&'a str>) -> Called<'a, Page> {
@@ -85,7 +85,7 @@
             match self.manner {
                 Manner::Slow(delay) => answer("list", delay, READ_LIMIT, Page::default()).await,
                 Manner::Forgetful | Manner::Hasty => Ok(Page::default()),
-                Manner::Refusing => Err(Failure::none("list", "store", "refused")),
+                Manner::Refusing => Err(Failure::no_effect("list", "store", "refused")),
                 Manner::Lossy => {
                     let delay = if number.is_multiple_of(2) { MS } else { SPAN };
                     answer("list", delay, READ_LIMIT, Page::default()).await
@@ -109,13 +109,13 @@
                 }
                 Manner::Forgetful => Ok(Watched::Compacted),
                 Manner::Hasty => Ok(nothing),
-                Manner::Refusing => Err(Failure::none("watch", "store", "refused")),
+                Manner::Refusing => Err(Failure::no_effect("watch", "store", "refused")),
             }
         })
     }
 
     fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
-        Box::pin(async { Err(Failure::none("write", "store", "not asked for")) })
+        Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
 
--- a/ashtiller/tests/owner/watching.rs
+++ b/ashtiller/tests/owner/watching.rs
@@ -52,7 +52,7 @@
 
 impl Store for Told {
     fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
-        Box::pin(async move { Err(Failure::none("read", key, "not asked for")) })
+        Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
     fn scan<'a>(&'a self, _: &'a str, _: Option<&'a str>) -> Called<'a, Page> {
@@ -65,7 +65,7 @@
             match fate {
                 Fate::Silent => {
                     time::sleep(wait + SLACK).await;
-                    Err(Failure::unknown("watch", "store", "no answer in time"))
+                    Err(Failure::unknown_effect("watch", "store", "no answer in time"))
                 }
                 Fate::Quiet => {
                     time::sleep(wait).await;
@@ -81,7 +81,7 @@
     }
 
     fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
-        Box::pin(async { Err(Failure::none("write", "store", "not asked for")) })
+        Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
 
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -176,7 +176,7 @@
         self.workers.insert(address, life.begun_at(self.now));
         let lost = self.looks.extract_if(.., |it| it.to.address == address);
         for Waiting { to, .. } in lost.collect::<Vec<_>>() {
-            let failure = Failure::unknown("look", to.address, "connection closed");
+            let failure = Failure::unknown_effect("look", to.address, "connection closed");
             let now = self.clock();
             self.core.handle_poll_reply(&to.incarnation, Err(failure), now);
         }
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -244,11 +244,11 @@
         },
     ];
     for amount in &most {
-        assert!(!room.grants(amount), "{amount}");
+        assert!(!room.can_allocate(amount), "{amount}");
     }
-    assert!(room.grants(&whole));
-    room.restore(&whole);
-    assert!(!room.grants(&Resources {
+    assert!(room.can_allocate(&whole));
+    room.allocate(&whole);
+    assert!(!room.can_allocate(&Resources {
         processors: 1,
         ..Resources::default()
     }));
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -625,7 +625,7 @@
             Effect::Look(target, look) => {
                 if self.percent(self.faults.lost / 2) {
                     let wait = look.wait + ORDER_TIMEOUT_MIN;
-                    let nothing = Failure::unknown("look", &target.incarnation, "no answer in time");
+                    let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                     let looked = Event::Looked(place, target.incarnation.clone(), Err(nothing));
                     self.at(wait, looked);
                     if self.faults.restarts.is_some() && self.percent(self.faults.late) {
@@ -657,7 +657,7 @@
         };
         if lost {
             let life = target.incarnation.clone();
-            let nothing = Err(Failure::unknown("order", &life, "no answer in time"));
+            let nothing = Err(Failure::unknown_effect("order", &life, "no answer in time"));
             self.at(
                 ORDER_TIMEOUT_MIN,
                 Event::Ordered(place, life, run, order.clone(), nothing),
@@ -757,9 +757,9 @@
     /// Why a call to a worker got no answer.
     fn failure(&self, step: &'static str, id: &Arc<str>) -> Failure {
         if self.is_there(id) {
-            Failure::unknown(step, id, "no answer in time")
+            Failure::unknown_effect(step, id, "no answer in time")
         } else {
-            Failure::none(step, id, "connection refused")
+            Failure::no_effect(step, id, "connection refused")
         }
     }
 
@@ -864,8 +864,8 @@
     fn check_room(&mut self, id: &Arc<str>, name: &TaskName, prompt: bool) {
         let worker = &self.workers[id];
         let mut before = self.roomy.get(id).into_iter().flatten();
-        let roomy = before.any(|(room, at)| self.now < *at + SHRUNK && worker.used().fits(room));
-        if prompt && !roomy && !worker.used().fits(&worker.capacity) {
+        let roomy = before.any(|(room, at)| self.now < *at + SHRUNK && worker.used().fits_within(room));
+        if prompt && !roomy && !worker.used().fits_within(&worker.capacity) {
             let text = format!("{name:?} began on {id}, which then holds {}", worker.used());
             self.broken.push(text);
         }
@@ -953,7 +953,7 @@
             }
             // A room that shrinks does not end what runs there.
             let shrinks = self.roomy.contains_key(worker.life.id());
-            if !shrinks && !worker.used().fits(&worker.capacity) {
+            if !shrinks && !worker.used().fits_within(&worker.capacity) {
                 broken.push(format!(
                     "{} holds {}{late_here}",
                     worker.life,
--- a/bench/src/cells.rs
+++ b/bench/src/cells.rs
@@ -6,7 +6,7 @@
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
 use ashtiller::fact::{Attempt, End, Fact};
-use ashtiller::fit::Gentle;
+use ashtiller::fit::InterferenceAware;
 use ashtiller::peer::Submission;
 use ashtiller::plan::{self, Planner};
 use ashtiller::record;
@@ -34,7 +34,7 @@
     let running: usize = args.opt_value_from_str("--running")?.unwrap_or(17_700);
     let queued: usize = args.opt_value_from_str("--queued")?.unwrap_or(13_000);
     let mut cell = open(workers);
-    let mut planner = Planner::new(Box::new(Gentle), TERMS);
+    let mut planner = Planner::new(Box::new(InterferenceAware), TERMS);
     submit(&mut cell, running, "running");
     let began = Instant::now();
     let mut placed = 0;
@@ -131,7 +131,7 @@
 fn fill(cell: &mut Cell) {
     let names: Vec<Arc<str>> = cell.workers.keys().cloned().collect();
     for name in names {
-        let taken = *cell.workers[&name].pool().taken();
+        let taken = *cell.workers[&name].pool().allocated();
         cell.resize_worker(&name, taken);
     }
 }
--- a/bench/src/crashes.rs
+++ b/bench/src/crashes.rs
@@ -396,7 +396,7 @@
         };
         let said = match self.workers.get_mut(&id) {
             Some(worker) => Ok(worker.order(fence, &order, step(1).needs, length, now)),
-            None => Err(Failure::unknown("order", &id, "connection refused")),
+            None => Err(Failure::unknown_effect("order", &id, "connection refused")),
         };
         self.at(4 * MS, Event::Answer(id, run, order, said));
     }
@@ -452,7 +452,7 @@
         let fence = self.core.epoch();
         let looked = match self.workers.get_mut(&id) {
             Some(worker) => Ok(worker.look(fence, look, self.now)),
-            None => Err(Failure::unknown("look", &id, "connection refused")),
+            None => Err(Failure::unknown_effect("look", &id, "connection refused")),
         };
         let wait = if looked.is_ok() {
             look.wait.min(100 * MS)
--- a/bench/src/replay/policy.rs
+++ b/bench/src/replay/policy.rs
@@ -1,6 +1,6 @@
 //! The product's policy and the baselines that it is compared with.
 
-use ashtiller::fit::{Fit, Gentle, Site};
+use ashtiller::fit::{PlacementPolicy, InterferenceAware, CandidateHost};
 use ashtiller::template::Class;
 
 /// A way to place and control tasks.
@@ -42,22 +42,22 @@
 
     /// How it chooses a worker.
     #[must_use]
-    pub fn fit(self) -> Box<dyn Fit> {
+    pub fn fit(self) -> Box<dyn PlacementPolicy> {
         match self {
             Self::Random => Box::new(Random),
             Self::BestFit | Self::Threshold => Box::new(BestFit),
             Self::Apart => Box::new(Apart),
-            Self::Product => Box::new(Gentle),
+            Self::Product => Box::new(InterferenceAware),
         }
     }
 }
 
 struct Random;
 
-impl Fit for Random {
-    fn cost(&self, site: &Site) -> Option<f64> {
+impl PlacementPolicy for Random {
+    fn cost(&self, site: &CandidateHost) -> Option<f64> {
         // Any order that has nothing to do with load.
-        let mixed = site.now.as_secs() ^ site.host.pool().taken().memory;
+        let mixed = site.now.as_secs() ^ site.host.pool().allocated().memory;
         let address = site
             .host
             .address
@@ -69,16 +69,16 @@
 
 struct BestFit;
 
-impl Fit for BestFit {
-    fn cost(&self, site: &Site) -> Option<f64> {
+impl PlacementPolicy for BestFit {
+    fn cost(&self, site: &CandidateHost) -> Option<f64> {
         Some(-site.used())
     }
 }
 
 struct Apart;
 
-impl Fit for Apart {
-    fn cost(&self, site: &Site) -> Option<f64> {
+impl PlacementPolicy for Apart {
+    fn cost(&self, site: &CandidateHost) -> Option<f64> {
         let service = site
             .host
             .work_counts
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -12,7 +12,7 @@
 use ashtiller::dispatch::{self, Dispatch, Limits, Next};
 use ashtiller::endpoint::{Listing, Phase};
 use ashtiller::fact::{Attempt, Body, End, Entry, Fact, TaskId};
-use ashtiller::fit::Gentle;
+use ashtiller::fit::InterferenceAware;
 use ashtiller::health::Sample;
 use ashtiller::ledger::{Head, Ledger, Stored};
 use ashtiller::line::Ticket;
@@ -273,7 +273,7 @@
 fn cell_with(workers: usize, tasks: usize) -> Cell {
     let mut cell = cells::open(workers);
     cells::submit(&mut cell, tasks, "running");
-    let mut planner = Planner::new(Box::new(Gentle), cells::TERMS);
+    let mut planner = Planner::new(Box::new(InterferenceAware), cells::TERMS);
     while !planner.plan_round(&mut cell, 1, NOW).is_empty() {}
     cell
 }
@@ -304,7 +304,7 @@
 fn round_micros(workers: usize) -> f64 {
     // As many tasks for each worker as at the target.
     let mut cell = cell_with(workers, workers * 14);
-    let mut planner = Planner::new(Box::new(Gentle), cells::TERMS);
+    let mut planner = Planner::new(Box::new(InterferenceAware), cells::TERMS);
     let began = Instant::now();
     for _ in 0..REPEAT {
         planner.plan_round(&mut cell, 1, NOW);
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -165,7 +165,7 @@
                 }
             }
             // A room that shrinks does not end what runs there; starts are checked for it.
-            if worker.shrunk.is_none() && !worker.used().fits(&worker.capacity) {
+            if worker.shrunk.is_none() && !worker.used().fits_within(&worker.capacity) {
                 let text = format!("{} holds {}", worker.life, worker.used());
                 seen.broken.push(text);
             }
