--- a/ashtiller/src/interference/guard.rs
+++ b/ashtiller/src/interference/guard.rs
@@ -46,14 +46,14 @@
     /// Task.
     pub task: TaskId,
     /// Harm to the services beside it that is to be feared at full speed.
-    pub harm: f64,
+    pub interference: f64,
     /// Whether its account may lose it to an eviction.
     pub evictable: bool,
 }
 
 /// A report about a worker.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight<'a> {
+pub struct Observation<'a> {
     /// Largest ratio of latency to target among the services.
     pub worst_ratio: f64,
     /// Age of the figures.
@@ -100,7 +100,7 @@
     }
 
     /// Decides after a report.
-    pub fn decide(&mut self, sight: Sight, now: Duration) -> Action {
+    pub fn decide(&mut self, sight: Observation, now: Duration) -> Action {
         self.over = if sight.worst_ratio > OVER { self.over + 1 } else { 0 };
         self.ease = if sight.worst_ratio < AIM { self.ease + 1 } else { 0 };
         let shown = self
@@ -131,15 +131,15 @@
 
     /// Slows the suspect that does most harm at its speed; evicts it when it is at
     /// the least speed.
-    fn restrain(&mut self, sight: Sight, now: Duration) -> Action {
-        let doing = |suspect: &&Suspect| suspect.harm * f64::from(self.percent(suspect.task));
+    fn restrain(&mut self, sight: Observation, now: Duration) -> Action {
+        let doing = |suspect: &&Suspect| suspect.interference * f64::from(self.percent(suspect.task));
         let fast = |suspect: &&Suspect| self.percent(suspect.task) > SLOWEST;
         let most = |one: &&Suspect, other: &&Suspect| doing(one).total_cmp(&doing(other));
-        let suspects = || sight.suspects.iter().filter(|suspect| suspect.harm > 0.0);
+        let suspects = || sight.suspects.iter().filter(|suspect| suspect.interference > 0.0);
         if let Some(suspect) = suspects().filter(fast).max_by(most) {
             let now_at = self.percent(suspect.task);
             // At most half, so that each step shows.
-            let percent = sustainable_percent(sight.worst_ratio, suspect.harm, now_at)
+            let percent = sustainable_percent(sight.worst_ratio, suspect.interference, now_at)
                 .min(now_at / 2)
                 .max(SLOWEST);
             let relapses = self
@@ -162,7 +162,7 @@
 
     /// Speeds up the least feared of those that have waited long enough, as far as
     /// the services can bear.
-    fn let_back(&mut self, sight: Sight, now: Duration) -> Action {
+    fn let_back(&mut self, sight: Observation, now: Duration) -> Action {
         let mut best: Option<(f64, TaskId, u32)> = None;
         for suspect in sight.suspects {
             let Some(slowed) = self.slowed.get(&suspect.task) else {
@@ -171,10 +171,10 @@
             let patience = PATIENCE
                 .saturating_mul(1 << slowed.relapses.min(8))
                 .min(PATIENCE_MAX);
-            let percent = sustainable_percent(sight.worst_ratio, suspect.harm, slowed.percent);
+            let percent = sustainable_percent(sight.worst_ratio, suspect.interference, slowed.percent);
             let worth = percent >= slowed.percent + STEP && now >= slowed.since + patience;
-            if worth && best.is_none_or(|(least, _, _)| suspect.harm < least) {
-                best = Some((suspect.harm, suspect.task, percent));
+            if worth && best.is_none_or(|(least, _, _)| suspect.interference < least) {
+                best = Some((suspect.interference, suspect.task, percent));
             }
         }
         let Some((_, task, percent)) = best else {
--- a/ashtiller/src/interference/watch.rs
+++ b/ashtiller/src/interference/watch.rs
@@ -7,7 +7,7 @@
 use crate::cell::Cell;
 use crate::evict;
 use crate::fact::TaskId;
-use crate::guard::{Action, Sight, Suspect};
+use crate::guard::{Action, Observation, Suspect};
 use crate::harm::{ColocatedBatch, InterferenceModel, Kind};
 use crate::job::{Phase, Task};
 use crate::reconcile;
@@ -66,7 +66,7 @@
     host.pending_interference
         .retain(|(placed, _)| *placed + lag + SHOWN > now);
     host.guard.decide(
-        Sight {
+        Observation {
             worst_ratio: worst,
             lag,
             suspects: &suspects,
@@ -158,7 +158,7 @@
     let evictable = evict::has_budget(cell, batch.task, now);
     Some(Suspect {
         task: batch.task,
-        harm: feared.fold(0.0, f64::max),
+        interference: feared.fold(0.0, f64::max),
         evictable,
     })
 }
--- a/ashtiller/src/workflow/membership/members.rs
+++ b/ashtiller/src/workflow/membership/members.rs
@@ -38,7 +38,7 @@
     /// Up to where this process knew the changes of the owner before it.
     inherited: Version,
     /// Of changes up to this, not each one is known.
-    horizon: Version,
+    complete_since: Version,
     swept: Option<Moment>,
 }
 
@@ -114,7 +114,7 @@
         if self.gone.len() > GONE_MAX
             && let Some((version, _)) = self.gone.pop_front()
         {
-            self.horizon = self.horizon.max(version);
+            self.complete_since = self.complete_since.max(version);
         }
     }
 
@@ -141,7 +141,7 @@
         let own = since.epoch == self.version.epoch;
         // The owner before may have told others of later changes than this process.
         let former = since.epoch == self.inherited.epoch && since <= self.inherited;
-        since >= self.horizon && (own || former)
+        since >= self.complete_since && (own || former)
     }
 
     /// Takes what the owner tells, after which the list is as of `version`.
@@ -152,7 +152,7 @@
             MembershipUpdate::All(members) => {
                 self.known.clear();
                 self.gone.clear();
-                self.horizon = version;
+                self.complete_since = version;
                 members
             }
             MembershipUpdate::Changes { changed, gone } => {
--- a/ashtiller/src/workflow/node/answer.rs
+++ b/ashtiller/src/workflow/node/answer.rs
@@ -68,11 +68,11 @@
                     Reply::Lead(self.lead())
                 }
                 PeerRequest::RelayCalls(parcels) => {
-                    self.carrier.execute_batch(*parcels);
+                    self.relay_server.execute_batch(*parcels);
                     Reply::Noted
                 }
                 PeerRequest::RelayResults(results) => {
-                    self.worker_client.take(*results);
+                    self.worker_client.deliver_results(*results);
                     Reply::Noted
                 }
                 ask => self.ask_local_owner(ask, ASK_LIMIT).await,
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -56,7 +56,7 @@
     /// Connections to other instances.
     pub links: Rc<PeerConnections>,
     /// Calls to workers for owners elsewhere.
-    pub carrier: Rc<RelayServer>,
+    pub relay_server: Rc<RelayServer>,
     /// Calls to workers for the owner here.
     pub worker_client: Rc<RelayClient>,
     /// Counters and histograms.
@@ -115,7 +115,7 @@
             advisor,
             machines,
             dialect,
-            carrier: RelayServer::new(agents.clone(), links.clone()),
+            relay_server: RelayServer::new(agents.clone(), links.clone()),
             worker_client: RelayClient::new(agents.clone(), links.clone(), settings.entry.peers),
             links,
             settings,
--- a/ashtiller/src/workflow/relay/carrier.rs
+++ b/ashtiller/src/workflow/relay/carrier.rs
@@ -69,7 +69,7 @@
     pub fn execute_batch(self: &Rc<Self>, parcels: CallBatch) {
         let (owner, session) = (parcels.owner, parcels.session);
         self.open_session(session, parcels.payloads);
-        for parcel in parcels.parcels {
+        for parcel in parcels.calls {
             let carrier = self.clone();
             task::spawn_local(async move {
                 let number = parcel.number;
--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -61,7 +61,8 @@
     /// Payloads of jobs by their ids, for the starts from here on.
     pub payloads: Vec<(Arc<str>, Arc<str>)>,
     /// Calls.
-    pub parcels: Vec<RelayedCall>,
+    #[serde(rename = "parcels")]
+    pub calls: Vec<RelayedCall>,
 }
 
 /// What came of a call.
--- a/ashtiller/src/workflow/relay/route.rs
+++ b/ashtiller/src/workflow/relay/route.rs
@@ -23,7 +23,7 @@
 struct Detour {
     until: Instant,
     /// The relay over which it was not reached, until that is known to be at fault.
-    over: Option<SocketAddr>,
+    failed_relay: Option<SocketAddr>,
 }
 
 /// Relays by availability zone, and what is known against them.
@@ -75,7 +75,7 @@
     pub fn note_failure(&mut self, relay: SocketAddr, worker: &str, now: Instant) {
         let detour = Detour {
             until: now + DIRECT,
-            over: Some(relay),
+            failed_relay: Some(relay),
         };
         self.direct.insert(worker.into(), detour);
     }
@@ -84,7 +84,7 @@
     /// is the relay's fault; one that answers neither way says nothing of it.
     pub fn note_direct_answer(&mut self, worker: &str, now: Instant) {
         let detour = self.direct.get_mut(worker);
-        let Some(relay) = detour.and_then(|detour| detour.over.take()) else {
+        let Some(relay) = detour.and_then(|detour| detour.failed_relay.take()) else {
             return;
         };
         let failures = self.failures.entry(relay).or_insert(0);
--- a/ashtiller/src/workflow/relay/sender.rs
+++ b/ashtiller/src/workflow/relay/sender.rs
@@ -121,9 +121,9 @@
     /// # Errors
     /// As [`Agents::order`]; over a relay, also when the relay is lost.
     pub async fn order(self: &Rc<Self>, to: &Target, order: &Order) -> Result<OrderReply, Failure> {
-        let Some(relay) = self.find(to) else {
+        let Some(relay) = self.relay_for(to) else {
             let said = self.agents.order(to, order).await;
-            self.note_direct(to, said.is_ok());
+            self.note_direct_answer(to, said.is_ok());
             return said;
         };
         let step = order.kind();
@@ -139,9 +139,9 @@
     /// # Errors
     /// As [`Agents::look`]; over a relay, also when the relay is lost.
     pub async fn look(self: &Rc<Self>, to: &Target, look: &Poll) -> Result<PollReply, Failure> {
-        let Some(relay) = self.find(to) else {
+        let Some(relay) = self.relay_for(to) else {
             let looked = self.agents.poll(to, look).await;
-            self.note_direct(to, looked.is_ok());
+            self.note_direct_answer(to, looked.is_ok());
             return looked;
         };
         let limit = look.wait + to.timeout;
@@ -152,14 +152,14 @@
         }
     }
 
-    fn note_direct(&self, to: &Target, answered: bool) {
+    fn note_direct_answer(&self, to: &Target, answered: bool) {
         if answered {
             let mut routes = self.routes.borrow_mut();
             routes.note_direct_answer(to.incarnation.id(), Instant::now());
         }
     }
 
-    fn find(&self, to: &Target) -> Option<SocketAddr> {
+    fn relay_for(&self, to: &Target) -> Option<SocketAddr> {
         self.routes
             .borrow()
             .relay_for(&to.zone, to.incarnation.id(), Instant::now())
@@ -242,7 +242,7 @@
     /// next gathers, so that a busy instance gets fewer and larger ones.
     async fn send(&self, relay: SocketAddr) {
         while let Some(parcels) = self.take_parcels(relay) {
-            let count = parcels.parcels.len() as u64;
+            let count = parcels.calls.len() as u64;
             let ask = PeerRequest::RelayCalls(Box::new(parcels));
             match self
                 .links
@@ -274,7 +274,7 @@
             owner: self.own,
             session: queue.session,
             payloads: std::mem::take(&mut queue.payloads),
-            parcels: queue.parcels.drain(..).map(|(_, parcel)| parcel).collect(),
+            calls: queue.parcels.drain(..).map(|(_, parcel)| parcel).collect(),
         })
     }
 
@@ -304,7 +304,7 @@
     }
 
     /// Takes what came of calls.
-    pub fn take(&self, results: ResultBatch) {
+    pub fn deliver_results(&self, results: ResultBatch) {
         let mut waiting = self.waiting.borrow_mut();
         for (number, outcome) in results.results {
             if let Some(waiting) = waiting.remove(&number) {
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -98,7 +98,7 @@
 impl RequestHandler for Owner {
     fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
         if let PeerRequest::RelayResults(results) = ask {
-            self.0.take(*results);
+            self.0.deliver_results(*results);
         }
         Box::pin(async { Reply::Noted })
     }
