--- a/ashtiller/src/interference/fit.rs
+++ b/ashtiller/src/interference/fit.rs
@@ -22,7 +22,7 @@
     /// What kind of work it is.
     pub work: Work,
     /// What was learned of harm.
-    pub harm: &'a InterferenceModel,
+    pub model: &'a InterferenceModel,
     /// Time.
     pub now: Duration,
 }
@@ -64,7 +64,7 @@
             };
             times
                 * self
-                    .harm
+                    .model
                     .upper_bound(service, batch, self.host.load(service), self.now)
         });
         fears.sum()
@@ -74,7 +74,7 @@
 impl CandidateHost<'_> {
     /// Speed in percent at which batch work may begin here by what was learned.
     #[must_use]
-    pub fn speed(&self) -> u32 {
+    pub fn starting_percent(&self) -> u32 {
         let services = self
             .host
             .work_counts
@@ -83,7 +83,7 @@
         let coming: f64 = self.host.pending_interference.iter().map(|(_, harm)| harm).sum();
         let speeds = services.map(|service| {
             let load = self.host.load(service.kind);
-            let fear = self.harm.upper_bound(service.kind, self.work.kind, load, self.now);
+            let fear = self.model.upper_bound(service.kind, self.work.kind, load, self.now);
             guard::sustainable_percent(self.host.worst_latency_ratio + coming, fear, 0)
         });
         speeds.min().unwrap_or(100)
@@ -96,7 +96,7 @@
     fn cost(&self, site: &CandidateHost) -> Option<f64>;
 
     /// Speed in percent at which a batch task begins at the site that was chosen.
-    fn speed(&self, _: &CandidateHost) -> u32 {
+    fn starting_percent(&self, _: &CandidateHost) -> u32 {
         100
     }
 }
@@ -112,12 +112,12 @@
         match site.work.class {
             // A service must run somewhere; batch work can wait for a better place.
             Class::LatencyCritical => Some(site.used() + site.stranded_accelerators() + HARM_WEIGHT * sum),
-            Class::Batch if site.speed() < SPEED_MIN => None,
+            Class::Batch if site.starting_percent() < SPEED_MIN => None,
             Class::Batch => Some(site.stranded_accelerators() - site.used() + HARM_WEIGHT * sum),
         }
     }
 
-    fn speed(&self, site: &CandidateHost) -> u32 {
-        site.speed().max(SPEED_MIN)
+    fn starting_percent(&self, site: &CandidateHost) -> u32 {
+        site.starting_percent().max(SPEED_MIN)
     }
 }
--- a/ashtiller/src/interference/guard.rs
+++ b/ashtiller/src/interference/guard.rs
@@ -72,8 +72,8 @@
 /// What is going on at one worker.
 #[derive(Clone, Debug, Default)]
 pub struct ThrottleController {
-    over: u32,
-    ease: u32,
+    reports_over_target: u32,
+    reports_below_goal: u32,
     acted: Option<Duration>,
     slowed: BTreeMap<TaskId, Slowed>,
 }
@@ -101,25 +101,25 @@
 
     /// Decides after a report.
     pub fn decide(&mut self, sight: Observation, now: Duration) -> Action {
-        self.over = if sight.worst_ratio > OVER { self.over + 1 } else { 0 };
-        self.ease = if sight.worst_ratio < AIM { self.ease + 1 } else { 0 };
+        self.reports_over_target = if sight.worst_ratio > OVER { self.reports_over_target + 1 } else { 0 };
+        self.reports_below_goal = if sight.worst_ratio < AIM { self.reports_below_goal + 1 } else { 0 };
         let shown = self
             .acted
             .is_none_or(|acted| now >= acted + sight.lag + SETTLE);
         if !shown {
             return Action::Nothing;
         }
-        let act = if self.over >= OVER_ROW {
+        let act = if self.reports_over_target >= OVER_ROW {
             self.restrain(sight, now)
-        } else if self.ease >= EASE_ROW {
+        } else if self.reports_below_goal >= EASE_ROW {
             self.let_back(sight, now)
         } else {
             Action::Nothing
         };
         if act != Action::Nothing {
             self.acted = Some(now);
-            self.over = 0;
-            self.ease = 0;
+            self.reports_over_target = 0;
+            self.reports_below_goal = 0;
         }
         act
     }
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -253,7 +253,7 @@
                 host,
                 needs: &submission.needs,
                 work,
-                harm: &self.harm,
+                model: &self.harm,
                 now,
             };
             let Some(cost) = self.fit.cost(&site) else {
@@ -293,10 +293,10 @@
             host,
             needs: &needs,
             work,
-            harm: &self.harm,
+            model: &self.harm,
             now,
         };
-        let (percent, feared) = (self.fit.speed(&site), site.expected_interference());
+        let (percent, feared) = (self.fit.starting_percent(&site), site.expected_interference());
         host.guard.start_throttled(id, percent, now);
         host.pending_interference.push((now, feared * f64::from(percent) / 100.0));
     }
