--- a/ashtiller/src/agreed/apply.rs
+++ b/ashtiller/src/agreed/apply.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::ledger::{self, Head, Stored};
 use crate::store::{Commit, Item, Store};
 
@@ -105,7 +105,7 @@
             Ok(Commit::Done) => return Ok(Applied::Accepted(head.revision)),
             Ok(Commit::Conflict(_)) => {}
             // The write may have happened although its answer was lost.
-            Err(failure) if failure.effect == Effect::Unknown => {}
+            Err(failure) if failure.effect == RemoteEffect::Unknown => {}
             Err(failure) => return Err(failure),
         }
         let fresh = read(store, account).await?;
--- a/ashtiller/src/base/failure.rs
+++ b/ashtiller/src/base/failure.rs
@@ -5,7 +5,7 @@
 
 /// What is known about the effect of a failed step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Effect {
+pub enum RemoteEffect {
     /// Nothing happened at the peer.
     None,
     /// The peer may have done it.
@@ -22,18 +22,18 @@
     /// Why it failed.
     pub cause: Arc<str>,
     /// Whether the peer may have done it.
-    pub effect: Effect,
+    pub effect: RemoteEffect,
 }
 
 impl Failure {
     /// A step that may have had its effect.
     pub fn unknown_effect(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
-        Self::new(step, peer, cause, Effect::Unknown)
+        Self::new(step, peer, cause, RemoteEffect::Unknown)
     }
 
     /// A step that had no effect.
     pub fn no_effect(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
-        Self::new(step, peer, cause, Effect::None)
+        Self::new(step, peer, cause, RemoteEffect::None)
     }
 
     /// Whether the peer said nothing at all; else a connection was refused or broke, or an
@@ -53,7 +53,7 @@
         step: &'static str,
         peer: impl fmt::Display,
         cause: impl fmt::Display,
-        effect: Effect,
+        effect: RemoteEffect,
     ) -> Self {
         let (peer, cause) = (peer.to_string().into(), cause.to_string().into());
         Self {
--- a/ashtiller/src/interference/fit.rs
+++ b/ashtiller/src/interference/fit.rs
@@ -30,7 +30,7 @@
 impl CandidateHost<'_> {
     /// Share of the worker that is taken with this task.
     #[must_use]
-    pub fn used(&self) -> f64 {
+    pub fn utilization(&self) -> f64 {
         self.host
             .pool()
             .allocated()
@@ -111,9 +111,9 @@
         let sum = site.expected_interference();
         match site.work.class {
             // A service must run somewhere; batch work can wait for a better place.
-            Class::LatencyCritical => Some(site.used() + site.stranded_accelerators() + HARM_WEIGHT * sum),
+            Class::LatencyCritical => Some(site.utilization() + site.stranded_accelerators() + HARM_WEIGHT * sum),
             Class::Batch if site.starting_percent() < SPEED_MIN => None,
-            Class::Batch => Some(site.stranded_accelerators() - site.used() + HARM_WEIGHT * sum),
+            Class::Batch => Some(site.stranded_accelerators() - site.utilization() + HARM_WEIGHT * sum),
         }
     }
 
--- a/ashtiller/src/interference/watch.rs
+++ b/ashtiller/src/interference/watch.rs
@@ -31,7 +31,7 @@
 }
 
 /// Learns from a report and decides what to do on its worker.
-pub fn observe(
+pub fn process_report(
     cell: &mut Cell,
     harm: &mut InterferenceModel,
     worker: &Arc<str>,
--- a/ashtiller/src/request/claims.rs
+++ b/ashtiller/src/request/claims.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 use tokio::time;
 
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::store::{Commit, Store, Write};
 
 /// Prefix of the claims' keys.
@@ -224,8 +224,8 @@
     for (claim, asked) in pending {
         let key = key_of(&claim, period);
         let found = match failure.effect {
-            Effect::None => Err(failure.clone()),
-            Effect::Unknown => store.get(&key).await,
+            RemoteEffect::None => Err(failure.clone()),
+            RemoteEffect::Unknown => store.get(&key).await,
         };
         let claimed = match found {
             Ok(Some(item)) if item.value == claim.nonce.to_string() => Claimed::Ours(key.into()),
--- a/ashtiller/src/task/jobs.rs
+++ b/ashtiller/src/task/jobs.rs
@@ -11,7 +11,7 @@
 use tokio::time;
 
 use crate::config::Config;
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::membership::Membership;
 use crate::ops::{Command, Said};
 use crate::outcome::Outcome;
@@ -181,7 +181,7 @@
             let value = Bytes::copy_from_slice(cell.as_bytes());
             // Whoever wrote first decides; the key is read back in any case.
             match self.store.swap(&key, value, 0).await {
-                Err(failure) if failure.effect == Effect::None => return Err(failure),
+                Err(failure) if failure.effect == RemoteEffect::None => return Err(failure),
                 _ => found = self.store.get(&key).await?,
             }
         }
@@ -235,7 +235,7 @@
                     // It is known because an earlier question of ours was heard.
                     Ok(Verdict::Known) => return Verdict::Accepted,
                     Ok(verdict) => return verdict,
-                    Err(failure) => may_have_run |= failure.effect == Effect::Unknown,
+                    Err(failure) => may_have_run |= failure.effect == RemoteEffect::Unknown,
                 }
             }
             time::sleep(RETRY_PAUSE).await;
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -17,7 +17,7 @@
 
 use crate::cell::{Cell, DurableState};
 use crate::fact::{Body, Entry};
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::record::{self, RecordError};
 use crate::session::LeaseTerms;
 use crate::store::Store;
@@ -297,7 +297,7 @@
     async fn resolve_write(&self, key: &str, bytes: &Bytes, swapped: Result<bool, Failure>) -> WriteOutcome {
         match swapped {
             Ok(true) => return WriteOutcome::Known(AppendOutcome::Durable),
-            Err(failure) if failure.effect == Effect::None => return WriteOutcome::Unknown,
+            Err(failure) if failure.effect == RemoteEffect::None => return WriteOutcome::Unknown,
             _ => {}
         }
         match self.store.get(key).await {
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -100,7 +100,7 @@
         now: Duration,
     ) -> Vec<Fact> {
         let mut facts = Vec::new();
-        if let Action::Evict(id) = watch::observe(cell, &mut self.harm, worker, report, now) {
+        if let Action::Evict(id) = watch::process_report(cell, &mut self.harm, worker, report, now) {
             let number = cell.task(id).map_or(0, |(task, _)| task.attempt);
             let attempt = Attempt { task: id, number };
             record(cell, &mut facts, Fact::Evicting(attempt), position, now);
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -288,7 +288,7 @@
             Ok(OrderReply::OtherIncarnation) => {}
             Err(failure) => {
                 tracing::info!(task = %run.task, run = run.number, worker = %live.worker, %failure, "start unanswered");
-                if failure.effect == failure::Effect::None {
+                if failure.effect == failure::RemoteEffect::None {
                     live.sent = live.sent.saturating_sub(1);
                 } else {
                     let until = Some(now.at + LATE_MAX);
--- a/ashtiller/src/workflow/log/compaction.rs
+++ b/ashtiller/src/workflow/log/compaction.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use tokio::time::{self, Instant};
 
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::workflow::book::LogState;
 use crate::workflow::kv::{Committed, Txn};
 use crate::workflow::log::{SnapshotHead, Log};
@@ -137,7 +137,7 @@
                     failures = 0;
                     time::sleep(took).await;
                 }
-                Err(failure) if failure.effect == Effect::Unknown && failures < TRIES => {
+                Err(failure) if failure.effect == RemoteEffect::Unknown && failures < TRIES => {
                     failures += 1;
                     size.note_failure();
                     time::sleep(RETRY).await;
--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -54,7 +54,7 @@
 /// The newest entry as it was seen at a time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LogTail {
-    newest: u64,
+    newest_position: u64,
     at: time::Instant,
 }
 
@@ -209,13 +209,13 @@
         loop {
             let page = self.store.scan(&prefix, Some(&after)).await?;
             let Some(last) = page.items.last() else {
-                return Ok(LogTail { newest, at });
+                return Ok(LogTail { newest_position: newest, at });
             };
             after = last.key.to_string();
             let positions = page.items.iter().filter_map(|item| position_of(&item.key));
             newest = positions.fold(newest, u64::max);
             if !page.more {
-                return Ok(LogTail { newest, at });
+                return Ok(LogTail { newest_position: newest, at });
             }
         }
     }
@@ -227,7 +227,7 @@
     /// The store did not answer.
     pub async fn has_grown(&self, since: LogTail) -> Result<bool, Failure> {
         time::sleep_until(since.at + GROWTH).await;
-        Ok(self.read_tail(since.newest).await?.newest != since.newest)
+        Ok(self.read_tail(since.newest_position).await?.newest_position != since.newest_position)
     }
 
     /// Encodes an entry.
--- a/ashtiller/src/workflow/membership/campaign.rs
+++ b/ashtiller/src/workflow/membership/campaign.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::{self, Instant};
 
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::workflow::fact::{PreviousOwner, LogOwner};
 use crate::workflow::log::{Acquisition, LogTail};
 use crate::workflow::membership::heir;
@@ -180,7 +180,7 @@
     if failure.is_connection_refused() {
         return Some(Loss::Ended);
     }
-    let silent = failure.is_timeout() || failure.effect == Effect::None;
+    let silent = failure.is_timeout() || failure.effect == RemoteEffect::None;
     silent.then_some(Loss::Silent(sight))
 }
 
--- a/ashtiller/src/workflow/node/ask.rs
+++ b/ashtiller/src/workflow/node/ask.rs
@@ -5,7 +5,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{self, Instant};
 
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner::OwnerRequest;
@@ -30,7 +30,7 @@
                 Ok(Reply::Refused(_)) if doubt == Some(epoch) => {}
                 Ok(reply) => return reply,
                 Err(failure) => {
-                    if failure.effect == Effect::Unknown {
+                    if failure.effect == RemoteEffect::Unknown {
                         doubt = Some(epoch);
                     }
                     tracing::debug!(%failure, "owner not reached");
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -19,7 +19,7 @@
     /// Hands the log to an instance that reaches the store when this one does not,
     /// or is about to stop.
     pub(super) fn consider_hand_over(&mut self, now: Now) {
-        let standing = self.standing(now);
+        let standing = self.owner_health(now);
         let Some(reason) = standing.reason() else {
             return;
         };
@@ -61,7 +61,7 @@
         });
     }
 
-    fn standing(&self, now: Now) -> OwnerHealth {
+    fn owner_health(&self, now: Now) -> OwnerHealth {
         let stalled = self.core.stalled_for(now);
         let mut standing = OwnerHealth {
             processors: self.node.settings.entry.processors,
--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -19,7 +19,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::failure::{Effect, Failure};
+use crate::failure::{RemoteEffect, Failure};
 use crate::workflow::agents::{Poll, PollReply, Order, OrderReply, Target};
 
 /// For how long calls and results are gathered, so that one message carries many: a tenth
@@ -82,7 +82,7 @@
     fn of<T>(answer: Result<T, Failure>, wrap: impl FnOnce(T) -> Self) -> Self {
         match answer {
             Ok(answer) => wrap(answer),
-            Err(failure) => Self::Failed(failure.cause, failure.effect == Effect::Unknown),
+            Err(failure) => Self::Failed(failure.cause, failure.effect == RemoteEffect::Unknown),
         }
     }
 }
--- a/ashtiller/tests/links/main.rs
+++ b/ashtiller/tests/links/main.rs
@@ -21,7 +21,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ashtiller::failure::Effect;
+use ashtiller::failure::RemoteEffect;
 use ashtiller::workflow::message::{PeerRequest, Reply, State};
 use futures_util::future;
 use net::Net;
@@ -58,7 +58,7 @@
         let calls = (0..3).map(|_| links.ask("ask", ADDRESS, &ask, LIMIT));
         for failed in future::join_all(calls).await {
             let failure = failed.expect_err("the connection is silent");
-            assert_eq!(failure.effect, Effect::Unknown, "{failure}");
+            assert_eq!(failure.effect, RemoteEffect::Unknown, "{failure}");
         }
         let took = struck.elapsed();
         assert!(took <= NOTICED, "noticed after {took:?}");
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::failure::{Effect, Failure};
+use ashtiller::failure::{RemoteEffect, Failure};
 use ashtiller::store::Called;
 use ashtiller::workflow::agents::{WorkerClient, Poll, PollReply, TaskName, Order, OrderReply, Start, Target};
 use ashtiller::workflow::link::RequestHandler;
@@ -142,7 +142,7 @@
         }
     }
 
-    async fn start(&self, index: u16) -> Result<OrderReply, Effect> {
+    async fn start(&self, index: u16) -> Result<OrderReply, RemoteEffect> {
         let order = Order::Start(start(index));
         let said = self.sender.order(&target(index), &order).await;
         said.map_err(|failure| failure.effect)
@@ -256,7 +256,7 @@
         let scene = Scene::open(MIN_RELAYED_WORKERS);
         assert!(scene.start(0).await.is_ok());
         scene.relay.frozen.set(true);
-        assert_eq!(scene.start(1).await, Err(Effect::Unknown));
+        assert_eq!(scene.start(1).await, Err(RemoteEffect::Unknown));
         // Its worker is called directly at once, the others when the relay is given up.
         assert!(scene.start(1).await.is_ok());
         time::sleep(Duration::from_secs(1)).await;
@@ -279,7 +279,7 @@
             }],
         );
         let began = time::Instant::now();
-        assert_eq!(scene.start(0).await, Err(Effect::Unknown));
+        assert_eq!(scene.start(0).await, Err(RemoteEffect::Unknown));
         assert!(began.elapsed() < Duration::from_millis(100));
         assert!(scene.start(1).await.is_ok());
         assert_eq!(scene.callers(), ["owner"]);
@@ -292,7 +292,7 @@
         let scene = Scene::open(MIN_RELAYED_WORKERS);
         assert!(scene.start(0).await.is_ok());
         scene.restart_relay();
-        assert_eq!(scene.start(1).await, Err(Effect::None), "it knows no job");
+        assert_eq!(scene.start(1).await, Err(RemoteEffect::None), "it knows no job");
         assert_eq!(scene.start(1).await, Ok(OrderReply::Done(7)));
         let calls = scene.workers.calls.lock().clone();
         assert_eq!(calls[1], ("relay", target(1), Order::Start(start(1))));
@@ -362,7 +362,7 @@
         };
         task::yield_now().await;
         time::advance(Duration::from_secs(2)).await;
-        assert_eq!(call.await.expect("a call"), Err(Effect::Unknown));
+        assert_eq!(call.await.expect("a call"), Err(RemoteEffect::Unknown));
         time::sleep(Duration::from_secs(1)).await;
         assert_eq!(scene.callers(), ["relay"]);
     });
@@ -378,8 +378,8 @@
         let scene = Scene::open(MIN_RELAYED_WORKERS);
         *scene.workers.down.lock() = (0..40).map(target).collect();
         for index in 0..40 {
-            assert_eq!(scene.start(index).await, Err(Effect::None));
-            assert_eq!(scene.start(index).await, Err(Effect::None), "directly");
+            assert_eq!(scene.start(index).await, Err(RemoteEffect::None));
+            assert_eq!(scene.start(index).await, Err(RemoteEffect::None), "directly");
         }
         assert_eq!(scene.sender.relays().len(), 1);
         let calls = scene.callers().len();
@@ -395,7 +395,7 @@
         assert!(scene.start(0).await.is_ok());
         *scene.workers.cut.lock() = Some("relay");
         for index in 1..=8 {
-            assert_eq!(scene.start(index).await, Err(Effect::Unknown));
+            assert_eq!(scene.start(index).await, Err(RemoteEffect::Unknown));
             assert!(scene.start(index).await.is_ok(), "directly");
             assert!(scene.start(index).await.is_ok(), "said once");
         }
--- a/bench/src/replay/policy.rs
+++ b/bench/src/replay/policy.rs
@@ -71,7 +71,7 @@
 
 impl PlacementPolicy for BestFit {
     fn cost(&self, site: &CandidateHost) -> Option<f64> {
-        Some(-site.used())
+        Some(-site.utilization())
     }
 }
 
@@ -84,6 +84,6 @@
             .work_counts
             .keys()
             .any(|work| work.class == Class::LatencyCritical);
-        (!service).then(|| -site.used())
+        (!service).then(|| -site.utilization())
     }
 }
