--- a/ashtiller/src/interference/placement.rs
+++ b/ashtiller/src/interference/placement.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use crate::guard;
-use crate::harm::InterferenceModel;
-use crate::host::{WorkerState, Work};
+use crate::throttling;
+use crate::interference_model::InterferenceModel;
+use crate::worker_state::{WorkerState, Work};
 use crate::resources::Resources;
 use crate::template::Class;
 
@@ -84,7 +84,7 @@
         let speeds = services.map(|service| {
             let load = self.host.load(service.kind);
             let fear = self.model.upper_bound(service.kind, self.work.kind, load, self.now);
-            guard::sustainable_percent(self.host.worst_latency_ratio + coming, fear, 0)
+            throttling::sustainable_percent(self.host.worst_latency_ratio + coming, fear, 0)
         });
         speeds.min().unwrap_or(100)
     }
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -25,7 +25,7 @@
 use crate::failure::Failure;
 use crate::follow;
 use crate::front::{self, Front};
-use crate::jobs::JobForwarder;
+use crate::job_forwarder::JobForwarder;
 use crate::lender::{self, Lender};
 use crate::members::Member;
 use crate::membership::{self, Membership};
--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -12,8 +12,8 @@
 
 use crate::backlog::{Backlog, Priority};
 use crate::fact::{Attempt, End, Fact, TaskId};
-use crate::harm::Kinds;
-use crate::host::{WorkerState, Work};
+use crate::interference_model::Kinds;
+use crate::worker_state::{WorkerState, Work};
 use crate::job::{Job, Phase, Placement, Task};
 use crate::peer::Submission;
 use crate::resources::{Pool, Resources};
--- a/ashtiller/src/task/evict.rs
+++ b/ashtiller/src/task/evict.rs
@@ -5,7 +5,7 @@
 
 use crate::cell::Cell;
 use crate::fact::{Attempt, TaskId};
-use crate::host::WorkerState;
+use crate::worker_state::WorkerState;
 use crate::job::Phase;
 use crate::resources::Resources;
 use crate::session::LeaseTerms;
--- a/ashtiller/src/task/job.rs
+++ b/ashtiller/src/task/job.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::harm::Kind;
+use crate::interference_model::Kind;
 use crate::peer::Submission;
 
 /// Where a task stands.
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -21,14 +21,14 @@
     WorkerAnswered, Cancel, OwnershipChecked, HandOver, WorkersListed, Show, SnapshotWritten, Submit, Tick, EntryWritten,
 };
 use crate::fact::{Body, Fact};
-use crate::fit::InterferenceAware;
+use crate::placement::InterferenceAware;
 use crate::journal::{Journal, OpenedCell};
 use crate::peer::{Submission, Verdict};
 use crate::plan::{self, Planner};
 use crate::reconcile::{self, StepContext};
 use crate::record;
 use crate::roster;
-use crate::score::SchedulerMetrics;
+use crate::scheduler_metrics::SchedulerMetrics;
 use crate::session::{Session, LeaseTerms};
 use crate::settings;
 
@@ -332,7 +332,7 @@
         }
     }
 
-    pub(crate) fn is_due(&self, name: &Arc<str>, host: &crate::host::WorkerState, now: Duration) -> bool {
+    pub(crate) fn is_due(&self, name: &Arc<str>, host: &crate::worker_state::WorkerState, now: Duration) -> bool {
         let Some(called) = host.last_called else {
             return true;
         };
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -14,16 +14,16 @@
 use crate::endpoint;
 use crate::evict;
 use crate::fact::{Attempt, End, Fact, TaskId};
-use crate::fit::{PlacementPolicy, CandidateHost};
-use crate::guard::Action;
-use crate::harm::InterferenceModel;
-use crate::host::{WorkerState, Work};
+use crate::placement::{PlacementPolicy, CandidateHost};
+use crate::throttling::Action;
+use crate::interference_model::InterferenceModel;
+use crate::worker_state::{WorkerState, Work};
 use crate::job::Phase;
 use crate::peer::{Submission, Verdict};
 use crate::resources::Resources;
 use crate::session::LeaseTerms;
 use crate::template::Class;
-use crate::watch;
+use crate::worker_report;
 
 /// Queued tasks of one account that are looked at for one that may start.
 const LOOK_AHEAD: usize = 16;
@@ -100,7 +100,7 @@
         now: Duration,
     ) -> Vec<Fact> {
         let mut facts = Vec::new();
-        if let Action::Evict(id) = watch::process_report(cell, &mut self.harm, worker, report, now) {
+        if let Action::Evict(id) = worker_report::process_report(cell, &mut self.harm, worker, report, now) {
             let number = cell.task(id).map_or(0, |(task, _)| task.attempt);
             let attempt = Attempt { task: id, number };
             record(cell, &mut facts, Fact::Evicting(attempt), position, now);
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -28,7 +28,7 @@
 use crate::peer::{Ask, Greeting, Peer, Role, Submission, Verdict};
 use crate::rendezvous;
 use crate::roster::{Instance, Roster};
-use crate::score::SchedulerMetrics;
+use crate::scheduler_metrics::SchedulerMetrics;
 use crate::session::LeaseTerms;
 use crate::settings::Settings;
 use crate::store::{Called, Store};
--- a/ashtiller/src/task/worker_state.rs
+++ b/ashtiller/src/task/worker_state.rs
@@ -7,8 +7,8 @@
 
 use crate::endpoint::Phase;
 use crate::fact::TaskId;
-use crate::guard::ThrottleController;
-use crate::harm::Kind;
+use crate::throttling::ThrottleController;
+use crate::interference_model::Kind;
 use crate::reconcile::Ack;
 use crate::resources::{Pool, Resources};
 use crate::session::{Session, LeaseTerms};
--- a/ashtiller/src/workflow/advisor.rs
+++ b/ashtiller/src/workflow/advisor.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::store::Called;
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// Rows of a worker's life and the ticket to start the step there.
 pub type Tickets = Vec<(Incarnation, Arc<str>)>;
--- a/ashtiller/src/workflow/agents.rs
+++ b/ashtiller/src/workflow/agents.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::store::Called;
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// Least time limit of an order, a hundred times the way to another zone. By then it was
 /// carried out, or its caller was told that it may not have been.
--- a/ashtiller/src/workflow/blame.rs
+++ b/ashtiller/src/workflow/blame.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::workflow::fact::{Run, Task};
+use crate::workflow::record::{Run, Task};
 
 /// Crashes after which starts are counted: the platform's bound.
 pub const CRASHES_MAX: usize = 3;
--- a/ashtiller/src/workflow/congestion.rs
+++ b/ashtiller/src/workflow/congestion.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// Workers whose last answers are compared; a few that are slow do not move the middle.
 const SAMPLES: usize = 33;
--- a/ashtiller/src/workflow/core/admission.rs
+++ b/ashtiller/src/workflow/core/admission.rs
@@ -3,9 +3,9 @@
 use std::fmt;
 
 use crate::workflow::core::{Core, Effect, Now, OnDurable, Ticket};
-use crate::workflow::fact::{LogRecord, Outcome, Run};
+use crate::workflow::record::{LogRecord, Outcome, Run};
 use crate::workflow::job::{Job, Sharing, Step};
-use crate::workflow::live::Stage;
+use crate::workflow::live_run::Stage;
 use crate::workflow::message::{Reply, State};
 use crate::workflow::state::JobState;
 
--- a/ashtiller/src/workflow/core/adopted_runs.rs
+++ b/ashtiller/src/workflow/core/adopted_runs.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::workflow::core::{Core, Now, lives, share_of};
-use crate::workflow::fact::{Run, Task};
+use crate::workflow::core::{Core, Now, incarnations, share_of};
+use crate::workflow::record::{Run, Task};
 use crate::workflow::job::Step;
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{LiveRun, StopReason, Stage};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{LiveRun, StopReason, Stage};
 use crate::workflow::state::JobState;
 
 /// Runs of earlier owners by the life of their worker, until that is listed.
@@ -21,7 +21,7 @@
 
     /// Lives with such runs of the worker with this id.
     pub fn incarnations_of_id(&self, id: &str) -> Vec<Incarnation> {
-        lives::incarnations_of_id(&self.0, id)
+        incarnations::incarnations_of_id(&self.0, id)
     }
 
     /// Takes out the runs of a life.
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -6,11 +6,11 @@
 
 use crate::failure::Failure;
 use crate::workflow::advisor::Tickets;
-use crate::workflow::core::fleet::{Candidate, PlacementRequest};
-use crate::workflow::core::{Core, Effect, Now, fleet};
-use crate::workflow::fact::Task;
+use crate::workflow::core::candidates::{Candidate, PlacementRequest};
+use crate::workflow::core::{Core, Effect, Now, candidates};
+use crate::workflow::record::Task;
 use crate::workflow::job::Advice;
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// Workers named in one question. The platform allows 100 and its users count 30.
 const NAMED_MAX: usize = 30;
@@ -119,7 +119,7 @@
         let mut likely: Vec<&Candidate> = fleet
             .iter()
             .filter(|candidate| !bad.contains(&candidate.id) && !fresh(&candidate.id))
-            .filter(|candidate| fleet::is_eligible(candidate, &open))
+            .filter(|candidate| candidates::is_eligible(candidate, &open))
             .collect();
         // Known to be good, then roomy.
         likely.sort_by_key(|candidate| {
--- a/ashtiller/src/workflow/core/allocation.rs
+++ b/ashtiller/src/workflow/core/allocation.rs
@@ -4,10 +4,10 @@
 
 use crate::resources::Resources;
 use crate::workflow::core::{Core, Now, share_of};
-use crate::workflow::fact::{LogRecord, Run};
+use crate::workflow::record::{LogRecord, Run};
 use crate::workflow::job::Sharing;
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{LiveRun, Stage, Stop};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{LiveRun, Stage, Stop};
 
 /// Whether a start still fits into its worker's room.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/ashtiller/src/workflow/core/candidates.rs
+++ b/ashtiller/src/workflow/core/candidates.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use crate::resources::Resources;
-use crate::workflow::core::gate::Eligibility;
+use crate::workflow::core::eligibility::Eligibility;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{Run, Task};
+use crate::workflow::record::{Run, Task};
 use crate::workflow::interference::{NeighborFill, Image, Interference};
 use crate::workflow::job::Step;
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::RunSharing;
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::RunSharing;
 use crate::workflow::switches::Switches;
 use crate::workflow::worker::Worker;
 
--- a/ashtiller/src/workflow/core/crash_record.rs
+++ b/ashtiller/src/workflow/core/crash_record.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::fact::Task;
+use crate::workflow::record::Task;
 
 /// Span within which workers that go silent count as having gone together: what is
 /// switched off at one moment is noticed within the time of one call.
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -8,9 +8,9 @@
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::crash_record::{Crash, is_simultaneous};
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{LogRecord, Run, Task};
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{LiveRun, Stage};
+use crate::workflow::record::{LogRecord, Run, Task};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{LiveRun, Stage};
 use crate::workflow::worker::Worker;
 
 /// Workers that go together with one, from which on a common cause is assumed.
--- a/ashtiller/src/workflow/core/dispatch.rs
+++ b/ashtiller/src/workflow/core/dispatch.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::workflow::core::{Core, Now, SWEEP};
-use crate::workflow::fact::Run;
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{LiveRun, Stage, Stop};
+use crate::workflow::record::Run;
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{LiveRun, Stage, Stop};
 use crate::workflow::worker::{OrderClass, Rank, Worker};
 
 /// Orders under way to one worker; more would open more connections.
--- a/ashtiller/src/workflow/core/eligibility.rs
+++ b/ashtiller/src/workflow/core/eligibility.rs
@@ -5,7 +5,7 @@
 
 use crate::resources::Resources;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::Run;
+use crate::workflow::record::Run;
 use crate::workflow::worker::Worker;
 
 /// Whether a worker may get runs.
--- a/ashtiller/src/workflow/core/fences.rs
+++ b/ashtiller/src/workflow/core/fences.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::workflow::core::{Core, Now};
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// Time after a fence rose for which answers to calls of before come.
 const SETTLES: Duration = Duration::from_secs(3);
--- a/ashtiller/src/workflow/core/freed_capacity.rs
+++ b/ashtiller/src/workflow/core/freed_capacity.rs
@@ -2,7 +2,7 @@
 //! through all that waits.
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::order::{Urgency, WaitingStep};
+use crate::workflow::core::step_priority::{Urgency, WaitingStep};
 use crate::workflow::core::plan::PlacementRound;
 use crate::workflow::core::{Core, Now};
 
--- a/ashtiller/src/workflow/core/incarnations.rs
+++ b/ashtiller/src/workflow/core/incarnations.rs
@@ -8,10 +8,10 @@
 use crate::workflow::agents::Order;
 use crate::workflow::config::ListedWorker;
 use crate::workflow::core::{Core, Effect, Now, OnDurable};
-use crate::workflow::fact::{End, Run};
+use crate::workflow::record::{End, Run};
 use crate::workflow::lease;
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{LiveRun, StopReason, Stage, Stop};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{LiveRun, StopReason, Stage, Stop};
 use crate::workflow::worker::{LATE_MAX, LateRun, Worker};
 
 /// Time for which an entry that names a life which is not there is passed over: long against
--- a/ashtiller/src/workflow/core/location_index.rs
+++ b/ashtiller/src/workflow/core/location_index.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use crate::workflow::config::ListedWorker;
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// Lives by machine and by address. Entries of a worker change, so one that is found here may
 /// be elsewhere by now.
--- a/ashtiller/src/workflow/core/log_entries.rs
+++ b/ashtiller/src/workflow/core/log_entries.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::workflow::book;
+use crate::workflow::log_state;
 use crate::workflow::core::{Core, Effect, Now, OnDurable};
-use crate::workflow::fact::LogRecord;
-use crate::workflow::life::Incarnation;
+use crate::workflow::record::LogRecord;
+use crate::workflow::incarnation::Incarnation;
 
 /// Time after which what waits is looked at again although nothing happened.
 const REPLAN: Duration = Duration::from_millis(200);
@@ -134,7 +134,7 @@
     pub(super) fn record(&mut self, fact: LogRecord, now: Now) {
         let effect = self.log_state.apply(&fact, now.at);
         self.pending.push(fact);
-        if let book::Effect::Ended(number, outcome) = effect {
+        if let log_state::Effect::Ended(number, outcome) = effect {
             self.undurable_jobs.insert(number, self.position);
             self.close_job(number, outcome);
         }
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -4,58 +4,58 @@
 //! are applied as soon as they are decided and grouped into entries of the log;
 //! what depends on a fact waits in a queue until its entry is durable.
 
-mod adopt;
+mod adopted_runs;
 pub mod advice;
 mod crash_record;
 mod crashes;
 mod dump;
-mod entries;
+mod log_entries;
 mod evacuation;
 mod fences;
-mod fleet;
-pub mod gate;
-mod hold;
-mod intake;
-mod line;
-mod lives;
-mod looks;
-mod moves;
-mod order;
+mod candidates;
+pub mod eligibility;
+mod start_hold;
+mod admission;
+mod dispatch;
+mod incarnations;
+mod polls;
+mod relocation;
+mod step_priority;
 mod orders;
 mod pacing;
-mod place;
-mod places;
+mod allocation;
+mod location_index;
 mod plan;
-mod refill;
+mod freed_capacity;
 mod reports;
-mod room;
-mod roster;
+mod starvation;
+mod worker_list;
 mod runs;
-mod selective;
+mod selectivity;
 pub mod times;
 mod trials;
 pub mod upkeep;
-pub mod waits;
+pub mod wait_report;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::workflow::agents::{Poll, Order, Target};
-use crate::workflow::book::LogState;
+use crate::workflow::log_state::LogState;
 use crate::workflow::config::{Config, ListedWorker};
 use crate::workflow::core::advice::{AdviceState, AdviceRequest, StepKey};
 use crate::workflow::core::upkeep::WaveProgress;
-use crate::workflow::fact::{LogRecord, Outcome, Run};
+use crate::workflow::record::{LogRecord, Outcome, Run};
 use crate::workflow::interference::Interference;
 use crate::workflow::job::{Job, Sharing, Step};
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{LiveRun, StopReason, RunSharing};
-use crate::workflow::load::HeadroomHistory;
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{LiveRun, StopReason, RunSharing};
+use crate::workflow::headroom::HeadroomHistory;
 use crate::workflow::machines::MachineOrder;
 use crate::workflow::message::Reply;
-use crate::workflow::pressure::Congestion;
-use crate::workflow::terms::Tuning;
+use crate::workflow::congestion::Congestion;
+use crate::workflow::tuning::Tuning;
 use crate::workflow::worker::Worker;
 
 /// Time between two looks through all workers for what is over.
@@ -138,10 +138,10 @@
     log_state: LogState,
     workers: BTreeMap<Incarnation, Worker>,
     /// Where lives of workers were seen.
-    places: places::LocationIndex,
+    places: location_index::LocationIndex,
     runs: BTreeMap<Run, LiveRun>,
     /// Runs of earlier owners whose workers were not listed yet.
-    adopted: adopt::Adopted,
+    adopted: adopted_runs::Adopted,
     config: Arc<Config>,
     arrivals: Vec<(Job, Vec<Ticket>)>,
     pending: Vec<LogRecord>,
@@ -170,13 +170,13 @@
     /// Availability zones under evacuation.
     evacuation: evacuation::Evacuation,
     /// Since when starts wait.
-    start_hold: Option<hold::StartHold>,
+    start_hold: Option<start_hold::StartHold>,
     effects: Vec<Effect>,
     advised: BTreeMap<StepKey, AdviceState>,
     waves: BTreeMap<u64, WaveProgress>,
     load_tracks: BTreeMap<u32, HeadroomHistory>,
     interference: Interference,
-    summaries: fleet::CandidateCache,
+    summaries: candidates::CandidateCache,
     /// How much may be under way at workers.
     pressure: Congestion,
     /// Whether answers waited in a queue when that was last looked at.
@@ -187,8 +187,8 @@
     /// When looks that are due were last searched for.
     last_poll_scan: Duration,
     /// Lasting steps that wait although there was room, by job, time and step.
-    passed_over: BTreeMap<StepKey, room::StarvationTracker>,
-    reserved: Option<room::WorkerReservation>,
+    passed_over: BTreeMap<StepKey, starvation::StarvationTracker>,
+    reserved: Option<starvation::WorkerReservation>,
     /// Workers whose runs have left room since the last round, while lasting steps wait.
     freed_workers: BTreeSet<Incarnation>,
     /// When it was last said of a step that it waits.
@@ -217,9 +217,9 @@
             epoch,
             log_state: book,
             workers: BTreeMap::new(),
-            places: places::LocationIndex::default(),
+            places: location_index::LocationIndex::default(),
             runs: BTreeMap::new(),
-            adopted: adopt::Adopted::default(),
+            adopted: adopted_runs::Adopted::default(),
             config: Arc::default(),
             arrivals: Vec::new(),
             pending: Vec::new(),
@@ -249,7 +249,7 @@
             waves: BTreeMap::new(),
             load_tracks: BTreeMap::new(),
             interference: Interference::default(),
-            summaries: fleet::CandidateCache::default(),
+            summaries: candidates::CandidateCache::default(),
             pressure: Congestion::default(),
             workers_queueing: false,
             order_queue: VecDeque::new(),
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -5,12 +5,12 @@
 
 use crate::failure::{self, Failure};
 use crate::workflow::agents::{TaskName, ORDER_TIMEOUT_MIN, Order, Refusal, OrderReply, Start};
-use crate::workflow::core::looks::POLL_RETRY;
-use crate::workflow::core::place::FitsWhen;
-use crate::workflow::core::{Core, Effect, Now, line};
-use crate::workflow::fact::{End, Run};
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{StopReason, Stage, Stop};
+use crate::workflow::core::polls::POLL_RETRY;
+use crate::workflow::core::allocation::FitsWhen;
+use crate::workflow::core::{Core, Effect, Now, dispatch};
+use crate::workflow::record::{End, Run};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{StopReason, Stage, Stop};
 use crate::workflow::worker::LATE_MAX;
 
 /// Pause before an unanswered order goes out again.
@@ -53,7 +53,7 @@
         if !self
             .workers
             .get(id)
-            .is_some_and(|worker| line::is_ready(worker, now))
+            .is_some_and(|worker| dispatch::is_ready(worker, now))
         {
             return false;
         }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -5,13 +5,13 @@
 
 use crate::resources::Resources;
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::fleet::{self, Candidate, PlacementRequest};
-use crate::workflow::core::order::WaitingStep;
+use crate::workflow::core::candidates::{self, Candidate, PlacementRequest};
+use crate::workflow::core::step_priority::WaitingStep;
 use crate::workflow::core::trials::{TrialResult, ActiveTrials};
 use crate::workflow::core::{Core, Now, share_of};
-use crate::workflow::fact::{Run, Task};
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::RunSharing;
+use crate::workflow::record::{Run, Task};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::RunSharing;
 
 /// What a task asks of a worker.
 #[derive(Clone)]
@@ -197,7 +197,7 @@
         }
         let alike = step.label.is_none() && step.spread == 0 && !advice;
         if step.spread > 0 {
-            wish.runs_per_worker = fleet::count_runs_per_worker(self, first);
+            wish.runs_per_worker = candidates::count_runs_per_worker(self, first);
         }
         let mut choices = None;
         for (done, task) in tasks.iter().enumerate() {
@@ -344,7 +344,7 @@
         let mut free: Vec<Seat> = fleet
             .iter()
             .enumerate()
-            .filter(|(_, candidate)| fleet::is_eligible(candidate, wish))
+            .filter(|(_, candidate)| candidates::is_eligible(candidate, wish))
             .filter(|(_, candidate)| {
                 let worker = self.workers.get(&candidate.id);
                 rack.is_none_or(|rack| worker.is_some_and(|worker| worker.has_label(rack)))
--- a/ashtiller/src/workflow/core/polls.rs
+++ b/ashtiller/src/workflow/core/polls.rs
@@ -4,8 +4,8 @@
 
 use crate::workflow::agents::{POLL_TIMEOUT_MIN, Poll};
 use crate::workflow::core::{Core, Effect, Now};
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::Stop;
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::Stop;
 use crate::workflow::worker::{PendingPoll, Worker};
 
 /// Time between two searches for looks that are due, each through all workers.
--- a/ashtiller/src/workflow/core/relocation.rs
+++ b/ashtiller/src/workflow/core/relocation.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::workflow::core::fleet::{self, PlacementRequest};
+use crate::workflow::core::candidates::{self, PlacementRequest};
 use crate::workflow::core::plan::{Demand, PlacementRound};
 use crate::workflow::core::{Core, Now, share_of};
-use crate::workflow::fact::{Run, Task};
-use crate::workflow::live::{StopReason, Stop};
+use crate::workflow::record::{Run, Task};
+use crate::workflow::live_run::{StopReason, Stop};
 
 /// Time for which a run that fills is slowed down before it moves: one stuck task makes
 /// its whole job late.
@@ -58,7 +58,7 @@
             share,
             resources: step.room(),
             failed_on,
-            runs_per_worker: fleet::count_runs_per_worker(self, task),
+            runs_per_worker: candidates::count_runs_per_worker(self, task),
             advised: None,
             excluded: None,
             suspect: false,
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -6,12 +6,12 @@
 
 use crate::failure::Failure;
 use crate::workflow::agents::{Active, Finished, EndReason, PollReply, TaskName, Order};
-use crate::workflow::core::looks::POLL_TIMEOUT_MAX;
+use crate::workflow::core::polls::POLL_TIMEOUT_MAX;
 use crate::workflow::core::{Core, Effect, Now, OnDurable};
-use crate::workflow::fact::{End, LogRecord, Run, Task};
+use crate::workflow::record::{End, LogRecord, Run, Task};
 use crate::workflow::lease;
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{StopReason, Stage, Stop};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{StopReason, Stage, Stop};
 use crate::workflow::worker::{LATE_MAX, PendingPoll};
 
 /// Time without progress after which a run counts as stalled. The platform's
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -4,8 +4,8 @@
 
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{End, LogRecord, Run, Task};
-use crate::workflow::live::{LiveRun, StopReason};
+use crate::workflow::record::{End, LogRecord, Run, Task};
+use crate::workflow::live_run::{LiveRun, StopReason};
 use crate::workflow::state::TaskState;
 
 impl Core {
--- a/ashtiller/src/workflow/core/start_hold.rs
+++ b/ashtiller/src/workflow/core/start_hold.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::workflow::core::waits::WAIT_LOG_INTERVAL;
+use crate::workflow::core::wait_report::WAIT_LOG_INTERVAL;
 use crate::workflow::core::{Core, Now};
 
 /// Starts that wait.
--- a/ashtiller/src/workflow/core/starvation.rs
+++ b/ashtiller/src/workflow/core/starvation.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::fleet::{self, Candidate, RunsPerWorker};
-use crate::workflow::core::order::{TOO_LATE, WaitingStep};
+use crate::workflow::core::candidates::{self, Candidate, RunsPerWorker};
+use crate::workflow::core::step_priority::{TOO_LATE, WaitingStep};
 use crate::workflow::core::plan::PlacementRound;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::Task;
-use crate::workflow::life::Incarnation;
+use crate::workflow::record::Task;
+use crate::workflow::incarnation::Incarnation;
 
 /// Time for which there may be room for a lasting step while short ones are placed first.
 /// The platform asks for its start within 3 s.
@@ -188,7 +188,7 @@
         let open = fleet
             .iter()
             .filter(|it| it.service == job.policy.service && !it.is_closed())
-            .filter(|it| fleet::satisfies_constraints(it, step, &spread))
+            .filter(|it| candidates::satisfies_constraints(it, step, &spread))
             .filter(|it| !self.is_forbidden(entry.key(), &it.id))
             .filter_map(|it| self.workers.get(&it.id));
         let emptying = open.filter_map(|worker| {
@@ -249,7 +249,7 @@
             step,
             index: 0,
         };
-        fleet::count_runs_per_worker(self, first)
+        candidates::count_runs_per_worker(self, first)
     }
 
     pub(super) fn fits_step(&self, entry: &WaitingStep, candidate: &Candidate) -> bool {
@@ -263,7 +263,7 @@
         let (room, spread) = (step.room(), self.spread_of(entry));
         fleet.iter().any(|candidate| {
             candidate.has_capacity(&job.policy.service, &room)
-                && fleet::satisfies_constraints(candidate, step, &spread)
+                && candidates::satisfies_constraints(candidate, step, &spread)
                 && !self.is_forbidden(entry.key(), &candidate.id)
         })
     }
--- a/ashtiller/src/workflow/core/step_priority.rs
+++ b/ashtiller/src/workflow/core/step_priority.rs
@@ -4,7 +4,7 @@
 
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::Task;
+use crate::workflow::record::Task;
 use crate::workflow::job::Step;
 use crate::workflow::state::{JobState, Occurrence};
 
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::fleet::{self, Candidate, CandidateRanking, PlacementRequest};
+use crate::workflow::core::candidates::{self, Candidate, CandidateRanking, PlacementRequest};
 use crate::workflow::core::plan::PlacementRound;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{Run, Task};
+use crate::workflow::record::{Run, Task};
 use crate::workflow::worker::Worker;
 
 /// Longest time for which nothing is started beside a task that is tried: most are cleared or
@@ -133,7 +133,7 @@
 
     /// Ranks workers by what the trial of a task of a step costs there.
     pub(super) fn rank_trials(&self, fleet: &[Candidate], wish: &PlacementRequest<'_>, now: Now) -> CandidateRanking {
-        fleet::rank_by(fleet, |candidate| self.weigh_trial(candidate, wish, now))
+        candidates::rank_by(fleet, |candidate| self.weigh_trial(candidate, wish, now))
     }
 
     /// What the trial of a task costs at a worker, where all runs began a while ago.
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -6,9 +6,9 @@
 
 use crate::failure::Failure;
 use crate::workflow::core::{Core, Effect, Now};
-use crate::workflow::fact::{LogRecord, Run, Task};
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{StopReason, Stage, Stop};
+use crate::workflow::record::{LogRecord, Run, Task};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{StopReason, Stage, Stop};
 use crate::workflow::machines::{Done, MachineOrder, Wave};
 use crate::workflow::worker::Worker;
 
--- a/ashtiller/src/workflow/core/wait_report.rs
+++ b/ashtiller/src/workflow/core/wait_report.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::workflow::core::order::WaitingStep;
+use crate::workflow::core::step_priority::WaitingStep;
 use crate::workflow::core::plan::PlacementRound;
 use crate::workflow::core::{Core, Now};
 
--- a/ashtiller/src/workflow/core/worker_list.rs
+++ b/ashtiller/src/workflow/core/worker_list.rs
@@ -6,10 +6,10 @@
 
 use crate::workflow::config::ListedWorker;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::fact::{End, LogRecord, Run};
+use crate::workflow::record::{End, LogRecord, Run};
 use crate::workflow::lease;
-use crate::workflow::life::Incarnation;
-use crate::workflow::live::{StopReason, Stage, Stop};
+use crate::workflow::incarnation::Incarnation;
+use crate::workflow::live_run::{StopReason, Stage, Stop};
 use crate::workflow::worker::{LATE_MAX, Worker};
 
 /// How long a worker that is not listed and runs nothing is remembered.
--- a/ashtiller/src/workflow/follow.rs
+++ b/ashtiller/src/workflow/follow.rs
@@ -18,7 +18,7 @@
 use crate::clock::Moment;
 use crate::failure::Failure;
 use crate::workflow::kv::{Change, Item, Store, Watched};
-use crate::workflow::tempo::{PAUSE, StoreLatency};
+use crate::workflow::store_latency::{PAUSE, StoreLatency};
 
 /// Wait of one watch where news also comes another way; the platform allows 30 s.
 /// Shorter, so that a watch that a silent store has forgotten is noticed.
--- a/ashtiller/src/workflow/live_run.rs
+++ b/ashtiller/src/workflow/live_run.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::workflow::interference::Image;
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// How far the start of a run has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/ashtiller/src/workflow/log/compaction.rs
+++ b/ashtiller/src/workflow/log/compaction.rs
@@ -10,7 +10,7 @@
 use tokio::time::{self, Instant};
 
 use crate::failure::{RemoteEffect, Failure};
-use crate::workflow::book::LogState;
+use crate::workflow::log_state::LogState;
 use crate::workflow::kv::{Committed, Txn};
 use crate::workflow::log::{SnapshotHead, Log};
 use crate::workflow::snapshot;
--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -16,8 +16,8 @@
 
 use crate::clock::Moment;
 use crate::failure::Failure;
-use crate::workflow::book::LogState;
-use crate::workflow::fact::{LogRecord, LogOwner};
+use crate::workflow::log_state::LogState;
+use crate::workflow::record::{LogRecord, LogOwner};
 use crate::workflow::kv::{Committed, Store, Txn};
 
 pub use compaction::PartSize;
--- a/ashtiller/src/workflow/membership/election.rs
+++ b/ashtiller/src/workflow/membership/election.rs
@@ -10,10 +10,10 @@
 use tokio::time::{self, Instant};
 
 use crate::failure::{RemoteEffect, Failure};
-use crate::workflow::fact::{PreviousOwner, LogOwner};
+use crate::workflow::record::{PreviousOwner, LogOwner};
 use crate::workflow::log::{Acquisition, LogTail};
-use crate::workflow::membership::heir;
-use crate::workflow::membership::succession;
+use crate::workflow::membership::handover;
+use crate::workflow::membership::failover_order;
 use crate::workflow::message::{PeerRequest, Heartbeat, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner;
@@ -199,10 +199,10 @@
 fn wait_of(node: &Node, lead: &LogOwner) -> Duration {
     let own = node.settings.entry.processors;
     let name = &node.settings.instance.name;
-    let rank = succession::rank(own, name, &lead.name, &node.members());
-    let small = own * heir::LARGER_BY.0 < lead.largest * heir::LARGER_BY.1;
+    let rank = failover_order::rank(own, name, &lead.name, &node.members());
+    let small = own * handover::LARGER_BY.0 < lead.largest * handover::LARGER_BY.1;
     let least = if small { SMALL_WAIT } else { Duration::ZERO };
-    succession::delay(rank).max(least)
+    failover_order::delay(rank).max(least)
 }
 
 /// Tries to replace an owner that was lost.
--- a/ashtiller/src/workflow/membership/mod.rs
+++ b/ashtiller/src/workflow/membership/mod.rs
@@ -6,8 +6,8 @@
 //! - [`heir`]: when an owner hands the log over, and to whom;
 //! - [`campaign`]: heartbeats, and the steps from a lost owner to the next one.
 
-pub mod campaign;
-pub mod heir;
+pub mod election;
+pub mod handover;
 pub mod member;
 pub mod members;
-pub mod succession;
+pub mod failover_order;
--- a/ashtiller/src/workflow/message.rs
+++ b/ashtiller/src/workflow/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::workflow::config::Config;
-use crate::workflow::fact::{PreviousOwner, LogOwner, Outcome};
+use crate::workflow::record::{PreviousOwner, LogOwner, Outcome};
 use crate::workflow::job::Job;
 use crate::workflow::membership::member::{Member, MembershipUpdate, Version};
 use crate::workflow::relay::{CallBatch, ResultBatch};
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -1,8 +1,8 @@
 //! One entry instance: takes clients' calls, and owns the log or follows who does.
 
-mod answer;
-mod ask;
-mod news;
+mod peer_handler;
+mod forward;
+mod store_watch;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet};
@@ -19,21 +19,21 @@
 use crate::workflow::agents::WorkerClient;
 use crate::workflow::config::{Config, PlatformCodec};
 use crate::workflow::evacuations::Evacuations;
-use crate::workflow::fact::{PreviousOwner, LogOwner};
+use crate::workflow::record::{PreviousOwner, LogOwner};
 use crate::workflow::follow;
 use crate::workflow::kv::Store;
 use crate::workflow::link::Tcp;
 use crate::workflow::log::Log;
 use crate::workflow::machines::{Machines, Wave};
-use crate::workflow::membership::campaign;
+use crate::workflow::membership::election;
 use crate::workflow::membership::member::{Member, MembershipUpdate, Version};
 use crate::workflow::membership::members::Members;
 use crate::workflow::message::Heartbeat;
 use crate::workflow::metrics::Metrics;
 use crate::workflow::owner::OwnerRequest;
 use crate::workflow::peers::PeerConnections;
-use crate::workflow::relay::carrier::RelayServer;
-use crate::workflow::relay::sender::RelayClient;
+use crate::workflow::relay::server::RelayServer;
+use crate::workflow::relay::client::RelayClient;
 use crate::workflow::settings::Settings;
 
 /// Prefix of everything that this project keeps in the store.
@@ -141,7 +141,7 @@
     pub fn spawn(self: &Rc<Self>) {
         task::spawn_local(self.clone().follow_config());
         task::spawn_local(self.clone().probe_store());
-        task::spawn_local(campaign::run(self.clone()));
+        task::spawn_local(election::run(self.clone()));
     }
 
     /// The configuration in force.
--- a/ashtiller/src/workflow/node/peer_handler.rs
+++ b/ashtiller/src/workflow/node/peer_handler.rs
@@ -6,11 +6,11 @@
 use futures_util::future::LocalBoxFuture;
 
 use crate::workflow::link::RequestHandler;
-use crate::workflow::membership::campaign;
+use crate::workflow::membership::election;
 use crate::workflow::membership::member::Version;
 use crate::workflow::message::{PeerRequest, Heartbeat, Reply, HeartbeatReply};
 use crate::workflow::node::Node;
-use crate::workflow::node::ask::ASK_LIMIT;
+use crate::workflow::node::forward::ASK_LIMIT;
 
 impl Node {
     fn welcome(&self, hello: &Heartbeat) -> HeartbeatReply {
@@ -64,7 +64,7 @@
                     Reply::Noted
                 }
                 PeerRequest::TakeOver(lead) => {
-                    campaign::take_over(&self, &lead).await;
+                    election::take_over(&self, &lead).await;
                     Reply::Lead(self.lead())
                 }
                 PeerRequest::RelayCalls(parcels) => {
--- a/ashtiller/src/workflow/owner/effects.rs
+++ b/ashtiller/src/workflow/owner/effects.rs
@@ -6,7 +6,7 @@
 use crate::failure::Failure;
 use crate::workflow::core::Effect;
 use crate::workflow::core::advice::AdviceRequest;
-use crate::workflow::fact::LogRecord;
+use crate::workflow::record::LogRecord;
 use crate::workflow::kv::Txn;
 use crate::workflow::log::Log;
 use crate::workflow::machines::Holder;
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::workflow::core::Now;
-use crate::workflow::membership::heir::{self, OwnerHealth};
+use crate::workflow::membership::handover::{self, OwnerHealth};
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::owner::{HAND_OVER_PAUSE, Event, Owner, TAKE_OVER_LIMIT};
 
@@ -31,7 +31,7 @@
         }
         let own = &self.node.settings.instance.name;
         let members = self.node.members();
-        let Some(heir) = heir::choose(own, &standing, reason, &members).cloned() else {
+        let Some(heir) = handover::choose(own, &standing, reason, &members).cloned() else {
             return;
         };
         self.last_handover = Some(Instant::now());
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -1,10 +1,10 @@
 //! Carries out what the owner of a log decides.
 
-mod carry;
-mod former;
+mod effects;
+mod predecessor;
 mod hand_over;
-mod inputs;
-mod unread;
+mod events;
+mod unreadable;
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -21,9 +21,9 @@
 use crate::workflow::agents::{PollReply, Order, OrderReply};
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Counts, Now, Ticket};
-use crate::workflow::fact::{LogOwner, Run};
+use crate::workflow::record::{LogOwner, Run};
 use crate::workflow::follow::{self, StoreUpdate};
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 use crate::workflow::log::{AppendError, Replayed, Written};
 use crate::workflow::machines::{Done, MachineOrder};
 use crate::workflow::message::{PeerRequest, Reply};
@@ -131,7 +131,7 @@
         compaction: None,
         last_handover: None,
         written_waves: BTreeSet::new(),
-        unread: unread::UnreadableEntries::default(),
+        unread: unreadable::UnreadableEntries::default(),
         last_counts: Counts::default(),
         last_published: Instant::now(),
         stopped: false,
@@ -200,7 +200,7 @@
     last_handover: Option<Instant>,
     written_waves: BTreeSet<(u64, bool)>,
     /// Workers' entries that cannot be read.
-    unread: unread::UnreadableEntries,
+    unread: unreadable::UnreadableEntries,
     last_counts: Counts,
     last_published: Instant,
     stopped: bool,
--- a/ashtiller/src/workflow/owner/predecessor.rs
+++ b/ashtiller/src/workflow/owner/predecessor.rs
@@ -5,7 +5,7 @@
 use tokio::task;
 use tokio::time;
 
-use crate::workflow::fact::PreviousOwner;
+use crate::workflow::record::PreviousOwner;
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner::{Event, Owner};
--- a/ashtiller/src/workflow/record.rs
+++ b/ashtiller/src/workflow/record.rs
@@ -8,7 +8,7 @@
 use crate::workflow::blame::LostRun;
 use crate::workflow::interference::LearnedFactor;
 use crate::workflow::job::{Job, Policy};
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// One task of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -9,9 +9,9 @@
 //! relay that is slow, cut off or under a former owner is a way on which calls are late or
 //! lost, which the owner's decisions bear anyway.
 
-pub mod carrier;
+pub mod server;
 mod route;
-pub mod sender;
+pub mod client;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/ashtiller/src/workflow/settings.rs
+++ b/ashtiller/src/workflow/settings.rs
@@ -9,7 +9,7 @@
 use crate::settings::{self, Instance};
 use crate::workflow::agents::ORDER_TIMEOUT_MIN;
 use crate::workflow::switches::Switches;
-use crate::workflow::terms::{LEASE_MAX, START_MAX, Tuning};
+use crate::workflow::tuning::{LEASE_MAX, START_MAX, Tuning};
 
 /// Sections of a settings file.
 const SECTIONS: [&str; 5] = ["instance", "entry", "platform", "workers", "policy"];
--- a/ashtiller/src/workflow/snapshot.rs
+++ b/ashtiller/src/workflow/snapshot.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 use crate::workflow::blame::Suspect;
-use crate::workflow::book::LogState;
-use crate::workflow::fact::Task;
+use crate::workflow::log_state::LogState;
+use crate::workflow::record::Task;
 
 type Suspects = BTreeMap<Task, Suspect>;
 
--- a/ashtiller/src/workflow/state.rs
+++ b/ashtiller/src/workflow/state.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::workflow::fact::{Outcome, Task};
+use crate::workflow::record::{Outcome, Task};
 use crate::workflow::job::{Job, Policy, Step};
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// A run that has been placed and has not ended.
 #[derive(Clone, Debug, Deserialize, Serialize)]
--- a/ashtiller/src/workflow/worker.rs
+++ b/ashtiller/src/workflow/worker.rs
@@ -6,10 +6,10 @@
 use crate::resources::{Pool, Resources};
 use crate::workflow::agents::{TaskName, Target};
 use crate::workflow::config::ListedWorker;
-use crate::workflow::fact::Run;
+use crate::workflow::record::Run;
 use crate::workflow::interference::Image;
 use crate::workflow::lease::{self, Lease};
-use crate::workflow::life::Incarnation;
+use crate::workflow::incarnation::Incarnation;
 
 /// First time for which a worker that fails what it starts gets nothing; doubles.
 /// Short against the spells of some seconds that workers show.
--- a/ashtiller/tests/fleet/node.rs
+++ b/ashtiller/tests/fleet/node.rs
@@ -7,7 +7,7 @@
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
 use ashtiller::fact::{Body, Entry, Fact};
-use ashtiller::fit::InterferenceAware;
+use ashtiller::placement::InterferenceAware;
 use ashtiller::peer::Submission;
 use ashtiller::plan::{self, Planner};
 use ashtiller::reconcile::{self, StepContext};
--- a/ashtiller/tests/links/peer.rs
+++ b/ashtiller/tests/links/peer.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashtiller::workflow::fact::LogOwner;
+use ashtiller::workflow::record::LogOwner;
 use ashtiller::workflow::link::RequestHandler;
 use ashtiller::workflow::message::{PeerRequest, Reply, State, HeartbeatReply};
 use futures_util::future::LocalBoxFuture;
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -12,8 +12,8 @@
 use ashtiller::workflow::link::RequestHandler;
 use ashtiller::workflow::membership::member::Member;
 use ashtiller::workflow::message::{PeerRequest, Reply};
-use ashtiller::workflow::relay::carrier::RelayServer;
-use ashtiller::workflow::relay::sender::{MIN_RELAYED_WORKERS, RelayClient};
+use ashtiller::workflow::relay::server::RelayServer;
+use ashtiller::workflow::relay::client::{MIN_RELAYED_WORKERS, RelayClient};
 use futures_util::future::LocalBoxFuture;
 use parking_lot::Mutex;
 use tokio::task::{self, LocalSet};
--- a/ashtiller/tests/membership/heir.rs
+++ b/ashtiller/tests/membership/heir.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::membership::heir::{self, HandoverReason, OwnerHealth};
+use ashtiller::workflow::membership::handover::{self, HandoverReason, OwnerHealth};
 use ashtiller::workflow::membership::member::Member;
 
 use crate::{fleet, name};
@@ -23,7 +23,7 @@
 
 fn heir(standing: &OwnerHealth, members: &[Member]) -> Option<Member> {
     let reason = standing.reason()?;
-    heir::choose(&name(7), standing, reason, members).cloned()
+    handover::choose(&name(7), standing, reason, members).cloned()
 }
 
 #[test]
--- a/ashtiller/tests/membership/succession.rs
+++ b/ashtiller/tests/membership/succession.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ashtiller::workflow::membership::member::Member;
-use ashtiller::workflow::membership::succession;
+use ashtiller::workflow::membership::failover_order;
 
 use crate::{SIZES, fleet, zone};
 
@@ -22,7 +22,7 @@
 fn waits(size: u32, gone: impl Fn(u32, &Member) -> bool) -> Vec<Duration> {
     let members = fleet(size);
     let rank = |member: &Member, lost: &str| {
-        succession::rank(member.processors, &member.name, lost, &members)
+        failover_order::rank(member.processors, &member.name, lost, &members)
     };
     let owner = members
         .iter()
@@ -31,7 +31,7 @@
     let left = (0..).zip(&members);
     let left = left.filter(|(number, it)| it.name != owner.name && !gone(*number, it));
     let mut waits: Vec<Duration> = left
-        .map(|(_, it)| succession::delay(rank(it, &owner.name)))
+        .map(|(_, it)| failover_order::delay(rank(it, &owner.name)))
         .collect();
     waits.sort_unstable();
     waits
@@ -86,7 +86,7 @@
 fn what_cannot_own_the_log_is_not_waited_for() {
     let mut members = fleet(100);
     let own: Arc<str> = "zzz".into();
-    let rank = |members: &[Member]| succession::rank(120, &own, "", members);
+    let rank = |members: &[Member]| failover_order::rank(120, &own, "", members);
     let all = rank(&members);
     for member in &mut members {
         member.leaving = member.processors == 1000 && zone(u32::from(member.address.port())) == 4;
--- a/ashtiller/tests/owner/compaction.rs
+++ b/ashtiller/tests/owner/compaction.rs
@@ -11,12 +11,12 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::book::LogState;
-use ashtiller::workflow::fact::{LogRecord, LogOwner};
+use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::record::{LogRecord, LogOwner};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use ashtiller::workflow::log::{Log, PartSize, Acquisition};
 use ashtiller::workflow::snapshot;
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::tuning::Tuning;
 use bytes::Bytes;
 use parking_lot::Mutex;
 use tokio::time::{self, Instant};
--- a/ashtiller/tests/owner/crash_wave.rs
+++ b/ashtiller/tests/owner/crash_wave.rs
@@ -8,7 +8,7 @@
 
 use ashtiller::workflow::agents::PollReply;
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 
 use nix::time::{ClockId, clock_gettime};
 
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -9,17 +9,17 @@
 use ashtiller::workflow::agents::{
     Active, Finished, EndReason, PollReply, TaskName, Order, Refusal, OrderReply, Target,
 };
-use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::advice::AdviceRequest;
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::evacuations::Zones;
-use ashtiller::workflow::fact::{LogRecord, Run};
+use ashtiller::workflow::record::{LogRecord, Run};
 use ashtiller::workflow::job::{Job, Policy, Step};
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::machines::{Done, MachineOrder};
 use ashtiller::workflow::message::Reply;
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::tuning::Tuning;
 
 pub const MS: Duration = Duration::from_millis(1);
 
--- a/ashtiller/tests/owner/evacuation.rs
+++ b/ashtiller/tests/owner/evacuation.rs
@@ -6,10 +6,10 @@
 use ashtiller::workflow::agents::Active;
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::evacuations::Zones;
-use ashtiller::workflow::fact::{LogRecord, Run, Task};
+use ashtiller::workflow::record::{LogRecord, Run, Task};
 use ashtiller::workflow::job::{Sharing, Step};
-use ashtiller::workflow::life::Incarnation;
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::tuning::Tuning;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -13,8 +13,8 @@
 use ashtiller::workflow::agents::{EndReason, Poll, PollReply, Order, Refusal, OrderReply, Target};
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Effect;
-use ashtiller::workflow::fact::Run;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::record::Run;
+use ashtiller::workflow::incarnation::Incarnation;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/owner/first_list.rs
+++ b/ashtiller/tests/owner/first_list.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::{Core, Now};
-use ashtiller::workflow::fact::{LogRecord, Run, Task};
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::record::{LogRecord, Run, Task};
+use ashtiller::workflow::tuning::Tuning;
 
 use nix::time::{ClockId, clock_gettime};
 
--- a/ashtiller/tests/owner/jobs.rs
+++ b/ashtiller/tests/owner/jobs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::EndReason;
-use ashtiller::workflow::fact::{LogRecord, Outcome};
+use ashtiller::workflow::record::{LogRecord, Outcome};
 use ashtiller::workflow::job::{Schedule, Step};
 use ashtiller::workflow::message::{Reply, State};
 
--- a/ashtiller/tests/owner/late_ends.rs
+++ b/ashtiller/tests/owner/late_ends.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::EndReason;
-use ashtiller::workflow::fact::{Outcome, Run};
+use ashtiller::workflow::record::{Outcome, Run};
 use ashtiller::workflow::message::{Reply, State};
 
 use crate::driver::{Driver, MS, job, policy, step};
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -6,10 +6,10 @@
 use ashtiller::workflow::agents::{EndReason, Order, OrderReply};
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Effect;
-use ashtiller::workflow::fact::{LogRecord, Run};
+use ashtiller::workflow::record::{LogRecord, Run};
 use ashtiller::workflow::lease::Lease;
-use ashtiller::workflow::life::Incarnation;
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::tuning::Tuning;
 use ashtiller::workflow::worker::LATE_MAX;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
--- a/ashtiller/tests/owner/parts.rs
+++ b/ashtiller/tests/owner/parts.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use ashtiller::workflow::blame::LostRun;
-use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::{Config, Queue};
-use ashtiller::workflow::fact::{End, LogRecord, Outcome, Run, Task};
+use ashtiller::workflow::record::{End, LogRecord, Outcome, Run, Task};
 use ashtiller::workflow::interference::{NeighborFill, Interference};
 use ashtiller::workflow::job::Step;
 use ashtiller::workflow::lease::{self, Lease};
--- a/ashtiller/tests/owner/placing.rs
+++ b/ashtiller/tests/owner/placing.rs
@@ -7,7 +7,7 @@
 use ashtiller::workflow::agents::{EndReason, Order};
 use ashtiller::workflow::core::advice::AdviceRequest;
 use ashtiller::workflow::job::{Advice, Policy, Sharing, Step};
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 
 use crate::driver::{Advisor, Driver, MS, job, policy, step};
 
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -5,7 +5,7 @@
 use ashtiller::failure::Failure;
 use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
 use ashtiller::workflow::core::Effect;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::message::Reply;
 
 use crate::driver::{Driver, MS, job, policy, step};
--- a/ashtiller/tests/owner/shrinking.rs
+++ b/ashtiller/tests/owner/shrinking.rs
@@ -4,8 +4,8 @@
 
 use ashtiller::workflow::agents::EndReason;
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::fact::{LogRecord, Run};
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::record::{LogRecord, Run};
+use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::message::{Reply, State};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
--- a/ashtiller/tests/owner/slow.rs
+++ b/ashtiller/tests/owner/slow.rs
@@ -10,7 +10,7 @@
 use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
 use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::tuning::Tuning;
 use tokio::sync::{mpsc, watch};
 use tokio::time;
 
--- a/ashtiller/tests/owner/strangers.rs
+++ b/ashtiller/tests/owner/strangers.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::fact::Run;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::record::Run;
+use ashtiller::workflow::incarnation::Incarnation;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::fact::{End, LogRecord, Run, Task};
+use ashtiller::workflow::record::{End, LogRecord, Run, Task};
 use ashtiller::workflow::job::Step;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
--- a/ashtiller/tests/owner/upkeep.rs
+++ b/ashtiller/tests/owner/upkeep.rs
@@ -25,9 +25,9 @@
 
 use ashtiller::workflow::agents::Active;
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::fact::Run;
+use ashtiller::workflow::record::Run;
 use ashtiller::workflow::job::Step;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::machines::{Done, Wave};
 
 use crate::driver::{Driver, job, listed, policy};
--- a/ashtiller/tests/owner/workers.rs
+++ b/ashtiller/tests/owner/workers.rs
@@ -4,7 +4,7 @@
 
 use ashtiller::workflow::agents::{Active, EndReason, Order};
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::fact::Run;
+use ashtiller::workflow::record::Run;
 use ashtiller::workflow::job::{Policy, Sharing, Step};
 use ashtiller::workflow::machines::{MachineOrder, Wave};
 
--- a/ashtiller/tests/pressure.rs
+++ b/ashtiller/tests/pressure.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
-use ashtiller::workflow::life::Incarnation;
-use ashtiller::workflow::pressure::Congestion;
+use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::congestion::Congestion;
 
 const MS: Duration = Duration::from_millis(1);
 /// Workers that orders go to in turn.
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -24,11 +24,11 @@
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{Poll, PollReply, TaskName, Order, Target};
-use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::job::{Job, Policy, Step};
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::tuning::Tuning;
 
 use worker::{Weakness, Worker};
 
--- a/ashtiller/tests/workflow.rs
+++ b/ashtiller/tests/workflow.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::fact::Outcome;
+use ashtiller::workflow::record::Outcome;
 use ashtiller::workflow::job::{Job, Step};
 use ashtiller::workflow::message::{Reply, State};
 
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -14,14 +14,14 @@
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{Poll, PollReply, TaskName, ORDER_TIMEOUT_MIN, Order, OrderReply, Target};
-use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
-use ashtiller::workflow::fact::{End, LogRecord, Run};
+use ashtiller::workflow::record::{End, LogRecord, Run};
 use ashtiller::workflow::job::{Job, Policy};
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::message::{Reply, State};
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::tuning::Tuning;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
@@ -967,8 +967,8 @@
     /// Jobs that were accepted and are not complete for the newest owner.
     pub fn unfinished(&self) -> Vec<Arc<str>> {
         let core = self.owners[self.newest].as_ref().expect("an owner");
-        let complete = Reply::State(State::Over(ashtiller::workflow::fact::Outcome::Complete));
-        let failed = Reply::State(State::Over(ashtiller::workflow::fact::Outcome::Failed));
+        let complete = Reply::State(State::Over(ashtiller::workflow::record::Outcome::Complete));
+        let failed = Reply::State(State::Over(ashtiller::workflow::record::Outcome::Failed));
         let open = self.accepted.iter().filter(|id| {
             let state = core.state(id);
             state != complete && !(self.bad.contains_key(*id) && state == failed)
--- a/bench/src/cells.rs
+++ b/bench/src/cells.rs
@@ -6,7 +6,7 @@
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
 use ashtiller::fact::{Attempt, End, Fact};
-use ashtiller::fit::InterferenceAware;
+use ashtiller::placement::InterferenceAware;
 use ashtiller::peer::Submission;
 use ashtiller::plan::{self, Planner};
 use ashtiller::record;
--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -8,13 +8,13 @@
 
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{Active, Finished, EndReason, Poll, PollReply, TaskName, Order, OrderReply};
-use ashtiller::workflow::book::LogState;
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
-use ashtiller::workflow::fact::Run;
+use ashtiller::workflow::record::Run;
 use ashtiller::workflow::job::{Job, Policy, Sharing, Step};
-use ashtiller::workflow::life::Incarnation;
-use ashtiller::workflow::terms::Tuning;
+use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::tuning::Tuning;
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
--- a/bench/src/replay/policy.rs
+++ b/bench/src/replay/policy.rs
@@ -1,6 +1,6 @@
 //! The product's policy and the baselines that it is compared with.
 
-use ashtiller::fit::{PlacementPolicy, InterferenceAware, CandidateHost};
+use ashtiller::placement::{PlacementPolicy, InterferenceAware, CandidateHost};
 use ashtiller::template::Class;
 
 /// A way to place and control tasks.
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -12,7 +12,7 @@
 use ashtiller::dispatch::{self, Dispatch, Limits, Next};
 use ashtiller::endpoint::{Listing, Phase};
 use ashtiller::fact::{Attempt, Body, End, Entry, Fact, TaskId};
-use ashtiller::fit::InterferenceAware;
+use ashtiller::placement::InterferenceAware;
 use ashtiller::health::Sample;
 use ashtiller::ledger::{Head, Ledger, Stored};
 use ashtiller::line::Ticket;
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::TaskName;
-use ashtiller::workflow::fact::LogOwner;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::record::LogOwner;
+use ashtiller::workflow::incarnation::Incarnation;
 use hyper::{Method, StatusCode};
 use parking_lot::Mutex;
 use tokio::task::JoinSet;
--- a/soak/src/shaky.rs
+++ b/soak/src/shaky.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tokio::task::JoinHandle;
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Context;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::life::Incarnation;
+use ashtiller::workflow::incarnation::Incarnation;
 use hyper::{Method, StatusCode};
 use nix::sys::signal::Signal;
 use parking_lot::Mutex;
