--- a/ashtiller/src/agreed/apply.rs
+++ b/ashtiller/src/agreed/apply.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use crate::failure::{RemoteEffect, Failure};
+use crate::failure::{Failure, RemoteEffect};
 use crate::ledger::{self, Head, Stored};
 use crate::store::{Commit, Item, Store};
 
--- a/ashtiller/src/base/counters.rs
+++ b/ashtiller/src/base/counters.rs
@@ -25,7 +25,11 @@
     ///
     /// # Errors
     /// The name is registered already.
-    pub fn register_counter(&self, name: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
+    pub fn register_counter(
+        &self,
+        name: &str,
+        help: &str,
+    ) -> Result<IntCounter, prometheus::Error> {
         let counter = IntCounter::with_opts(self.opts(name, help))?;
         self.registry.register(Box::new(counter.clone()))?;
         Ok(counter)
--- a/ashtiller/src/base/failure.rs
+++ b/ashtiller/src/base/failure.rs
@@ -27,12 +27,20 @@
 
 impl Failure {
     /// A step that may have had its effect.
-    pub fn unknown_effect(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
+    pub fn unknown_effect(
+        step: &'static str,
+        peer: impl fmt::Display,
+        cause: impl fmt::Display,
+    ) -> Self {
         Self::new(step, peer, cause, RemoteEffect::Unknown)
     }
 
     /// A step that had no effect.
-    pub fn no_effect(step: &'static str, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
+    pub fn no_effect(
+        step: &'static str,
+        peer: impl fmt::Display,
+        cause: impl fmt::Display,
+    ) -> Self {
         Self::new(step, peer, cause, RemoteEffect::None)
     }
 
--- a/ashtiller/src/interference/placement.rs
+++ b/ashtiller/src/interference/placement.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use crate::throttling;
 use crate::interference_model::InterferenceModel;
-use crate::worker_state::{WorkerState, Work};
 use crate::resources::Resources;
 use crate::template::Class;
+use crate::throttling;
+use crate::worker_state::{Work, WorkerState};
 
 /// Least speed in percent at which batch work is placed beside a service.
 const SPEED_MIN: u32 = 40;
@@ -80,10 +80,17 @@
             .work_counts
             .keys()
             .filter(|work| work.class == Class::LatencyCritical);
-        let coming: f64 = self.host.pending_interference.iter().map(|(_, harm)| harm).sum();
+        let coming: f64 = self
+            .host
+            .pending_interference
+            .iter()
+            .map(|(_, harm)| harm)
+            .sum();
         let speeds = services.map(|service| {
             let load = self.host.load(service.kind);
-            let fear = self.model.upper_bound(service.kind, self.work.kind, load, self.now);
+            let fear = self
+                .model
+                .upper_bound(service.kind, self.work.kind, load, self.now);
             throttling::sustainable_percent(self.host.worst_latency_ratio + coming, fear, 0)
         });
         speeds.min().unwrap_or(100)
@@ -111,9 +118,13 @@
         let sum = site.expected_interference();
         match site.work.class {
             // A service must run somewhere; batch work can wait for a better place.
-            Class::LatencyCritical => Some(site.utilization() + site.stranded_accelerators() + HARM_WEIGHT * sum),
+            Class::LatencyCritical => {
+                Some(site.utilization() + site.stranded_accelerators() + HARM_WEIGHT * sum)
+            }
             Class::Batch if site.starting_percent() < SPEED_MIN => None,
-            Class::Batch => Some(site.stranded_accelerators() - site.utilization() + HARM_WEIGHT * sum),
+            Class::Batch => {
+                Some(site.stranded_accelerators() - site.utilization() + HARM_WEIGHT * sum)
+            }
         }
     }
 
--- a/ashtiller/src/interference/throttling.rs
+++ b/ashtiller/src/interference/throttling.rs
@@ -101,8 +101,16 @@
 
     /// Decides after a report.
     pub fn decide(&mut self, sight: Observation, now: Duration) -> Action {
-        self.reports_over_target = if sight.worst_ratio > OVER { self.reports_over_target + 1 } else { 0 };
-        self.reports_below_goal = if sight.worst_ratio < AIM { self.reports_below_goal + 1 } else { 0 };
+        self.reports_over_target = if sight.worst_ratio > OVER {
+            self.reports_over_target + 1
+        } else {
+            0
+        };
+        self.reports_below_goal = if sight.worst_ratio < AIM {
+            self.reports_below_goal + 1
+        } else {
+            0
+        };
         let shown = self
             .acted
             .is_none_or(|acted| now >= acted + sight.lag + SETTLE);
@@ -132,10 +140,16 @@
     /// Slows the suspect that does most harm at its speed; evicts it when it is at
     /// the least speed.
     fn restrain(&mut self, sight: Observation, now: Duration) -> Action {
-        let doing = |suspect: &&Suspect| suspect.interference * f64::from(self.percent(suspect.task));
+        let doing =
+            |suspect: &&Suspect| suspect.interference * f64::from(self.percent(suspect.task));
         let fast = |suspect: &&Suspect| self.percent(suspect.task) > SLOWEST;
         let most = |one: &&Suspect, other: &&Suspect| doing(one).total_cmp(&doing(other));
-        let suspects = || sight.suspects.iter().filter(|suspect| suspect.interference > 0.0);
+        let suspects = || {
+            sight
+                .suspects
+                .iter()
+                .filter(|suspect| suspect.interference > 0.0)
+        };
         if let Some(suspect) = suspects().filter(fast).max_by(most) {
             let now_at = self.percent(suspect.task);
             // At most half, so that each step shows.
@@ -171,7 +185,8 @@
             let patience = PATIENCE
                 .saturating_mul(1 << slowed.relapses.min(8))
                 .min(PATIENCE_MAX);
-            let percent = sustainable_percent(sight.worst_ratio, suspect.interference, slowed.percent);
+            let percent =
+                sustainable_percent(sight.worst_ratio, suspect.interference, slowed.percent);
             let worth = percent >= slowed.percent + STEP && now >= slowed.since + patience;
             if worth && best.is_none_or(|(least, _, _)| suspect.interference < least) {
                 best = Some((suspect.interference, suspect.task, percent));
--- a/ashtiller/src/interference/worker_report.rs
+++ b/ashtiller/src/interference/worker_report.rs
@@ -7,11 +7,11 @@
 use crate::cell::Cell;
 use crate::evict;
 use crate::fact::TaskId;
-use crate::throttling::{Action, Observation, Suspect};
 use crate::interference_model::{ColocatedBatch, InterferenceModel, Kind};
 use crate::job::{Phase, Task};
 use crate::reconcile;
 use crate::template::Class;
+use crate::throttling::{Action, Observation, Suspect};
 
 /// Time beyond a report's lag after which a placed task shows in it.
 const SHOWN: Duration = Duration::from_secs(4);
--- a/ashtiller/src/lib.rs
+++ b/ashtiller/src/lib.rs
@@ -68,7 +68,7 @@
     apply, config, document, ledger, members, membership, mistake, settings, template, unit,
 };
 pub use base::{clock, counters, failure, logs, rendezvous, resources};
-pub use interference::{placement, throttling, interference_model, worker_report};
+pub use interference::{interference_model, placement, throttling, worker_report};
 pub use net::{
     calls, codec, consul, follow, hosted, meter, ops, peer, remote, roster, schema, store, web,
     wire,
@@ -79,8 +79,8 @@
 };
 pub(crate) use task::events;
 pub use task::{
-    agent, backlog, cell, evict, explain, fact, worker_state, job, job_forwarder, journal, owner, plan, reconcile,
-    record, scheduler, scheduler_metrics, session,
+    agent, backlog, cell, evict, explain, fact, job, job_forwarder, journal, owner, plan,
+    reconcile, record, scheduler, scheduler_metrics, session, worker_state,
 };
 
 pub use gateway::Gateway;
--- a/ashtiller/src/net/consul.rs
+++ b/ashtiller/src/net/consul.rs
@@ -173,7 +173,8 @@
         step: &'static str,
         body: &'a [u8],
     ) -> Result<T, Failure> {
-        serde_json::from_slice(body).map_err(|error| Failure::unknown_effect(step, self.address, error))
+        serde_json::from_slice(body)
+            .map_err(|error| Failure::unknown_effect(step, self.address, error))
     }
 
     fn item(&self, step: &'static str, pair: Pair) -> Result<Item, Failure> {
--- a/ashtiller/src/request/claims.rs
+++ b/ashtiller/src/request/claims.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinHandle;
 use tokio::time;
 
-use crate::failure::{RemoteEffect, Failure};
+use crate::failure::{Failure, RemoteEffect};
 use crate::store::{Commit, Store, Write};
 
 /// Prefix of the claims' keys.
--- a/ashtiller/src/request/tally.rs
+++ b/ashtiller/src/request/tally.rs
@@ -52,17 +52,23 @@
                 "Requests answered by an endpoint.",
                 "status",
             )?,
-            ended: counters.register_counter_vec("ended_total", "Requests ended by the gateway.", "outcome")?,
+            ended: counters.register_counter_vec(
+                "ended_total",
+                "Requests ended by the gateway.",
+                "outcome",
+            )?,
             wrong: counters.register_counter("wrong_total", "Requests not passed on.")?,
             cut: counters.register_counter("cut_total", "Answers cut in the middle.")?,
             unanswered: counters
                 .register_counter("unanswered_total", "Attempts without an answer in time.")?,
             retries: counters.register_counter("retries_total", "Second and later attempts.")?,
-            unspent: counters.register_counter("retries_denied_total", "Retries denied by the budget.")?,
+            unspent: counters
+                .register_counter("retries_denied_total", "Retries denied by the budget.")?,
             callers: counters.register_gauge("callers", "Connections from callers.")?,
             requests: counters.register_gauge("requests", "Requests in progress.")?,
             claimed: counters.register_counter("claims_total", "Idempotency keys claimed.")?,
-            repeated: counters.register_counter("repeats_total", "Requests whose key was claimed before.")?,
+            repeated: counters
+                .register_counter("repeats_total", "Requests whose key was claimed before.")?,
             asks: counters.register_counter("slot_asks_total", "Questions for slots sent.")?,
             latency: latency(registry)?,
         })
--- a/ashtiller/src/task/agent.rs
+++ b/ashtiller/src/task/agent.rs
@@ -189,8 +189,8 @@
 impl WorkerClient for HttpWorkerClient {
     fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report> {
         Box::pin(async move {
-            let body =
-                serde_json::to_vec(sync).map_err(|error| Failure::no_effect("sync", worker, error))?;
+            let body = serde_json::to_vec(sync)
+                .map_err(|error| Failure::no_effect("sync", worker, error))?;
             let answer = self
                 .client
                 .call(
--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -13,11 +13,11 @@
 use crate::backlog::{Backlog, Priority};
 use crate::fact::{Attempt, End, Fact, TaskId};
 use crate::interference_model::Kinds;
-use crate::worker_state::{WorkerState, Work};
 use crate::job::{Job, Phase, Placement, Task};
 use crate::peer::Submission;
 use crate::resources::{Pool, Resources};
 use crate::session::Session;
+use crate::worker_state::{Work, WorkerState};
 
 /// First pause before a failed task is tried again; each further one doubles.
 const BACKOFF_FIRST: Duration = Duration::from_secs(1);
@@ -163,7 +163,9 @@
     /// Number of a job by name.
     #[must_use]
     pub fn find_job(&self, account: &Arc<str>, job: &Arc<str>) -> Option<u32> {
-        self.job_numbers.get(&(account.clone(), job.clone())).copied()
+        self.job_numbers
+            .get(&(account.clone(), job.clone()))
+            .copied()
     }
 
     /// One job.
@@ -215,7 +217,8 @@
             return;
         };
         let (account, needs) = (job.submission.account.clone(), job.submission.needs);
-        self.backlog.remove(Priority::of(&job.submission), &account, id);
+        self.backlog
+            .remove(Priority::of(&job.submission), &account, id);
         self.counts.placed += 1;
         self.counts.resumed += u64::from(task.progress > 0);
         self.running += 1;
--- a/ashtiller/src/task/events.rs
+++ b/ashtiller/src/task/events.rs
@@ -215,7 +215,9 @@
     async fn handle(&mut self, checked: OwnershipChecked, context: &mut Context<Self, ()>) {
         self.check_in_flight = false;
         match checked.free {
-            Ok(true) => self.ownership_confirmed_at = self.ownership_confirmed_at.max(checked.began),
+            Ok(true) => {
+                self.ownership_confirmed_at = self.ownership_confirmed_at.max(checked.began);
+            }
             // Written since by this owner itself.
             Ok(false) if checked.position < self.position => {}
             Ok(false) => {
--- a/ashtiller/src/task/evict.rs
+++ b/ashtiller/src/task/evict.rs
@@ -5,11 +5,11 @@
 
 use crate::cell::Cell;
 use crate::fact::{Attempt, TaskId};
-use crate::worker_state::WorkerState;
 use crate::job::Phase;
 use crate::resources::Resources;
 use crate::session::LeaseTerms;
 use crate::template::Class;
+use crate::worker_state::WorkerState;
 
 /// Window of an account's eviction budget.
 const BUDGET_WINDOW: Duration = Duration::from_hours(1);
@@ -34,7 +34,11 @@
     now: Duration,
 ) -> Option<(Arc<str>, Vec<Attempt>)> {
     let mut best: Option<(Arc<str>, Vec<Attempt>)> = None;
-    for (name, host) in cell.workers.iter().filter(|(_, host)| host.accepts_attempts(now, terms)) {
+    for (name, host) in cell
+        .workers
+        .iter()
+        .filter(|(_, host)| host.accepts_attempts(now, terms))
+    {
         let Some(victims) = victims_on(cell, host, needs, now) else {
             continue;
         };
@@ -48,7 +52,12 @@
     best
 }
 
-fn victims_on(cell: &Cell, host: &WorkerState, needs: &Resources, now: Duration) -> Option<Vec<Attempt>> {
+fn victims_on(
+    cell: &Cell,
+    host: &WorkerState,
+    needs: &Resources,
+    now: Duration,
+) -> Option<Vec<Attempt>> {
     if !needs.fits_within(host.pool().capacity()) {
         return None;
     }
--- a/ashtiller/src/task/explain.rs
+++ b/ashtiller/src/task/explain.rs
@@ -174,7 +174,12 @@
 
 /// Why a task waits, in one line; `None` when it does not.
 #[must_use]
-pub fn waiting_reason(cell: &Cell, id: TaskId, terms: &LeaseTerms, now: Duration) -> Option<String> {
+pub fn waiting_reason(
+    cell: &Cell,
+    id: TaskId,
+    terms: &LeaseTerms,
+    now: Duration,
+) -> Option<String> {
     let (task, submission) = cell.task(id)?;
     if task.phase != Phase::Queued {
         return None;
@@ -200,7 +205,11 @@
         let (taken, quota) = (held.pool.allocated(), held.pool.capacity());
         return format!("over quota: needs {needs}; {taken} of {quota} taken");
     }
-    let live = || cell.workers.values().filter(|host| host.accepts_attempts(now, terms));
+    let live = || {
+        cell.workers
+            .values()
+            .filter(|host| host.accepts_attempts(now, terms))
+    };
     if live().next().is_none() {
         return "no live worker in this cell".to_owned();
     }
--- a/ashtiller/src/task/job_forwarder.rs
+++ b/ashtiller/src/task/job_forwarder.rs
@@ -11,7 +11,7 @@
 use tokio::time;
 
 use crate::config::Config;
-use crate::failure::{RemoteEffect, Failure};
+use crate::failure::{Failure, RemoteEffect};
 use crate::membership::Membership;
 use crate::ops::{Command, Said};
 use crate::outcome::Outcome;
@@ -267,7 +267,9 @@
         ),
         Verdict::Known => (StatusCode::OK, json!({ "outcome": "known" }).to_string()),
         Verdict::Conflict(reason) => response(StatusCode::CONFLICT, Outcome::NotRun, reason),
-        Verdict::Never(reason) => response(StatusCode::UNPROCESSABLE_ENTITY, Outcome::NotRun, reason),
+        Verdict::Never(reason) => {
+            response(StatusCode::UNPROCESSABLE_ENTITY, Outcome::NotRun, reason)
+        }
         Verdict::NotOwner(reason) => unavailable(reason),
         Verdict::Unknown(reason) => response(StatusCode::GATEWAY_TIMEOUT, Outcome::Unknown, reason),
         Verdict::Missing => response(
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -17,7 +17,7 @@
 
 use crate::cell::{Cell, DurableState};
 use crate::fact::{Body, Entry};
-use crate::failure::{RemoteEffect, Failure};
+use crate::failure::{Failure, RemoteEffect};
 use crate::record::{self, RecordError};
 use crate::session::LeaseTerms;
 use crate::store::Store;
@@ -167,7 +167,9 @@
                 });
             }
             // The old owner, or a faster successor, wrote first.
-            AppendOutcome::Superseded => read_log(&*journal.store, &journal.cell, &mut replay).await?,
+            AppendOutcome::Superseded => {
+                read_log(&*journal.store, &journal.cell, &mut replay).await?;
+            }
         }
     }
 }
@@ -180,7 +182,11 @@
     }
 }
 
-async fn read_snapshot(store: &dyn Store, cell: &str, head: &SnapshotHead) -> Result<DurableState, OpenError> {
+async fn read_snapshot(
+    store: &dyn Store,
+    cell: &str,
+    head: &SnapshotHead,
+) -> Result<DurableState, OpenError> {
     if head.chunks == 0 {
         return Ok(DurableState::default());
     }
@@ -294,7 +300,12 @@
         }
     }
 
-    async fn resolve_write(&self, key: &str, bytes: &Bytes, swapped: Result<bool, Failure>) -> WriteOutcome {
+    async fn resolve_write(
+        &self,
+        key: &str,
+        bytes: &Bytes,
+        swapped: Result<bool, Failure>,
+    ) -> WriteOutcome {
         match swapped {
             Ok(true) => return WriteOutcome::Known(AppendOutcome::Durable),
             Err(failure) if failure.effect == RemoteEffect::None => return WriteOutcome::Unknown,
@@ -397,7 +408,10 @@
 }
 
 fn log_key(cell: &str, position: u64) -> String {
-    format!("{}{position:012}", block_prefix(cell, position / POSITIONS_PER_BLOCK))
+    format!(
+        "{}{position:012}",
+        block_prefix(cell, position / POSITIONS_PER_BLOCK)
+    )
 }
 
 fn parse_position(key: &str) -> Option<u64> {
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -18,18 +18,19 @@
 use crate::cell::Cell;
 use crate::clock::Clock;
 use crate::events::{
-    WorkerAnswered, Cancel, OwnershipChecked, HandOver, WorkersListed, Show, SnapshotWritten, Submit, Tick, EntryWritten,
+    Cancel, EntryWritten, HandOver, OwnershipChecked, Show, SnapshotWritten, Submit, Tick,
+    WorkerAnswered, WorkersListed,
 };
 use crate::fact::{Body, Fact};
-use crate::placement::InterferenceAware;
 use crate::journal::{Journal, OpenedCell};
 use crate::peer::{Submission, Verdict};
+use crate::placement::InterferenceAware;
 use crate::plan::{self, Planner};
 use crate::reconcile::{self, StepContext};
 use crate::record;
 use crate::roster;
 use crate::scheduler_metrics::SchedulerMetrics;
-use crate::session::{Session, LeaseTerms};
+use crate::session::{LeaseTerms, Session};
 use crate::settings;
 
 /// How often the owner decides.
@@ -248,7 +249,9 @@
     pub(crate) fn flush(&mut self, actor: &ActorRef<Self>) {
         let paused = self.now() < self.last_write_at + self.deps.settings.commit;
         let last = self.handing_over && self.pending.is_empty();
-        if self.write_in_flight || (!last && (self.pending.is_empty() || paused && !self.handing_over)) {
+        if self.write_in_flight
+            || (!last && (self.pending.is_empty() || paused && !self.handing_over))
+        {
             return;
         }
         let facts = std::mem::take(&mut self.pending);
@@ -319,7 +322,8 @@
     pub(crate) fn call_workers(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
         // Nothing may be renewed long after the ownership was last proved.
-        let renewing = now < self.ownership_confirmed_at + self.deps.settings.horizon && !self.handing_over;
+        let renewing =
+            now < self.ownership_confirmed_at + self.deps.settings.horizon && !self.handing_over;
         let due: Vec<Arc<str>> = self
             .cell
             .workers
@@ -332,7 +336,12 @@
         }
     }
 
-    pub(crate) fn is_due(&self, name: &Arc<str>, host: &crate::worker_state::WorkerState, now: Duration) -> bool {
+    pub(crate) fn is_due(
+        &self,
+        name: &Arc<str>,
+        host: &crate::worker_state::WorkerState,
+        now: Duration,
+    ) -> bool {
         let Some(called) = host.last_called else {
             return true;
         };
@@ -345,7 +354,8 @@
 
     pub(crate) fn call(&mut self, worker: &Arc<str>, renew: bool, actor: &ActorRef<Self>) {
         let moment = self.step_context();
-        let Some(sync) = reconcile::prepare_sync(&mut self.cell, worker, &self.terms, renew, moment)
+        let Some(sync) =
+            reconcile::prepare_sync(&mut self.cell, worker, &self.terms, renew, moment)
         else {
             return;
         };
@@ -356,7 +366,11 @@
         host.last_called = Some(moment.now);
         host.call_in_flight = true;
         self.deps.metrics.calls.inc();
-        let (tool, actor, worker) = (self.deps.worker_client.clone(), actor.clone(), worker.clone());
+        let (tool, actor, worker) = (
+            self.deps.worker_client.clone(),
+            actor.clone(),
+            worker.clone(),
+        );
         tokio::spawn(async move {
             let answer = tool.sync(address, &sync).await;
             let _ = actor.tell(WorkerAnswered { worker, answer }).await;
@@ -366,7 +380,10 @@
     /// Proves the ownership while there is nothing to write.
     pub(crate) fn verify_ownership(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
-        if self.check_in_flight || self.write_in_flight || now < self.ownership_confirmed_at + VERIFY_INTERVAL {
+        if self.check_in_flight
+            || self.write_in_flight
+            || now < self.ownership_confirmed_at + VERIFY_INTERVAL
+        {
             return;
         }
         self.check_in_flight = true;
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -14,16 +14,16 @@
 use crate::endpoint;
 use crate::evict;
 use crate::fact::{Attempt, End, Fact, TaskId};
-use crate::placement::{PlacementPolicy, CandidateHost};
-use crate::throttling::Action;
 use crate::interference_model::InterferenceModel;
-use crate::worker_state::{WorkerState, Work};
 use crate::job::Phase;
 use crate::peer::{Submission, Verdict};
+use crate::placement::{CandidateHost, PlacementPolicy};
 use crate::resources::Resources;
 use crate::session::LeaseTerms;
 use crate::template::Class;
+use crate::throttling::Action;
 use crate::worker_report;
+use crate::worker_state::{Work, WorkerState};
 
 /// Queued tasks of one account that are looked at for one that may start.
 const LOOK_AHEAD: usize = 16;
@@ -100,7 +100,9 @@
         now: Duration,
     ) -> Vec<Fact> {
         let mut facts = Vec::new();
-        if let Action::Evict(id) = worker_report::process_report(cell, &mut self.harm, worker, report, now) {
+        if let Action::Evict(id) =
+            worker_report::process_report(cell, &mut self.harm, worker, report, now)
+        {
             let number = cell.task(id).map_or(0, |(task, _)| task.attempt);
             let attempt = Attempt { task: id, number };
             record(cell, &mut facts, Fact::Evicting(attempt), position, now);
@@ -114,7 +116,13 @@
         &self.harm
     }
 
-    fn record_lost_attempts(&self, cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
+    fn record_lost_attempts(
+        &self,
+        cell: &mut Cell,
+        facts: &mut Vec<Fact>,
+        position: u64,
+        now: Duration,
+    ) {
         let lost: Vec<TaskId> = cell
             .workers
             .values()
@@ -193,7 +201,8 @@
                 continue;
             }
             let number = task.attempt + 1;
-            let full = self.unplaceable.contains(&(needs, class)) && !self.reservations.contains_key(&id);
+            let full =
+                self.unplaceable.contains(&(needs, class)) && !self.reservations.contains_key(&id);
             let chosen = if full {
                 None
             } else {
@@ -241,7 +250,8 @@
         let pledged = self.reserved_for_others(id, rank);
         let mut best: Option<(f64, &Arc<str>, u64)> = None;
         for (name, host) in &cell.workers {
-            let open = host.pool().can_allocate(&submission.needs) && host.accepts_attempts(now, &self.terms);
+            let open = host.pool().can_allocate(&submission.needs)
+                && host.accepts_attempts(now, &self.terms);
             let Some(boot) = host
                 .session
                 .boot()
@@ -296,9 +306,13 @@
             model: &self.harm,
             now,
         };
-        let (percent, feared) = (self.fit.starting_percent(&site), site.expected_interference());
+        let (percent, feared) = (
+            self.fit.starting_percent(&site),
+            site.expected_interference(),
+        );
         host.guard.start_throttled(id, percent, now);
-        host.pending_interference.push((now, feared * f64::from(percent) / 100.0));
+        host.pending_interference
+            .push((now, feared * f64::from(percent) / 100.0));
     }
 
     /// Workers held back for others.
@@ -344,10 +358,11 @@
 
 /// Accounts that hold the smallest share of their quota come first.
 fn quota_share_order(cell: &Cell, account: &Arc<str>) -> Reverse<(u64, Arc<str>)> {
-    let share = cell
-        .accounts()
-        .get(account)
-        .map_or(0.0, |held| held.pool.allocated().dominant_share_of(held.pool.capacity()));
+    let share = cell.accounts().get(account).map_or(0.0, |held| {
+        held.pool
+            .allocated()
+            .dominant_share_of(held.pool.capacity())
+    });
     // Non-negative floats order as their bits do.
     Reverse((share.to_bits(), account.clone()))
 }
@@ -384,7 +399,9 @@
         .durable_state()
         .jobs
         .iter()
-        .filter(|(_, job)| job.is_over() && job.ended_at.unwrap_or_default() + ENDED_JOB_RETENTION < now)
+        .filter(|(_, job)| {
+            job.is_over() && job.ended_at.unwrap_or_default() + ENDED_JOB_RETENTION < now
+        })
         .map(|(number, _)| *number)
         .take(MAX_FACTS_PER_ROUND)
         .collect();
--- a/ashtiller/src/task/reconcile.rs
+++ b/ashtiller/src/task/reconcile.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::agent::{Command, Ended, ReportedEnd, Report, SyncRequest};
+use crate::agent::{Command, Ended, Report, ReportedEnd, SyncRequest};
 use crate::cell::Cell;
 use crate::fact::{Attempt, End, Fact, TaskId};
 use crate::job::Phase;
-use crate::session::{ReportHeader, Change, Grant, LeaseTerms};
+use crate::session::{Change, Grant, LeaseTerms, ReportHeader};
 
 /// An end that a worker reported; acknowledged once its position is durable.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -72,10 +72,14 @@
     if fenced {
         let tasks = host.tasks.iter();
         commands.extend(tasks.filter_map(|id| command_for(cell, worker, *id, moment.durable)));
-        commands.extend(host.unknown_attempts.iter().map(|(task, attempt)| Command::Stop {
-            task: task.clone(),
-            attempt: *attempt,
-        }));
+        commands.extend(
+            host.unknown_attempts
+                .iter()
+                .map(|(task, attempt)| Command::Stop {
+                    task: task.clone(),
+                    attempt: *attempt,
+                }),
+        );
     }
     let Grant { seq, boot, until } = grant;
     Some(SyncRequest {
@@ -252,7 +256,8 @@
     facts: &mut Vec<Fact>,
     moment: StepContext,
 ) {
-    let active = parse_task_name(&ended.task).filter(|id| is_placed_on(cell, worker, *id, ended.attempt));
+    let active =
+        parse_task_name(&ended.task).filter(|id| is_placed_on(cell, worker, *id, ended.attempt));
     if let Some(id) = active {
         let end = match ended.end {
             ReportedEnd::Finished => End::Finished,
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -24,7 +24,7 @@
 use crate::members::{Member, Members};
 use crate::membership::{self, Membership};
 use crate::ops::{self, Command, Health, Operated, Ops, Said};
-use crate::owner::{self, OwnerHandle, OwnerDeps};
+use crate::owner::{self, OwnerDeps, OwnerHandle};
 use crate::peer::{Ask, Greeting, Peer, Role, Submission, Verdict};
 use crate::rendezvous;
 use crate::roster::{Instance, Roster};
@@ -412,7 +412,8 @@
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
             };
-            let lost = || Failure::unknown_effect("submit", &cell, "the cell was released meanwhile");
+            let lost =
+                || Failure::unknown_effect("submit", &cell, "the cell was released meanwhile");
             handle.submit(job).await.ok_or_else(lost)
         })
     }
@@ -422,7 +423,8 @@
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
             };
-            let lost = || Failure::unknown_effect("cancel", &cell, "the cell was released meanwhile");
+            let lost =
+                || Failure::unknown_effect("cancel", &cell, "the cell was released meanwhile");
             handle.cancel(account, job).await.ok_or_else(lost)
         })
     }
--- a/ashtiller/src/task/scheduler_metrics.rs
+++ b/ashtiller/src/task/scheduler_metrics.rs
@@ -37,7 +37,8 @@
             entries: counters.register_counter("log_entries_total", "Log entries written.")?,
             entry_bytes: counters.register_counter("log_bytes_total", "Bytes of log entries.")?,
             snapshots: counters.register_counter("snapshots_total", "Snapshots begun.")?,
-            snapshot_bytes: counters.register_counter("snapshot_bytes_total", "Bytes of snapshots.")?,
+            snapshot_bytes: counters
+                .register_counter("snapshot_bytes_total", "Bytes of snapshots.")?,
             calls: counters.register_counter("worker_calls_total", "Calls to workers.")?,
             calls_failed: counters
                 .register_counter("worker_calls_failed_total", "Failed calls to workers.")?,
--- a/ashtiller/src/task/session.rs
+++ b/ashtiller/src/task/session.rs
@@ -116,7 +116,8 @@
     /// Age of the last answer.
     #[must_use]
     pub fn since_last_report(&self, now: Duration) -> Duration {
-        self.last_report.map_or(now, |(_, at)| now.saturating_sub(at))
+        self.last_report
+            .map_or(now, |(_, at)| now.saturating_sub(at))
     }
 
     /// Prepares the next grant. Without `renew` it grants nothing new.
@@ -140,7 +141,13 @@
     }
 
     /// Takes an answer that arrived at `now`; `epoch` is this owner's.
-    pub fn handle_report(&mut self, epoch: u64, answer: ReportHeader, terms: &LeaseTerms, now: Duration) -> Change {
+    pub fn handle_report(
+        &mut self,
+        epoch: u64,
+        answer: ReportHeader,
+        terms: &LeaseTerms,
+        now: Duration,
+    ) -> Change {
         if answer.epoch > epoch {
             return Change::Superseded;
         }
--- a/ashtiller/src/task/worker_state.rs
+++ b/ashtiller/src/task/worker_state.rs
@@ -7,12 +7,12 @@
 
 use crate::endpoint::Phase;
 use crate::fact::TaskId;
-use crate::throttling::ThrottleController;
 use crate::interference_model::Kind;
 use crate::reconcile::Ack;
 use crate::resources::{Pool, Resources};
-use crate::session::{Session, LeaseTerms};
+use crate::session::{LeaseTerms, Session};
 use crate::template::Class;
+use crate::throttling::ThrottleController;
 
 /// Failures in a row, of different tasks, after which a worker is quarantined.
 const QUARANTINE_FAILURES: usize = 3;
--- a/ashtiller/src/workflow/blame.rs
+++ b/ashtiller/src/workflow/blame.rs
@@ -144,7 +144,10 @@
 
 /// The task that is to blame for a crash that has no cause outside of the tasks, if that is
 /// known: the only one there that was strongly suspected before.
-pub fn find_culprit<'a>(victims: &[LostRun], known: impl Fn(Task) -> Option<&'a Suspect>) -> Option<Task> {
+pub fn find_culprit<'a>(
+    victims: &[LostRun],
+    known: impl Fn(Task) -> Option<&'a Suspect>,
+) -> Option<Task> {
     let strong = victims
         .iter()
         .filter_map(|victim| Some((victim, known(victim.run.task).filter(|it| it.is_strong())?)));
--- a/ashtiller/src/workflow/config.rs
+++ b/ashtiller/src/workflow/config.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::resources::Resources;
-use crate::workflow::job::Policy;
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::job::Policy;
 use crate::workflow::machines::Wave;
 
 /// A queue of jobs, found by the host and path of a client's call.
--- a/ashtiller/src/workflow/core/admission.rs
+++ b/ashtiller/src/workflow/core/admission.rs
@@ -3,10 +3,10 @@
 use std::fmt;
 
 use crate::workflow::core::{Core, Effect, Now, OnDurable, Ticket};
-use crate::workflow::record::{LogRecord, Outcome, Run};
 use crate::workflow::job::{Job, Sharing, Step};
 use crate::workflow::live_run::Stage;
 use crate::workflow::message::{Reply, State};
+use crate::workflow::record::{LogRecord, Outcome, Run};
 use crate::workflow::state::JobState;
 
 impl Core {
@@ -49,7 +49,11 @@
             self.counts.accepted += 1;
             self.needs_planning = true;
             for ticket in tickets {
-                self.defer(self.position, OnDurable::Answer(ticket, Reply::Accepted), now);
+                self.defer(
+                    self.position,
+                    OnDurable::Answer(ticket, Reply::Accepted),
+                    now,
+                );
             }
         }
     }
--- a/ashtiller/src/workflow/core/adopted_runs.rs
+++ b/ashtiller/src/workflow/core/adopted_runs.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 
 use crate::workflow::core::{Core, Now, incarnations, share_of};
-use crate::workflow::record::{Run, Task};
-use crate::workflow::job::Step;
 use crate::workflow::incarnation::Incarnation;
-use crate::workflow::live_run::{LiveRun, StopReason, Stage};
+use crate::workflow::job::Step;
+use crate::workflow::live_run::{LiveRun, Stage, StopReason};
+use crate::workflow::record::{Run, Task};
 use crate::workflow::state::JobState;
 
 /// Runs of earlier owners by the life of their worker, until that is listed.
@@ -49,7 +49,9 @@
     /// known, so they are ordered again, but for those that nobody needs any more.
     pub(super) fn adopt_runs(&mut self, now: Now) {
         let open = self.log_state.open();
-        let jobs = open.iter().map(|number| (*number, &self.log_state.jobs[number]));
+        let jobs = open
+            .iter()
+            .map(|number| (*number, &self.log_state.jobs[number]));
         let found: Vec<Found> = jobs
             .flat_map(|(number, job)| find_runs(number, job))
             .collect();
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -8,9 +8,9 @@
 use crate::workflow::advisor::Tickets;
 use crate::workflow::core::candidates::{Candidate, PlacementRequest};
 use crate::workflow::core::{Core, Effect, Now, candidates};
-use crate::workflow::record::Task;
-use crate::workflow::job::Advice;
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::job::Advice;
+use crate::workflow::record::Task;
 
 /// Workers named in one question. The platform allows 100 and its users count 30.
 const NAMED_MAX: usize = 30;
@@ -178,7 +178,11 @@
         answer: Result<Tickets, Failure>,
         now: Now,
     ) {
-        let valid = self.log_state.jobs.get(&key.0).and_then(|job| job.policy.advice);
+        let valid = self
+            .log_state
+            .jobs
+            .get(&key.0)
+            .and_then(|job| job.policy.advice);
         let Some(advised) = self.advised.get_mut(&key) else {
             return;
         };
--- a/ashtiller/src/workflow/core/allocation.rs
+++ b/ashtiller/src/workflow/core/allocation.rs
@@ -4,10 +4,10 @@
 
 use crate::resources::Resources;
 use crate::workflow::core::{Core, Now, share_of};
-use crate::workflow::record::{LogRecord, Run};
-use crate::workflow::job::Sharing;
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::job::Sharing;
 use crate::workflow::live_run::{LiveRun, Stage, Stop};
+use crate::workflow::record::{LogRecord, Run};
 
 /// Whether a start still fits into its worker's room.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -109,7 +109,13 @@
     }
 
     /// Gives a run to a worker.
-    pub(super) fn place_run(&mut self, run: Run, id: &Incarnation, ticket: Option<Arc<str>>, now: Now) {
+    pub(super) fn place_run(
+        &mut self,
+        run: Run,
+        id: &Incarnation,
+        ticket: Option<Arc<str>>,
+        now: Now,
+    ) {
         let Some((job, task)) = self.log_state.task(run.task) else {
             return;
         };
--- a/ashtiller/src/workflow/core/candidates.rs
+++ b/ashtiller/src/workflow/core/candidates.rs
@@ -8,11 +8,11 @@
 use crate::resources::Resources;
 use crate::workflow::core::eligibility::Eligibility;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::record::{Run, Task};
-use crate::workflow::interference::{NeighborFill, Image, Interference};
-use crate::workflow::job::Step;
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::interference::{Image, Interference, NeighborFill};
+use crate::workflow::job::Step;
 use crate::workflow::live_run::RunSharing;
+use crate::workflow::record::{Run, Task};
 use crate::workflow::switches::Switches;
 use crate::workflow::worker::Worker;
 
@@ -230,7 +230,11 @@
     }
 
     /// Finds the best worker for a task.
-    pub(super) fn choose_worker(&self, fleet: &[Candidate], wish: &PlacementRequest<'_>) -> Option<usize> {
+    pub(super) fn choose_worker(
+        &self,
+        fleet: &[Candidate],
+        wish: &PlacementRequest<'_>,
+    ) -> Option<usize> {
         let mut best: Option<Choice> = None;
         for (place, candidate) in fleet.iter().enumerate() {
             if let Some(cost) = self.placement_cost(candidate, wish)
@@ -243,7 +247,11 @@
     }
 
     /// What placing a task on a worker costs, where it may go there.
-    pub(super) fn placement_cost(&self, candidate: &Candidate, wish: &PlacementRequest<'_>) -> Option<f64> {
+    pub(super) fn placement_cost(
+        &self,
+        candidate: &Candidate,
+        wish: &PlacementRequest<'_>,
+    ) -> Option<f64> {
         if !is_eligible(candidate, wish) {
             return None;
         }
@@ -255,7 +263,11 @@
     }
 
     /// Ranks all workers for the tasks of a step.
-    pub(super) fn rank_candidates(&self, fleet: &[Candidate], wish: &PlacementRequest<'_>) -> CandidateRanking {
+    pub(super) fn rank_candidates(
+        &self,
+        fleet: &[Candidate],
+        wish: &PlacementRequest<'_>,
+    ) -> CandidateRanking {
         rank_by(fleet, |candidate| self.placement_cost(candidate, wish))
     }
 
@@ -274,7 +286,10 @@
 }
 
 /// Ranks the workers for which there is a cost.
-pub(super) fn rank_by(fleet: &[Candidate], cost: impl Fn(&Candidate) -> Option<f64>) -> CandidateRanking {
+pub(super) fn rank_by(
+    fleet: &[Candidate],
+    cost: impl Fn(&Candidate) -> Option<f64>,
+) -> CandidateRanking {
     let costs = fleet.iter().enumerate();
     let costs = costs.filter_map(|(place, candidate)| {
         let cost = cost(candidate)?;
@@ -293,7 +308,11 @@
 }
 
 /// Whether a step may have one more task on a worker, whatever room there is.
-pub(super) fn satisfies_constraints(candidate: &Candidate, step: &Step, spread: &RunsPerWorker) -> bool {
+pub(super) fn satisfies_constraints(
+    candidate: &Candidate,
+    step: &Step,
+    spread: &RunsPerWorker,
+) -> bool {
     let label = step.label.as_ref();
     let labelled = label.is_none_or(|label| candidate.has_label(label));
     let here = || spread.get(&candidate.id).copied().unwrap_or(0);
--- a/ashtiller/src/workflow/core/crash_record.rs
+++ b/ashtiller/src/workflow/core/crash_record.rs
@@ -95,7 +95,9 @@
     /// Crashes at about the same moment.
     pub fn near(&self, at: Duration) -> impl Iterator<Item = &Crash> {
         let first = at.saturating_sub(CRASH_WINDOW);
-        let near = self.crashes.range((first, 0)..=(at + CRASH_WINDOW, u64::MAX));
+        let near = self
+            .crashes
+            .range((first, 0)..=(at + CRASH_WINDOW, u64::MAX));
         near.map(|(_, crash)| crash)
     }
 
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::workflow::blame::{self, CrashContext, Suspect, LostRun};
+use crate::workflow::blame::{self, CrashContext, LostRun, Suspect};
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::crash_record::{Crash, is_simultaneous};
 use crate::workflow::core::{Core, Now};
-use crate::workflow::record::{LogRecord, Run, Task};
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::live_run::{LiveRun, Stage};
+use crate::workflow::record::{LogRecord, Run, Task};
 use crate::workflow::worker::Worker;
 
 /// Workers that go together with one, from which on a common cause is assumed.
@@ -93,7 +93,9 @@
         self.counts.crashes += 1;
         let suspects = self.log_state.suspects();
         let known = |task| suspects.get(&task);
-        let guilty = alone.then(|| blame::find_culprit(&victims, known)).flatten();
+        let guilty = alone
+            .then(|| blame::find_culprit(&victims, known))
+            .flatten();
         tracing::warn!(
             worker = %id,
             runs = victims.len(),
@@ -177,8 +179,12 @@
             together += 1;
             untried += usize::from(!crash.tried);
         }
-        let silent = self.workers.values().filter(|worker| *worker.incarnation() != *id);
-        let mut silent = silent.filter(|it| it.missed.is_some_and(|missed| is_simultaneous(missed, at)));
+        let silent = self
+            .workers
+            .values()
+            .filter(|worker| *worker.incarnation() != *id);
+        let mut silent =
+            silent.filter(|it| it.missed.is_some_and(|missed| is_simultaneous(missed, at)));
         while untried < MANY
             && let Some(worker) = silent.next()
         {
@@ -200,7 +206,9 @@
         }
         let silent = |live: &LiveRun| {
             let other = self.workers.get(&live.worker)?;
-            let missed = other.missed.filter(|missed| is_simultaneous(*missed, others.at))?;
+            let missed = other
+                .missed
+                .filter(|missed| is_simultaneous(*missed, others.at))?;
             (other.incarnation() != worker.incarnation() && live.placed + JUST_BEGUN >= missed)
                 .then(|| live.worker.clone())
         };
@@ -246,7 +254,11 @@
         if job.outcome.is_some() {
             return;
         }
-        let crashes = self.log_state.suspects().get(&task).map_or(0, |it| it.crashes);
+        let crashes = self
+            .log_state
+            .suspects()
+            .get(&task)
+            .map_or(0, |it| it.crashes);
         tracing::warn!(job = %job.job.id, %task, crashes,
             "job given up: workers crash under one of its tasks");
         self.counts.convicted += 1;
--- a/ashtiller/src/workflow/core/dispatch.rs
+++ b/ashtiller/src/workflow/core/dispatch.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use crate::workflow::core::{Core, Now, SWEEP};
-use crate::workflow::record::Run;
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::live_run::{LiveRun, Stage, Stop};
+use crate::workflow::record::Run;
 use crate::workflow::worker::{OrderClass, Rank, Worker};
 
 /// Orders under way to one worker; more would open more connections.
@@ -93,7 +93,9 @@
     fn class_of(&self, run: Run, live: &LiveRun) -> OrderClass {
         match (live.stop, live.stage) {
             (Stop::Wanted(_), _) => OrderClass::Stop,
-            (Stop::None, Stage::Recorded(position)) if position > self.durable => OrderClass::Nothing,
+            (Stop::None, Stage::Recorded(position)) if position > self.durable => {
+                OrderClass::Nothing
+            }
             (Stop::None, Stage::Recorded(_) | Stage::Starting) => {
                 let step = self
                     .log_state
--- a/ashtiller/src/workflow/core/eligibility.rs
+++ b/ashtiller/src/workflow/core/eligibility.rs
@@ -108,7 +108,11 @@
     }
 
     /// Workers of one service, or of all, by gate.
-    pub(super) fn count_by_eligibility(&self, service: Option<&str>, now: Now) -> EligibilityCounts {
+    pub(super) fn count_by_eligibility(
+        &self,
+        service: Option<&str>,
+        now: Now,
+    ) -> EligibilityCounts {
         let mut gates = BTreeMap::new();
         let asked = |worker: &&Worker| service.is_none_or(|name| *worker.listed.service == *name);
         for worker in self.workers.values().filter(asked) {
@@ -118,11 +122,17 @@
     }
 
     /// Workers of a service that have room for a task and may not get it, by gate.
-    pub(super) fn count_ineligible_with_capacity(&self, service: &str, room: &Resources, now: Now) -> EligibilityCounts {
+    pub(super) fn count_ineligible_with_capacity(
+        &self,
+        service: &str,
+        room: &Resources,
+        now: Now,
+    ) -> EligibilityCounts {
         let mut gates = BTreeMap::new();
         let workers = self.workers.values();
-        let roomy = workers
-            .filter(|worker| *worker.listed.service == *service && room.fits_within(&worker.pool.free()));
+        let roomy = workers.filter(|worker| {
+            *worker.listed.service == *service && room.fits_within(&worker.pool.free())
+        });
         for gate in roomy.map(|worker| self.eligibility(worker, now)) {
             if gate != Eligibility::Eligible {
                 *gates.entry(gate).or_insert(0) += 1;
--- a/ashtiller/src/workflow/core/evacuation.rs
+++ b/ashtiller/src/workflow/core/evacuation.rs
@@ -8,8 +8,8 @@
 
 use crate::workflow::core::{Core, Now};
 use crate::workflow::evacuations::Zones;
+use crate::workflow::live_run::{Stage, Stop, StopReason};
 use crate::workflow::record::Run;
-use crate::workflow::live_run::{StopReason, Stage, Stop};
 use crate::workflow::relay;
 use crate::workflow::worker::Worker;
 
--- a/ashtiller/src/workflow/core/freed_capacity.rs
+++ b/ashtiller/src/workflow/core/freed_capacity.rs
@@ -2,8 +2,8 @@
 //! through all that waits.
 
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::step_priority::{Urgency, WaitingStep};
 use crate::workflow::core::plan::PlacementRound;
+use crate::workflow::core::step_priority::{Urgency, WaitingStep};
 use crate::workflow::core::{Core, Now};
 
 impl Core {
--- a/ashtiller/src/workflow/core/incarnations.rs
+++ b/ashtiller/src/workflow/core/incarnations.rs
@@ -8,10 +8,10 @@
 use crate::workflow::agents::Order;
 use crate::workflow::config::ListedWorker;
 use crate::workflow::core::{Core, Effect, Now, OnDurable};
-use crate::workflow::record::{End, Run};
-use crate::workflow::lease;
 use crate::workflow::incarnation::Incarnation;
-use crate::workflow::live_run::{LiveRun, StopReason, Stage, Stop};
+use crate::workflow::lease;
+use crate::workflow::live_run::{LiveRun, Stage, Stop, StopReason};
+use crate::workflow::record::{End, Run};
 use crate::workflow::worker::{LATE_MAX, LateRun, Worker};
 
 /// Time for which an entry that names a life which is not there is passed over: long against
@@ -21,7 +21,10 @@
 const STRANGERS_MAX: usize = 1000;
 
 /// Lives of the worker with this id among others.
-pub(super) fn incarnations_of_id<T>(lives: &BTreeMap<Incarnation, T>, id: &str) -> Vec<Incarnation> {
+pub(super) fn incarnations_of_id<T>(
+    lives: &BTreeMap<Incarnation, T>,
+    id: &str,
+) -> Vec<Incarnation> {
     let from = (Bound::Included(id), Bound::Unbounded);
     let near = lives.range::<str, _>(from).map(|(life, _)| life);
     let near = near.take_while(|life| life.as_str().starts_with(id));
@@ -57,7 +60,8 @@
             })
         };
         let there = self.places.find(listed).filter(is_there).cloned();
-        let mut former: Vec<Incarnation> = there.chain(self.kin_of(listed.incarnation.id())).collect();
+        let mut former: Vec<Incarnation> =
+            there.chain(self.kin_of(listed.incarnation.id())).collect();
         former.sort_unstable();
         former.dedup();
         former.retain(|life| *life != listed.incarnation);
@@ -131,7 +135,12 @@
     }
 
     /// Another life has answered for a worker; `next` when it said which.
-    pub(super) fn note_other_incarnation(&mut self, life: &Incarnation, next: Option<Incarnation>, now: Now) {
+    pub(super) fn note_other_incarnation(
+        &mut self,
+        life: &Incarnation,
+        next: Option<Incarnation>,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get(life) else {
             return;
         };
--- a/ashtiller/src/workflow/core/log_entries.rs
+++ b/ashtiller/src/workflow/core/log_entries.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::workflow::log_state;
 use crate::workflow::core::{Core, Effect, Now, OnDurable};
-use crate::workflow::record::LogRecord;
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::log_state;
+use crate::workflow::record::LogRecord;
 
 /// Time after which what waits is looked at again although nothing happened.
 const REPLAN: Duration = Duration::from_millis(200);
@@ -112,7 +112,12 @@
             return;
         };
         for number in self.log_state.ended_before(limit) {
-            if self.log_state.jobs.get(&number).is_some_and(|job| job.live == 0) {
+            if self
+                .log_state
+                .jobs
+                .get(&number)
+                .is_some_and(|job| job.live == 0)
+            {
                 self.record(LogRecord::Forgotten(number), now);
             }
         }
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use crate::failure::{self, Failure};
-use crate::workflow::agents::{TaskName, ORDER_TIMEOUT_MIN, Order, Refusal, OrderReply, Start};
-use crate::workflow::core::polls::POLL_RETRY;
+use crate::workflow::agents::{ORDER_TIMEOUT_MIN, Order, OrderReply, Refusal, Start, TaskName};
 use crate::workflow::core::allocation::FitsWhen;
+use crate::workflow::core::polls::POLL_RETRY;
 use crate::workflow::core::{Core, Effect, Now, dispatch};
-use crate::workflow::record::{End, Run};
 use crate::workflow::incarnation::Incarnation;
-use crate::workflow::live_run::{StopReason, Stage, Stop};
+use crate::workflow::live_run::{Stage, Stop, StopReason};
+use crate::workflow::record::{End, Run};
 use crate::workflow::worker::LATE_MAX;
 
 /// Pause before an unanswered order goes out again.
@@ -227,7 +227,12 @@
 
     /// Takes note of the clock in an answer to an order. One that lags is of another life, or of
     /// a machine that was suspended; which, a look tells. What was ordered is in doubt.
-    fn hear_clock(&mut self, id: &Incarnation, said: &Result<OrderReply, Failure>, now: Now) -> bool {
+    fn hear_clock(
+        &mut self,
+        id: &Incarnation,
+        said: &Result<OrderReply, Failure>,
+        now: Now,
+    ) -> bool {
         let &Ok(OrderReply::Done(clock)) = said else {
             return false;
         };
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use crate::workflow::core::{Core, Now};
-use crate::workflow::record::Run;
-use crate::workflow::interference::{NeighborFill, Image};
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::interference::{Image, NeighborFill};
 use crate::workflow::live_run::{LiveRun, RunSharing, Stage, Stop};
+use crate::workflow::record::Run;
 use crate::workflow::worker::Worker;
 
 /// Headroom that paces keep of a service that has been over its target for a while, as a
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -7,11 +7,11 @@
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::candidates::{self, Candidate, PlacementRequest};
 use crate::workflow::core::step_priority::WaitingStep;
-use crate::workflow::core::trials::{TrialResult, ActiveTrials};
+use crate::workflow::core::trials::{ActiveTrials, TrialResult};
 use crate::workflow::core::{Core, Now, share_of};
-use crate::workflow::record::{Run, Task};
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::live_run::RunSharing;
+use crate::workflow::record::{Run, Task};
 
 /// What a task asks of a worker.
 #[derive(Clone)]
@@ -212,7 +212,8 @@
             }
             let usual = wish.failed_on.is_empty();
             let place = if usual {
-                let choices = choices.get_or_insert_with(|| self.rank_candidates(&placing.fleet, &wish));
+                let choices =
+                    choices.get_or_insert_with(|| self.rank_candidates(&placing.fleet, &wish));
                 choices.pop_best(&placing.fleet)
             } else {
                 self.choose_worker(&placing.fleet, &wish)
@@ -267,7 +268,10 @@
         if tasks.len() < wish.step.count as usize {
             return true;
         }
-        let apart: Vec<bool> = tasks.iter().map(|task| self.is_strong_suspect(*task)).collect();
+        let apart: Vec<bool> = tasks
+            .iter()
+            .map(|task| self.is_strong_suspect(*task))
+            .collect();
         let tried = tasks.iter().zip(&apart).filter(|(_, apart)| **apart);
         let mut tried = tried.map(|(task, _)| *task);
         let waits = |task| !self.may_begin_trial(task, wish.service, &placing.trials, now);
@@ -366,6 +370,8 @@
     }
 
     pub(super) fn next_run_number(&self, task: Task) -> u32 {
-        self.log_state.task(task).map_or(1, |(_, state)| state.last + 1)
+        self.log_state
+            .task(task)
+            .map_or(1, |(_, state)| state.last + 1)
     }
 }
--- a/ashtiller/src/workflow/core/polls.rs
+++ b/ashtiller/src/workflow/core/polls.rs
@@ -48,13 +48,15 @@
     /// as may be under way, those that have waited longest.
     fn collect_looks(&self, now: Now) -> Vec<Incarnation> {
         let due = self.workers.values();
-        let due = due.filter(|worker| worker.pending_poll.is_none() && now.at >= worker.next_poll_due());
+        let due =
+            due.filter(|worker| worker.pending_poll.is_none() && now.at >= worker.next_poll_due());
         let mut due: Vec<&Worker> = due.collect();
         let first = due.iter().filter(|worker| !worker.fenced).count();
         let most = (self.workers.len() / FIRST_SHARE).max(FIRST_MIN);
         if first > 0 {
             let under_way = self.workers.values();
-            let under_way = under_way.filter(|worker| !worker.fenced && worker.pending_poll.is_some());
+            let under_way =
+                under_way.filter(|worker| !worker.fenced && worker.pending_poll.is_some());
             let free = most.saturating_sub(under_way.count());
             if first > free {
                 due.sort_by_key(|worker| (!worker.fenced, worker.next_poll_due()));
@@ -115,7 +117,11 @@
             fence,
             renews: until.is_some(),
         });
-        Some(Poll { until, ends_recorded: seen, wait })
+        Some(Poll {
+            until,
+            ends_recorded: seen,
+            wait,
+        })
     }
 
     /// A look was not answered; `broke` when its connection was refused or broke.
--- a/ashtiller/src/workflow/core/relocation.rs
+++ b/ashtiller/src/workflow/core/relocation.rs
@@ -7,8 +7,8 @@
 use crate::workflow::core::candidates::{self, PlacementRequest};
 use crate::workflow::core::plan::{Demand, PlacementRound};
 use crate::workflow::core::{Core, Now, share_of};
+use crate::workflow::live_run::{Stop, StopReason};
 use crate::workflow::record::{Run, Task};
-use crate::workflow::live_run::{StopReason, Stop};
 
 /// Time for which a run that fills is slowed down before it moves: one stuck task makes
 /// its whole job late.
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use crate::failure::Failure;
-use crate::workflow::agents::{Active, Finished, EndReason, PollReply, TaskName, Order};
+use crate::workflow::agents::{Active, EndReason, Finished, Order, PollReply, TaskName};
 use crate::workflow::core::polls::POLL_TIMEOUT_MAX;
 use crate::workflow::core::{Core, Effect, Now, OnDurable};
-use crate::workflow::record::{End, LogRecord, Run, Task};
-use crate::workflow::lease;
 use crate::workflow::incarnation::Incarnation;
-use crate::workflow::live_run::{StopReason, Stage, Stop};
+use crate::workflow::lease;
+use crate::workflow::live_run::{Stage, Stop, StopReason};
+use crate::workflow::record::{End, LogRecord, Run, Task};
 use crate::workflow::worker::{LATE_MAX, PendingPoll};
 
 /// Time without progress after which a run counts as stalled. The platform's
@@ -43,7 +43,12 @@
     }
 
     /// Takes the answer to a look.
-    pub fn handle_poll_reply(&mut self, id: &Incarnation, looked: Result<PollReply, Failure>, now: Now) {
+    pub fn handle_poll_reply(
+        &mut self,
+        id: &Incarnation,
+        looked: Result<PollReply, Failure>,
+        now: Now,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -4,8 +4,8 @@
 
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::record::{End, LogRecord, Run, Task};
 use crate::workflow::live_run::{LiveRun, StopReason};
+use crate::workflow::record::{End, LogRecord, Run, Task};
 use crate::workflow::state::TaskState;
 
 impl Core {
@@ -76,7 +76,11 @@
             End::Stopped => self.counts.stopped += 1,
             End::Lost => self.counts.lost += 1,
         }
-        let saved = if saved.is_empty() { &live.checkpoint } else { saved };
+        let saved = if saved.is_empty() {
+            &live.checkpoint
+        } else {
+            saved
+        };
         let age = now.at.saturating_sub(live.placed).as_millis();
         if end != End::Done
             && let Some(job) = self.log_state.jobs.get(&run.task.job)
--- a/ashtiller/src/workflow/core/starvation.rs
+++ b/ashtiller/src/workflow/core/starvation.rs
@@ -5,11 +5,11 @@
 
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::candidates::{self, Candidate, RunsPerWorker};
-use crate::workflow::core::step_priority::{TOO_LATE, WaitingStep};
 use crate::workflow::core::plan::PlacementRound;
+use crate::workflow::core::step_priority::{TOO_LATE, WaitingStep};
 use crate::workflow::core::{Core, Now};
-use crate::workflow::record::Task;
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::record::Task;
 
 /// Time for which there may be room for a lasting step while short ones are placed first.
 /// The platform asks for its start within 3 s.
@@ -123,7 +123,12 @@
     }
 
     /// Keeps a worker for the lasting step that has waited longest without room.
-    fn reserve(&mut self, waiting: &mut [WaitingStep], fleet: &[Candidate], now: Now) -> Option<Incarnation> {
+    fn reserve(
+        &mut self,
+        waiting: &mut [WaitingStep],
+        fleet: &[Candidate],
+        now: Now,
+    ) -> Option<Incarnation> {
         if let Some(kept) = self.reserved.take()
             && now.at < kept.since + RESERVED_MAX
             && let Some(entry) = waiting.iter_mut().find(|entry| entry.key() == kept.step)
@@ -204,7 +209,8 @@
                     short += 1;
                 }
             }
-            room.fits_within(&free).then_some((short, worker.incarnation()))
+            room.fits_within(&free)
+                .then_some((short, worker.incarnation()))
         });
         emptying.min().map(|(_, id)| id.clone())
     }
--- a/ashtiller/src/workflow/core/step_priority.rs
+++ b/ashtiller/src/workflow/core/step_priority.rs
@@ -4,8 +4,8 @@
 
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::record::Task;
 use crate::workflow::job::Step;
+use crate::workflow::record::Task;
 use crate::workflow::state::{JobState, Occurrence};
 
 /// Objective within which a job that is late still earns something, as a factor.
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -5,8 +5,8 @@
 
 use crate::workflow::core::Core;
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::record::Run;
 use crate::workflow::live_run::{LiveRun, Stage};
+use crate::workflow::record::Run;
 
 /// Times of one step: of each kind the longest among its tasks.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -132,12 +132,22 @@
     }
 
     /// Ranks workers by what the trial of a task of a step costs there.
-    pub(super) fn rank_trials(&self, fleet: &[Candidate], wish: &PlacementRequest<'_>, now: Now) -> CandidateRanking {
+    pub(super) fn rank_trials(
+        &self,
+        fleet: &[Candidate],
+        wish: &PlacementRequest<'_>,
+        now: Now,
+    ) -> CandidateRanking {
         candidates::rank_by(fleet, |candidate| self.weigh_trial(candidate, wish, now))
     }
 
     /// What the trial of a task costs at a worker, where all runs began a while ago.
-    fn weigh_trial(&self, candidate: &Candidate, wish: &PlacementRequest<'_>, now: Now) -> Option<f64> {
+    fn weigh_trial(
+        &self,
+        candidate: &Candidate,
+        wish: &PlacementRequest<'_>,
+        now: Now,
+    ) -> Option<f64> {
         if !candidate.is_settled(SETTLED, now.at) {
             return None;
         }
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -6,10 +6,10 @@
 
 use crate::failure::Failure;
 use crate::workflow::core::{Core, Effect, Now};
-use crate::workflow::record::{LogRecord, Run, Task};
 use crate::workflow::incarnation::Incarnation;
-use crate::workflow::live_run::{StopReason, Stage, Stop};
+use crate::workflow::live_run::{Stage, Stop, StopReason};
 use crate::workflow::machines::{Done, MachineOrder, Wave};
+use crate::workflow::record::{LogRecord, Run, Task};
 use crate::workflow::worker::Worker;
 
 /// Time after which a machine that no worker was ever seen of counts as gone.
@@ -122,7 +122,11 @@
     /// Waves that an operator asked for and that are not over, with those that are.
     #[must_use]
     pub fn wave_states(&self) -> BTreeMap<u64, bool> {
-        let over = self.log_state.waves_over.iter().map(|number| (*number, true));
+        let over = self
+            .log_state
+            .waves_over
+            .iter()
+            .map(|number| (*number, true));
         let going = self.waves.keys().map(|number| (*number, false));
         over.chain(going).collect()
     }
@@ -206,7 +210,13 @@
         }
     }
 
-    fn drive_machine(&mut self, going: &mut WaveProgress, machine: &Arc<str>, step: Step, now: Now) {
+    fn drive_machine(
+        &mut self,
+        going: &mut WaveProgress,
+        machine: &Arc<str>,
+        step: Step,
+        now: Now,
+    ) {
         match step {
             Step::Emptying { since, blocked } => {
                 let Some(id) = self.worker_of(machine) else {
--- a/ashtiller/src/workflow/core/wait_report.rs
+++ b/ashtiller/src/workflow/core/wait_report.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use crate::workflow::core::step_priority::WaitingStep;
 use crate::workflow::core::plan::PlacementRound;
+use crate::workflow::core::step_priority::WaitingStep;
 use crate::workflow::core::{Core, Now};
 
 /// Wait of a lasting step that is worth a line: within it the platform asks for its start.
@@ -49,7 +49,10 @@
     /// Tasks that wait: those of lasting steps, and the others.
     #[must_use]
     pub fn summarize_waits(&self, now: Now) -> [(&'static str, WaitSummary); 2] {
-        let mut kinds = [("lasting", WaitSummary::default()), ("short", WaitSummary::default())];
+        let mut kinds = [
+            ("lasting", WaitSummary::default()),
+            ("short", WaitSummary::default()),
+        ];
         for entry in self.collect_waiting_steps(now) {
             let waits = &mut kinds[usize::from(!self.is_lasting(&entry))].1;
             let since = self.ledger.ready_since(entry.key()).unwrap_or(now.at);
--- a/ashtiller/src/workflow/core/worker_list.rs
+++ b/ashtiller/src/workflow/core/worker_list.rs
@@ -6,10 +6,10 @@
 
 use crate::workflow::config::ListedWorker;
 use crate::workflow::core::{Core, Now};
-use crate::workflow::record::{End, LogRecord, Run};
-use crate::workflow::lease;
 use crate::workflow::incarnation::Incarnation;
-use crate::workflow::live_run::{StopReason, Stage, Stop};
+use crate::workflow::lease;
+use crate::workflow::live_run::{Stage, Stop, StopReason};
+use crate::workflow::record::{End, LogRecord, Run};
 use crate::workflow::worker::{LATE_MAX, Worker};
 
 /// How long a worker that is not listed and runs nothing is remembered.
@@ -84,7 +84,9 @@
 
     /// Leases that earlier owners granted end by this time.
     pub(super) fn earlier_leases_end(&self) -> Duration {
-        let granted = self.former_owner_ended_at.unwrap_or(self.began + self.terms.horizon);
+        let granted = self
+            .former_owner_ended_at
+            .unwrap_or(self.began + self.terms.horizon);
         granted + lease::worst_case_elapsed(self.terms.lease)
     }
 
@@ -142,11 +144,19 @@
 
     /// The platform lists exactly these workers, and some whose entries cannot be read: of
     /// them nothing new is known.
-    pub fn list_all_except_unreadable(&mut self, listed: Vec<ListedWorker>, unread: &[Arc<str>], now: Now) {
-        let named: BTreeSet<&Incarnation> = listed.iter().map(|worker| &worker.incarnation).collect();
+    pub fn list_all_except_unreadable(
+        &mut self,
+        listed: Vec<ListedWorker>,
+        unread: &[Arc<str>],
+        now: Now,
+    ) {
+        let named: BTreeSet<&Incarnation> =
+            listed.iter().map(|worker| &worker.incarnation).collect();
         let unread: BTreeSet<&str> = unread.iter().map(|id| &**id).collect();
         // An entry without a birth says nothing new of a worker that has one.
-        let lacking = listed.iter().filter(|worker| self.lacks_incarnation(worker));
+        let lacking = listed
+            .iter()
+            .filter(|worker| self.lacks_incarnation(worker));
         let lacking: BTreeSet<&str> = lacking.map(|worker| worker.incarnation.id()).collect();
         let silent = |life: &Incarnation| unread.contains(life.id()) || lacking.contains(life.id());
         let gone = self.workers.keys();
--- a/ashtiller/src/workflow/follow.rs
+++ b/ashtiller/src/workflow/follow.rs
@@ -195,7 +195,9 @@
         self.as_of = as_of;
         if list.at < self.at {
             let changes = Vec::new();
-            return self.tell(StoreUpdate::Changes { changes, as_of }, next).await;
+            return self
+                .tell(StoreUpdate::Changes { changes, as_of }, next)
+                .await;
         }
         self.at = list.at;
         let items = list.items;
--- a/ashtiller/src/workflow/live_run.rs
+++ b/ashtiller/src/workflow/live_run.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::workflow::interference::Image;
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::interference::Image;
 
 /// How far the start of a run has come.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -128,7 +128,13 @@
 impl LiveRun {
     /// A run that was just placed.
     #[must_use]
-    pub fn new(worker: Incarnation, stage: Stage, share: RunSharing, asked: f64, now: Duration) -> Self {
+    pub fn new(
+        worker: Incarnation,
+        stage: Stage,
+        share: RunSharing,
+        asked: f64,
+        now: Duration,
+    ) -> Self {
         Self {
             worker,
             share,
--- a/ashtiller/src/workflow/log/compaction.rs
+++ b/ashtiller/src/workflow/log/compaction.rs
@@ -9,10 +9,10 @@
 use bytes::Bytes;
 use tokio::time::{self, Instant};
 
-use crate::failure::{RemoteEffect, Failure};
-use crate::workflow::log_state::LogState;
+use crate::failure::{Failure, RemoteEffect};
 use crate::workflow::kv::{Committed, Txn};
-use crate::workflow::log::{SnapshotHead, Log};
+use crate::workflow::log::{Log, SnapshotHead};
+use crate::workflow::log_state::LogState;
 use crate::workflow::snapshot;
 
 /// Time that one part should take: a delayed entry still counts as written in time.
@@ -72,7 +72,8 @@
         let began = Instant::now();
         let item = self.store.get(&self.base_key(), false).await?;
         let revision = item.as_ref().map_or(0, |item| item.revision);
-        let former: Option<SnapshotHead> = item.and_then(|item| postcard::from_bytes(&item.value).ok());
+        let former: Option<SnapshotHead> =
+            item.and_then(|item| postcard::from_bytes(&item.value).ok());
         let parts = self.write_parts(epoch, position, snapshot).await?;
         self.write_base(epoch, SnapshotHead { position, parts }, revision)
             .await?;
@@ -98,7 +99,12 @@
     /// Makes a snapshot the newest one in place of that at `revision`. Without this condition, one
     /// that took long, or a write that is carried out late, could replace a newer snapshot whose
     /// entries are removed.
-    async fn write_base(&self, epoch: u64, base: SnapshotHead, revision: u64) -> Result<(), Failure> {
+    async fn write_base(
+        &self,
+        epoch: u64,
+        base: SnapshotHead,
+        revision: u64,
+    ) -> Result<(), Failure> {
         let key = self.base_key();
         let value = postcard::to_stdvec(&base)
             .map_err(|error| Failure::no_effect("encode base", &key, error))?;
@@ -211,8 +217,8 @@
             }
         }
         let parts: Option<Vec<Bytes>> = parts.into_iter().collect();
-        let parts =
-            parts.ok_or_else(|| Failure::no_effect("read snapshot", &prefix, "a part is missing"))?;
+        let parts = parts
+            .ok_or_else(|| Failure::no_effect("read snapshot", &prefix, "a part is missing"))?;
         Ok(parts.concat())
     }
 
--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -16,9 +16,9 @@
 
 use crate::clock::Moment;
 use crate::failure::Failure;
-use crate::workflow::log_state::LogState;
-use crate::workflow::record::{LogRecord, LogOwner};
 use crate::workflow::kv::{Committed, Store, Txn};
+use crate::workflow::log_state::LogState;
+use crate::workflow::record::{LogOwner, LogRecord};
 
 pub use compaction::PartSize;
 
@@ -143,8 +143,8 @@
     /// The store did not answer; the lead may have been written.
     pub async fn acquire(&self, mine: &LogOwner, former: u64) -> Result<Acquisition, Failure> {
         let key = self.lead_key();
-        let value =
-            postcard::to_stdvec(mine).map_err(|error| Failure::no_effect("encode lead", &key, error))?;
+        let value = postcard::to_stdvec(mine)
+            .map_err(|error| Failure::no_effect("encode lead", &key, error))?;
         let txn = Txn {
             expect: vec![(key.clone(), former)],
             put: vec![(key.clone(), value.into())],
@@ -192,7 +192,10 @@
                 next += 1;
             }
             if !page.more || page.items.is_empty() {
-                return Ok(Replayed { book, next_position: next });
+                return Ok(Replayed {
+                    book,
+                    next_position: next,
+                });
             }
         }
     }
@@ -209,13 +212,19 @@
         loop {
             let page = self.store.scan(&prefix, Some(&after)).await?;
             let Some(last) = page.items.last() else {
-                return Ok(LogTail { newest_position: newest, at });
+                return Ok(LogTail {
+                    newest_position: newest,
+                    at,
+                });
             };
             after = last.key.to_string();
             let positions = page.items.iter().filter_map(|item| position_of(&item.key));
             newest = positions.fold(newest, u64::max);
             if !page.more {
-                return Ok(LogTail { newest_position: newest, at });
+                return Ok(LogTail {
+                    newest_position: newest,
+                    at,
+                });
             }
         }
     }
@@ -249,7 +258,12 @@
     ///
     /// # Errors
     /// Another process owns the log.
-    pub async fn append(&self, epoch: u64, position: u64, value: Bytes) -> Result<Written, AppendError> {
+    pub async fn append(
+        &self,
+        epoch: u64,
+        position: u64,
+        value: Bytes,
+    ) -> Result<Written, AppendError> {
         let key = self.entry_key(position);
         let txn = Txn {
             expect: vec![(self.lead_key(), epoch), (key.clone(), 0)],
--- a/ashtiller/src/workflow/log_state.rs
+++ b/ashtiller/src/workflow/log_state.rs
@@ -9,11 +9,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::workflow::blame::{Suspect, LostRun};
-use crate::workflow::record::{End, LogRecord, Outcome, Run, Task};
+use crate::workflow::blame::{LostRun, Suspect};
+use crate::workflow::incarnation::Incarnation;
 use crate::workflow::interference::LearnedFactor;
 use crate::workflow::job::{Job, Policy};
-use crate::workflow::incarnation::Incarnation;
+use crate::workflow::record::{End, LogRecord, Outcome, Run, Task};
 use crate::workflow::state::{JobState, PlacedRun, StepState, TaskState};
 
 /// What a fact changed beyond the book's own numbers.
--- a/ashtiller/src/workflow/membership/election.rs
+++ b/ashtiller/src/workflow/membership/election.rs
@@ -9,14 +9,14 @@
 
 use tokio::time::{self, Instant};
 
-use crate::failure::{RemoteEffect, Failure};
-use crate::workflow::record::{PreviousOwner, LogOwner};
+use crate::failure::{Failure, RemoteEffect};
 use crate::workflow::log::{Acquisition, LogTail};
-use crate::workflow::membership::handover;
 use crate::workflow::membership::failover_order;
-use crate::workflow::message::{PeerRequest, Heartbeat, Reply};
+use crate::workflow::membership::handover;
+use crate::workflow::message::{Heartbeat, PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner;
+use crate::workflow::record::{LogOwner, PreviousOwner};
 
 /// Time between two heartbeats to the owner.
 const HELLO: Duration = Duration::from_millis(250);
--- a/ashtiller/src/workflow/membership/handover.rs
+++ b/ashtiller/src/workflow/membership/handover.rs
@@ -84,7 +84,9 @@
     let others = members
         .iter()
         .filter(|member| *member.name != *own && !member.leaving && member.store_age < oldest);
-    let fast = others.filter(|member| reason == HandoverReason::Leaving || member.store_took < SLOW);
-    let fit = fast.filter(|member| reason != HandoverReason::Small || standing.is_smaller_than(member));
+    let fast =
+        others.filter(|member| reason == HandoverReason::Leaving || member.store_took < SLOW);
+    let fit =
+        fast.filter(|member| reason != HandoverReason::Small || standing.is_smaller_than(member));
     fit.min_by_key(|member| (Reverse(member.processors), member.store_age))
 }
--- a/ashtiller/src/workflow/membership/mod.rs
+++ b/ashtiller/src/workflow/membership/mod.rs
@@ -7,7 +7,7 @@
 //! - [`campaign`]: heartbeats, and the steps from a lost owner to the next one.
 
 pub mod election;
+pub mod failover_order;
 pub mod handover;
 pub mod member;
 pub mod members;
-pub mod failover_order;
--- a/ashtiller/src/workflow/message.rs
+++ b/ashtiller/src/workflow/message.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::workflow::config::Config;
-use crate::workflow::record::{PreviousOwner, LogOwner, Outcome};
 use crate::workflow::job::Job;
 use crate::workflow::membership::member::{Member, MembershipUpdate, Version};
+use crate::workflow::record::{LogOwner, Outcome, PreviousOwner};
 use crate::workflow::relay::{CallBatch, ResultBatch};
 
 /// A heartbeat.
--- a/ashtiller/src/workflow/metrics.rs
+++ b/ashtiller/src/workflow/metrics.rs
@@ -9,12 +9,12 @@
 };
 
 use crate::web;
+use crate::workflow::congestion::Congestion;
 use crate::workflow::core::Counts;
 use crate::workflow::core::eligibility::Eligibility;
 use crate::workflow::core::times::TimeBreakdown;
 use crate::workflow::core::wait_report::WaitSummary;
 use crate::workflow::message::Reply;
-use crate::workflow::congestion::Congestion;
 use crate::workflow::traffic;
 
 /// Bounds of the histograms in seconds: from a call within a zone to a client's wait.
--- a/ashtiller/src/workflow/node/forward.rs
+++ b/ashtiller/src/workflow/node/forward.rs
@@ -5,7 +5,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{self, Instant};
 
-use crate::failure::{RemoteEffect, Failure};
+use crate::failure::{Failure, RemoteEffect};
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner::OwnerRequest;
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -1,7 +1,7 @@
 //! One entry instance: takes clients' calls, and owns the log or follows who does.
 
-mod peer_handler;
 mod forward;
+mod peer_handler;
 mod store_watch;
 
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,6 @@
 use crate::workflow::agents::WorkerClient;
 use crate::workflow::config::{Config, PlatformCodec};
 use crate::workflow::evacuations::Evacuations;
-use crate::workflow::record::{PreviousOwner, LogOwner};
 use crate::workflow::follow;
 use crate::workflow::kv::Store;
 use crate::workflow::link::Tcp;
@@ -32,8 +31,9 @@
 use crate::workflow::metrics::Metrics;
 use crate::workflow::owner::OwnerRequest;
 use crate::workflow::peers::PeerConnections;
-use crate::workflow::relay::server::RelayServer;
+use crate::workflow::record::{LogOwner, PreviousOwner};
 use crate::workflow::relay::client::RelayClient;
+use crate::workflow::relay::server::RelayServer;
 use crate::workflow::settings::Settings;
 
 /// Prefix of everything that this project keeps in the store.
--- a/ashtiller/src/workflow/node/peer_handler.rs
+++ b/ashtiller/src/workflow/node/peer_handler.rs
@@ -8,7 +8,7 @@
 use crate::workflow::link::RequestHandler;
 use crate::workflow::membership::election;
 use crate::workflow::membership::member::Version;
-use crate::workflow::message::{PeerRequest, Heartbeat, Reply, HeartbeatReply};
+use crate::workflow::message::{Heartbeat, HeartbeatReply, PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::node::forward::ASK_LIMIT;
 
@@ -58,7 +58,9 @@
                     Reply::Noted
                 }
                 // One that begins late finds the log replaced before it does anything.
-                PeerRequest::HasEnded(former) => Reply::Ended(former.incarnation != self.life || !self.owns()),
+                PeerRequest::HasEnded(former) => {
+                    Reply::Ended(former.incarnation != self.life || !self.owns())
+                }
                 PeerRequest::Config(config) => {
                     self.adopt_config(&Arc::new(*config));
                     Reply::Noted
--- a/ashtiller/src/workflow/node/store_watch.rs
+++ b/ashtiller/src/workflow/node/store_watch.rs
@@ -32,7 +32,9 @@
                 .send_modify(|known| known.take(&*self.dialect, &seen));
             let items = match seen {
                 StoreUpdate::All { items, .. } => items,
-                StoreUpdate::Changes { changes, .. } => changes.into_iter().filter_map(put_of).collect(),
+                StoreUpdate::Changes { changes, .. } => {
+                    changes.into_iter().filter_map(put_of).collect()
+                }
             };
             for item in items {
                 match self.dialect.operated(&item.key, &item.value) {
--- a/ashtiller/src/workflow/owner/effects.rs
+++ b/ashtiller/src/workflow/owner/effects.rs
@@ -6,11 +6,11 @@
 use crate::failure::Failure;
 use crate::workflow::core::Effect;
 use crate::workflow::core::advice::AdviceRequest;
-use crate::workflow::record::LogRecord;
 use crate::workflow::kv::Txn;
 use crate::workflow::log::Log;
 use crate::workflow::machines::Holder;
-use crate::workflow::owner::{HAND_OVER_PAUSE, Event, Owner};
+use crate::workflow::owner::{Event, HAND_OVER_PAUSE, Owner};
+use crate::workflow::record::LogRecord;
 use crate::workflow::snapshot;
 
 impl Owner {
@@ -42,7 +42,11 @@
                             let (workers, limit) = (&question.workers, question.limit);
                             advisor.advise(job, key.1, key.2, workers, limit).await
                         }
-                        None => Err(Failure::no_effect("ask advisor", job, "the settings name none")),
+                        None => Err(Failure::no_effect(
+                            "ask advisor",
+                            job,
+                            "the settings name none",
+                        )),
                     };
                     let advised = Event::Advised(*key, question.asked_at, answer);
                     let _ = sender.send(advised).await;
@@ -148,7 +152,9 @@
                         false
                     }
                 };
-                let _ = sender.send(Event::WaveStatusWritten(number, over, told)).await;
+                let _ = sender
+                    .send(Event::WaveStatusWritten(number, over, told))
+                    .await;
             });
         }
     }
--- a/ashtiller/src/workflow/owner/events.rs
+++ b/ashtiller/src/workflow/owner/events.rs
@@ -9,7 +9,7 @@
 use crate::workflow::kv::{Change, Item};
 use crate::workflow::log::{AppendError, Written};
 use crate::workflow::message::{PeerRequest, Reply};
-use crate::workflow::owner::{OwnerRequest, Event, Owner};
+use crate::workflow::owner::{Event, Owner, OwnerRequest};
 
 /// Inputs taken before the state machine is polled.
 const BATCH: usize = 128;
@@ -34,7 +34,8 @@
         match input {
             Event::Looked(worker, looked) => self.core.handle_poll_reply(&worker, looked, now),
             Event::OrderCompleted(worker, run, order, said) => {
-                self.core.handle_order_reply(&worker, run, &order, said, now);
+                self.core
+                    .handle_order_reply(&worker, run, &order, said, now);
             }
             Event::Appended(position, Ok(Written { sent, revision })) => {
                 self.node.note_store_contact();
@@ -54,7 +55,9 @@
                 self.stopped = true;
             }
             Event::Workers(seen) => self.handle_worker_listing(seen, now),
-            Event::Duty(machine, duty, done) => self.core.handle_machine_reply(&machine, &duty, done, now),
+            Event::Duty(machine, duty, done) => {
+                self.core.handle_machine_reply(&machine, &duty, done, now);
+            }
             Event::WaveStatusWritten(number, over, told) => {
                 if !told {
                     self.written_waves.remove(&(number, over));
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -8,7 +8,7 @@
 use crate::workflow::core::Now;
 use crate::workflow::membership::handover::{self, OwnerHealth};
 use crate::workflow::message::{PeerRequest, Reply};
-use crate::workflow::owner::{HAND_OVER_PAUSE, Event, Owner, TAKE_OVER_LIMIT};
+use crate::workflow::owner::{Event, HAND_OVER_PAUSE, Owner, TAKE_OVER_LIMIT};
 
 /// Time after which an owner looks for a larger instance, so that members are known.
 const SETTLE: Duration = Duration::from_millis(1200);
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -1,9 +1,9 @@
 //! Carries out what the owner of a log decides.
 
 mod effects;
-mod predecessor;
-mod hand_over;
 mod events;
+mod hand_over;
+mod predecessor;
 mod unreadable;
 
 use std::collections::{BTreeSet, HashMap};
@@ -18,16 +18,16 @@
 use crate::clock::Moment;
 use crate::failure::Failure;
 use crate::workflow::advisor::Tickets;
-use crate::workflow::agents::{PollReply, Order, OrderReply};
+use crate::workflow::agents::{Order, OrderReply, PollReply};
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::{Core, Counts, Now, Ticket};
-use crate::workflow::record::{LogOwner, Run};
 use crate::workflow::follow::{self, StoreUpdate};
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::log::{AppendError, Replayed, Written};
 use crate::workflow::machines::{Done, MachineOrder};
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
+use crate::workflow::record::{LogOwner, Run};
 
 /// Questions that may wait for the owner.
 const QUEUE: usize = 2048;
--- a/ashtiller/src/workflow/owner/predecessor.rs
+++ b/ashtiller/src/workflow/owner/predecessor.rs
@@ -5,10 +5,10 @@
 use tokio::task;
 use tokio::time;
 
-use crate::workflow::record::PreviousOwner;
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::node::Node;
 use crate::workflow::owner::{Event, Owner};
+use crate::workflow::record::PreviousOwner;
 
 /// Time limit of one question.
 const ASK_LIMIT: Duration = Duration::from_millis(500);
--- a/ashtiller/src/workflow/record.rs
+++ b/ashtiller/src/workflow/record.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::workflow::blame::LostRun;
+use crate::workflow::incarnation::Incarnation;
 use crate::workflow::interference::LearnedFactor;
 use crate::workflow::job::{Job, Policy};
-use crate::workflow::incarnation::Incarnation;
 
 /// One task of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
--- a/ashtiller/src/workflow/relay/client.rs
+++ b/ashtiller/src/workflow/relay/client.rs
@@ -13,13 +13,13 @@
 
 use crate::clock::Moment;
 use crate::failure::Failure;
-use crate::workflow::agents::{WorkerClient, Poll, PollReply, Order, OrderReply, Target};
+use crate::workflow::agents::{Order, OrderReply, Poll, PollReply, Target, WorkerClient};
 use crate::workflow::membership::member::Member;
 use crate::workflow::message::PeerRequest;
 use crate::workflow::peers::PeerConnections;
 use crate::workflow::relay::route::Routes;
 use crate::workflow::relay::{
-    Call, BATCH_DELAY, MESSAGE_LIMIT, Outcome, RelayedCall, CallBatch, MAX_QUEUE_DELAY, ResultBatch,
+    BATCH_DELAY, Call, CallBatch, MAX_QUEUE_DELAY, MESSAGE_LIMIT, Outcome, RelayedCall, ResultBatch,
 };
 
 /// Workers from which on calls go over relays. With fewer, one instance's conversation takes
@@ -67,7 +67,11 @@
 impl RelayClient {
     /// Calls go directly until relays are chosen; results come to `own`.
     #[must_use]
-    pub fn new(agents: Arc<dyn WorkerClient>, links: Rc<PeerConnections>, own: SocketAddr) -> Rc<Self> {
+    pub fn new(
+        agents: Arc<dyn WorkerClient>,
+        links: Rc<PeerConnections>,
+        own: SocketAddr,
+    ) -> Rc<Self> {
         Rc::new(Self {
             agents,
             links,
@@ -192,7 +196,9 @@
         match outcome {
             Ok(Ok(outcome)) => {
                 match &outcome {
-                    Outcome::Failed(..) => routes.note_failure(relay, to.incarnation.id(), Instant::now()),
+                    Outcome::Failed(..) => {
+                        routes.note_failure(relay, to.incarnation.id(), Instant::now());
+                    }
                     Outcome::Unknown => self.renew(relay),
                     Outcome::Said(_) | Outcome::Looked(_) => routes.note_answer(relay),
                 }
@@ -280,7 +286,9 @@
 
     /// A relay is lost: its calls have ended, and their workers are called otherwise.
     fn lose(&self, relay: SocketAddr) {
-        self.routes.borrow_mut().exclude_relay(relay, Instant::now());
+        self.routes
+            .borrow_mut()
+            .exclude_relay(relay, Instant::now());
         self.renew(relay);
         if let Some(queue) = self.queues.borrow_mut().get_mut(&relay) {
             queue.parcels.clear();
--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -9,9 +9,9 @@
 //! relay that is slow, cut off or under a former owner is a way on which calls are late or
 //! lost, which the owner's decisions bear anyway.
 
-pub mod server;
-mod route;
 pub mod client;
+mod route;
+pub mod server;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,8 +19,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::failure::{RemoteEffect, Failure};
-use crate::workflow::agents::{Poll, PollReply, Order, OrderReply, Target};
+use crate::failure::{Failure, RemoteEffect};
+use crate::workflow::agents::{Order, OrderReply, Poll, PollReply, Target};
 
 /// For how long calls and results are gathered, so that one message carries many: a tenth
 /// of the time for which facts are gathered into an entry, twice over.
--- a/ashtiller/src/workflow/relay/server.rs
+++ b/ashtiller/src/workflow/relay/server.rs
@@ -9,10 +9,12 @@
 use tokio::task;
 use tokio::time;
 
-use crate::workflow::agents::{WorkerClient, Order};
+use crate::workflow::agents::{Order, WorkerClient};
 use crate::workflow::message::PeerRequest;
 use crate::workflow::peers::PeerConnections;
-use crate::workflow::relay::{Call, BATCH_DELAY, MESSAGE_LIMIT, Outcome, RelayedCall, CallBatch, ResultBatch};
+use crate::workflow::relay::{
+    BATCH_DELAY, Call, CallBatch, MESSAGE_LIMIT, Outcome, RelayedCall, ResultBatch,
+};
 
 /// Payloads kept of one session; a job's tasks start within seconds of each other.
 const PAYLOADS_MAX: usize = 4096;
--- a/ashtiller/src/workflow/state.rs
+++ b/ashtiller/src/workflow/state.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::workflow::record::{Outcome, Task};
-use crate::workflow::job::{Job, Policy, Step};
 use crate::workflow::incarnation::Incarnation;
+use crate::workflow::job::{Job, Policy, Step};
+use crate::workflow::record::{Outcome, Task};
 
 /// A run that has been placed and has not ended.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -132,7 +132,10 @@
     pub fn open_due_occurrences(&mut self, wall: u64) -> bool {
         let mut opened = false;
         while self.next_occurrence < self.job.times() && self.outcome.is_none() {
-            let due = self.job.schedule.map_or(0, |it| it.due(self.next_occurrence));
+            let due = self
+                .job
+                .schedule
+                .map_or(0, |it| it.due(self.next_occurrence));
             if due > wall {
                 break;
             }
@@ -144,7 +147,8 @@
 
     pub(super) fn open_round(&mut self, number: u32) {
         while self.next_occurrence <= number {
-            self.occurrences.insert(self.next_occurrence, Occurrence::new(&self.job));
+            self.occurrences
+                .insert(self.next_occurrence, Occurrence::new(&self.job));
             self.next_occurrence += 1;
         }
     }
--- a/ashtiller/src/workflow/worker.rs
+++ b/ashtiller/src/workflow/worker.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use crate::resources::{Pool, Resources};
-use crate::workflow::agents::{TaskName, Target};
+use crate::workflow::agents::{Target, TaskName};
 use crate::workflow::config::ListedWorker;
-use crate::workflow::record::Run;
+use crate::workflow::incarnation::Incarnation;
 use crate::workflow::interference::Image;
 use crate::workflow::lease::{self, Lease};
-use crate::workflow::incarnation::Incarnation;
+use crate::workflow::record::Run;
 
 /// First time for which a worker that fails what it starts gets nothing; doubles.
 /// Short against the spells of some seconds that workers show.
--- a/ashtiller/tests/fleet/node.rs
+++ b/ashtiller/tests/fleet/node.rs
@@ -7,12 +7,12 @@
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
 use ashtiller::fact::{Body, Entry, Fact};
-use ashtiller::placement::InterferenceAware;
 use ashtiller::peer::Submission;
+use ashtiller::placement::InterferenceAware;
 use ashtiller::plan::{self, Planner};
 use ashtiller::reconcile::{self, StepContext};
 use ashtiller::resources::Resources;
-use ashtiller::session::{Change, Session, LeaseTerms};
+use ashtiller::session::{Change, LeaseTerms, Session};
 
 use super::millis;
 
@@ -132,7 +132,8 @@
             if let Some(host) = self.cell.workers.get_mut(&name) {
                 host.last_called = Some(now);
             }
-            let sync = reconcile::prepare_sync(&mut self.cell, &name, &self.terms, renewing, moment);
+            let sync =
+                reconcile::prepare_sync(&mut self.cell, &name, &self.terms, renewing, moment);
             calls.extend(sync.map(|sync| (name, sync)));
         }
         calls
--- a/ashtiller/tests/fleet/worker.rs
+++ b/ashtiller/tests/fleet/worker.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::agent::{Command, Ended, ReportedEnd, Report, Running, SyncRequest};
+use ashtiller::agent::{Command, Ended, Report, ReportedEnd, Running, SyncRequest};
 use ashtiller::resources::Resources;
 
 /// What every worker has.
--- a/ashtiller/tests/links/follower.rs
+++ b/ashtiller/tests/links/follower.rs
@@ -9,10 +9,10 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::agents::{WorkerClient, Poll, PollReply, Order, OrderReply, Target};
-use ashtiller::workflow::config::{Config, PlatformCodec, ListedWorker, OperatorEntry};
+use ashtiller::workflow::agents::{Order, OrderReply, Poll, PollReply, Target, WorkerClient};
+use ashtiller::workflow::config::{Config, ListedWorker, OperatorEntry, PlatformCodec};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
-use ashtiller::workflow::node::{Node, Dependencies};
+use ashtiller::workflow::node::{Dependencies, Node};
 use ashtiller::workflow::settings::Settings;
 use bytes::Bytes;
 use tokio::time;
@@ -108,11 +108,23 @@
 
 impl WorkerClient for Nobody {
     fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> Called<'a, OrderReply> {
-        Box::pin(async move { Err(Failure::no_effect("order", &to.incarnation, "there are no workers")) })
+        Box::pin(async move {
+            Err(Failure::no_effect(
+                "order",
+                &to.incarnation,
+                "there are no workers",
+            ))
+        })
     }
 
     fn poll<'a>(&'a self, to: &'a Target, _: &'a Poll) -> Called<'a, PollReply> {
-        Box::pin(async move { Err(Failure::no_effect("look", &to.incarnation, "there are no workers")) })
+        Box::pin(async move {
+            Err(Failure::no_effect(
+                "look",
+                &to.incarnation,
+                "there are no workers",
+            ))
+        })
     }
 }
 
--- a/ashtiller/tests/links/net.rs
+++ b/ashtiller/tests/links/net.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ashtiller::meter;
-use ashtiller::workflow::link::{self, RequestHandler, Dial, Stream};
+use ashtiller::workflow::link::{self, Dial, RequestHandler, Stream};
 use ashtiller::workflow::peers::PeerConnections;
 use futures_util::future::LocalBoxFuture;
 use prometheus::IntCounter;
--- a/ashtiller/tests/links/peer.rs
+++ b/ashtiller/tests/links/peer.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ashtiller::workflow::record::LogOwner;
 use ashtiller::workflow::link::RequestHandler;
-use ashtiller::workflow::message::{PeerRequest, Reply, State, HeartbeatReply};
+use ashtiller::workflow::message::{HeartbeatReply, PeerRequest, Reply, State};
+use ashtiller::workflow::record::LogOwner;
 use futures_util::future::LocalBoxFuture;
 use tokio::time::{self, Instant};
 
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -6,14 +6,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::failure::{RemoteEffect, Failure};
+use ashtiller::failure::{Failure, RemoteEffect};
 use ashtiller::store::Called;
-use ashtiller::workflow::agents::{WorkerClient, Poll, PollReply, TaskName, Order, OrderReply, Start, Target};
+use ashtiller::workflow::agents::{
+    Order, OrderReply, Poll, PollReply, Start, Target, TaskName, WorkerClient,
+};
 use ashtiller::workflow::link::RequestHandler;
 use ashtiller::workflow::membership::member::Member;
 use ashtiller::workflow::message::{PeerRequest, Reply};
-use ashtiller::workflow::relay::server::RelayServer;
 use ashtiller::workflow::relay::client::{MIN_RELAYED_WORKERS, RelayClient};
+use ashtiller::workflow::relay::server::RelayServer;
 use futures_util::future::LocalBoxFuture;
 use parking_lot::Mutex;
 use tokio::task::{self, LocalSet};
@@ -49,10 +51,18 @@
         Box::pin(async move {
             if cut {
                 time::sleep(to.timeout).await;
-                return Err(Failure::unknown_effect("start", to.address, "no answer in time"));
+                return Err(Failure::unknown_effect(
+                    "start",
+                    to.address,
+                    "no answer in time",
+                ));
             }
             if down {
-                return Err(Failure::no_effect("start", to.address, "connection refused"));
+                return Err(Failure::no_effect(
+                    "start",
+                    to.address,
+                    "connection refused",
+                ));
             }
             Ok(OrderReply::Done(7))
         })
@@ -292,7 +302,11 @@
         let scene = Scene::open(MIN_RELAYED_WORKERS);
         assert!(scene.start(0).await.is_ok());
         scene.restart_relay();
-        assert_eq!(scene.start(1).await, Err(RemoteEffect::None), "it knows no job");
+        assert_eq!(
+            scene.start(1).await,
+            Err(RemoteEffect::None),
+            "it knows no job"
+        );
         assert_eq!(scene.start(1).await, Ok(OrderReply::Done(7)));
         let calls = scene.workers.calls.lock().clone();
         assert_eq!(calls[1], ("relay", target(1), Order::Start(start(1))));
@@ -339,10 +353,16 @@
 fn relays_are_chosen_at_once_when_a_new_owner_learns_of_its_workers() {
     play(async {
         let scene = Scene::open(0);
-        assert!(!scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS - 1), "just chosen");
+        assert!(
+            !scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS - 1),
+            "just chosen"
+        );
         assert!(scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS));
         scene.sender.choose_relays(MIN_RELAYED_WORKERS, &[member()]);
-        assert!(!scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS), "just chosen");
+        assert!(
+            !scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS),
+            "just chosen"
+        );
         assert!(scene.start(0).await.is_ok());
         assert_eq!(scene.callers(), ["relay"]);
     });
@@ -379,7 +399,11 @@
         *scene.workers.down.lock() = (0..40).map(target).collect();
         for index in 0..40 {
             assert_eq!(scene.start(index).await, Err(RemoteEffect::None));
-            assert_eq!(scene.start(index).await, Err(RemoteEffect::None), "directly");
+            assert_eq!(
+                scene.start(index).await,
+                Err(RemoteEffect::None),
+                "directly"
+            );
         }
         assert_eq!(scene.sender.relays().len(), 1);
         let calls = scene.callers().len();
--- a/ashtiller/tests/membership/list.rs
+++ b/ashtiller/tests/membership/list.rs
@@ -122,7 +122,9 @@
 
     fn names(&self) -> BTreeMap<Arc<str>, bool> {
         let members = self.list.iter();
-        members.map(|it| (it.name.clone(), it.is_eligible())).collect()
+        members
+            .map(|it| (it.name.clone(), it.is_eligible()))
+            .collect()
     }
 }
 
--- a/ashtiller/tests/membership/succession.rs
+++ b/ashtiller/tests/membership/succession.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::membership::member::Member;
 use ashtiller::workflow::membership::failover_order;
+use ashtiller::workflow::membership::member::Member;
 
 use crate::{SIZES, fleet, zone};
 
--- a/ashtiller/tests/owner/asleep.rs
+++ b/ashtiller/tests/owner/asleep.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use ashtiller::workflow::agents::{PollReply, Order};
+use ashtiller::workflow::agents::{Order, PollReply};
 use ashtiller::workflow::core::Effect;
 use ashtiller::workflow::job::Step;
 
@@ -83,7 +83,9 @@
         active: Vec::new(),
         finished: Vec::new(),
     };
-    driver.core.handle_poll_reply(&"w0".into(), Ok(looked), driver.now);
+    driver
+        .core
+        .handle_poll_reply(&"w0".into(), Ok(looked), driver.now);
     driver.core.note_complete_listing(driver.now.at);
     let lease = 6000;
     for effect in driver.core.poll(driver.now) {
--- a/ashtiller/tests/owner/blame.rs
+++ b/ashtiller/tests/owner/blame.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ashtiller::workflow::blame::{self, CRASHES_MAX, STARTS_AFTER, CrashContext, Suspect, LostRun};
+use ashtiller::workflow::blame::{self, CRASHES_MAX, CrashContext, LostRun, STARTS_AFTER, Suspect};
 use ashtiller::workflow::record::{Run, Task};
 
 use crate::driver::MS;
--- a/ashtiller/tests/owner/compaction.rs
+++ b/ashtiller/tests/owner/compaction.rs
@@ -11,10 +11,10 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::store::Called;
-use ashtiller::workflow::log_state::LogState;
-use ashtiller::workflow::record::{LogRecord, LogOwner};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
-use ashtiller::workflow::log::{Log, PartSize, Acquisition};
+use ashtiller::workflow::log::{Acquisition, Log, PartSize};
+use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::record::{LogOwner, LogRecord};
 use ashtiller::workflow::snapshot;
 use ashtiller::workflow::tuning::Tuning;
 use bytes::Bytes;
@@ -111,14 +111,22 @@
             let through = self.send(bytes.sum());
             if through > Instant::now() + LIMIT {
                 time::sleep(LIMIT).await;
-                return Err(Failure::unknown_effect("write", "store", "no answer in time"));
+                return Err(Failure::unknown_effect(
+                    "write",
+                    "store",
+                    "no answer in time",
+                ));
             }
             time::sleep_until(through).await;
             let done = self.apply(txn);
             let mut state = self.0.lock();
             if state.lost > 0 && txn.put.iter().any(|(key, _)| key.contains("/snap/")) {
                 state.lost -= 1;
-                return Err(Failure::unknown_effect("write", "store", "the answer is lost"));
+                return Err(Failure::unknown_effect(
+                    "write",
+                    "store",
+                    "the answer is lost",
+                ));
             }
             Ok(done)
         })
@@ -144,7 +152,10 @@
         for _ in 0..20 {
             let mut job = job(&format!("{number:016x}"), vec![step(8)]);
             job.payload = format!("{number:0>3000}").into();
-            book.apply(&LogRecord::Accepted(Box::new(job), policy(), 1), Duration::ZERO);
+            book.apply(
+                &LogRecord::Accepted(Box::new(job), policy(), 1),
+                Duration::ZERO,
+            );
             number += 1;
         }
     }
--- a/ashtiller/tests/owner/crashes.rs
+++ b/ashtiller/tests/owner/crashes.rs
@@ -15,10 +15,10 @@
 use ashtiller::workflow::agents::Active;
 use ashtiller::workflow::blame::LostRun;
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::record::{End, LogRecord, Outcome, Run, Task};
-use ashtiller::workflow::job::{Job, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Job, Step};
 use ashtiller::workflow::message::{Reply, State};
+use ashtiller::workflow::record::{End, LogRecord, Outcome, Run, Task};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -7,18 +7,18 @@
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{
-    Active, Finished, EndReason, PollReply, TaskName, Order, Refusal, OrderReply, Target,
+    Active, EndReason, Finished, Order, OrderReply, PollReply, Refusal, Target, TaskName,
 };
-use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::advice::AdviceRequest;
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::evacuations::Zones;
-use ashtiller::workflow::record::{LogRecord, Run};
-use ashtiller::workflow::job::{Job, Policy, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Job, Policy, Step};
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::machines::{Done, MachineOrder};
 use ashtiller::workflow::message::Reply;
+use ashtiller::workflow::record::{LogRecord, Run};
 use ashtiller::workflow::tuning::Tuning;
 
 pub const MS: Duration = Duration::from_millis(1);
@@ -253,33 +253,49 @@
         self.report(id, rows, ends);
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each effect")]
     pub fn carry_out(&mut self, effect: Effect) {
         if let Effect::Look(target, look) = &effect {
-            self.acknowledged.push((target.incarnation.clone(), look.ends_recorded));
+            self.acknowledged
+                .push((target.incarnation.clone(), look.ends_recorded));
             *self.looked.entry(target.incarnation.clone()).or_insert(0) += 1;
         }
         match effect {
             Effect::Look(target, _) if self.reborn.contains_key(&target.incarnation) => {
                 let next = self.reborn[&target.incarnation].clone();
                 let looked = PollReply::OtherIncarnation(Some(next));
-                self.core.handle_poll_reply(&target.incarnation, Ok(looked), self.now);
+                self.core
+                    .handle_poll_reply(&target.incarnation, Ok(looked), self.now);
             }
             Effect::Look(target, _) if self.strangers.contains(&target.incarnation) => {
-                self.core
-                    .handle_poll_reply(&target.incarnation, Ok(PollReply::OtherIncarnation(None)), self.now);
+                self.core.handle_poll_reply(
+                    &target.incarnation,
+                    Ok(PollReply::OtherIncarnation(None)),
+                    self.now,
+                );
             }
             Effect::Order(target, run, order) if self.crashed.contains(&target.incarnation) => {
-                let nothing = Failure::unknown_effect("order", &target.incarnation, "connection refused");
-                self.core
-                    .handle_order_reply(&target.incarnation, run, &order, Err(nothing), self.now);
+                let nothing =
+                    Failure::unknown_effect("order", &target.incarnation, "connection refused");
+                self.core.handle_order_reply(
+                    &target.incarnation,
+                    run,
+                    &order,
+                    Err(nothing),
+                    self.now,
+                );
             }
             Effect::Look(target, _) if Some(&target.incarnation) == self.mute.as_ref() => {
-                let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer in time");
-                self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
+                let nothing =
+                    Failure::unknown_effect("look", &target.incarnation, "no answer in time");
+                self.core
+                    .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Look(target, _) if self.crashed.contains(&target.incarnation) => {
-                let nothing = Failure::unknown_effect("look", &target.incarnation, "connection refused");
-                self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
+                let nothing =
+                    Failure::unknown_effect("look", &target.incarnation, "connection refused");
+                self.core
+                    .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Append(position, facts) => {
                 self.facts.extend(facts);
@@ -289,10 +305,17 @@
                     self.waiting = Some(position);
                 }
             }
-            Effect::Order(target, run, order) if Some(&target.incarnation) == self.deaf.as_ref() => {
+            Effect::Order(target, run, order)
+                if Some(&target.incarnation) == self.deaf.as_ref() =>
+            {
                 let nothing = Failure::unknown_effect("order", &target.incarnation, "no answer");
-                self.core
-                    .handle_order_reply(&target.incarnation, run, &order, Err(nothing), self.now);
+                self.core.handle_order_reply(
+                    &target.incarnation,
+                    run,
+                    &order,
+                    Err(nothing),
+                    self.now,
+                );
                 self.orders.push((target.incarnation, run, order));
             }
             Effect::Order(target, run, order) if self.refusal(&target, &order).is_some() => {
@@ -313,10 +336,12 @@
             }
             Effect::Look(target, _) if Some(&target.incarnation) == self.silent.as_ref() => {
                 let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer");
-                self.core.handle_poll_reply(&target.incarnation, Err(nothing), self.now);
+                self.core
+                    .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
             Effect::Look(target, look) if self.patient => {
-                self.looks.push((self.now.at + look.wait, target.incarnation));
+                self.looks
+                    .push((self.now.at + look.wait, target.incarnation));
             }
             Effect::Look(target, _) => self.show(&target.incarnation),
             Effect::Answer(ticket, reply) => self.answers.push((ticket, reply)),
@@ -330,7 +355,9 @@
                 let good = question.workers.iter().filter(allowed).take(1);
                 let good = good.map(|id| (id.clone(), Arc::from("t")));
                 let answer = match std::mem::take(&mut self.advisor) {
-                    Advisor::LosesOne => Err(Failure::unknown_effect("advise", "advisor", "no answer")),
+                    Advisor::LosesOne => {
+                        Err(Failure::unknown_effect("advise", "advisor", "no answer"))
+                    }
                     _ => Ok(good.collect()),
                 };
                 self.asked.push(question);
@@ -339,7 +366,8 @@
             Effect::Duty(machine, duty) => {
                 let nothing = Failure::unknown_effect("order machine", &machine, "no answer");
                 let said = self.says.ok_or(nothing);
-                self.core.handle_machine_reply(&machine, &duty, said, self.now);
+                self.core
+                    .handle_machine_reply(&machine, &duty, said, self.now);
                 self.duties.push((machine, duty));
             }
         }
--- a/ashtiller/tests/owner/evacuation.rs
+++ b/ashtiller/tests/owner/evacuation.rs
@@ -6,9 +6,9 @@
 use ashtiller::workflow::agents::Active;
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::evacuations::Zones;
-use ashtiller::workflow::record::{LogRecord, Run, Task};
-use ashtiller::workflow::job::{Sharing, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Sharing, Step};
+use ashtiller::workflow::record::{LogRecord, Run, Task};
 use ashtiller::workflow::tuning::Tuning;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::workflow::agents::{EndReason, Poll, PollReply, Order, Refusal, OrderReply, Target};
+use ashtiller::workflow::agents::{EndReason, Order, OrderReply, Poll, PollReply, Refusal, Target};
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Effect;
-use ashtiller::workflow::record::Run;
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::record::Run;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
@@ -39,7 +39,9 @@
 
 fn acknowledges(effect: &Effect) -> Option<(Target, Poll)> {
     match effect {
-        Effect::Look(target, look) if look.ends_recorded > 0 => Some((target.clone(), look.clone())),
+        Effect::Look(target, look) if look.ends_recorded > 0 => {
+            Some((target.clone(), look.clone()))
+        }
         _ => None,
     }
 }
@@ -90,7 +92,9 @@
     let (mut driver, look) = begin(listed(0));
     see_entry(&mut driver, 9);
     let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
-    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
+    driver
+        .core
+        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let (target, ..) = await_call(&mut driver, |effect| match effect {
         Effect::Look(target, look) => Some((target.clone(), look.clone())),
         _ => None,
@@ -107,7 +111,9 @@
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
-    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
+    driver
+        .core
+        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
     core.handle_order_reply(&first.incarnation, run, &order, fenced, driver.now);
@@ -149,13 +155,22 @@
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
-    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
+    driver
+        .core
+        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
-    driver.reborn.insert(look.incarnation, next.incarnation.clone());
+    driver
+        .reborn
+        .insert(look.incarnation, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(Duration::from_secs(1));
-    assert!(driver.starts().iter().any(|(at, _)| *at == next.incarnation));
+    assert!(
+        driver
+            .starts()
+            .iter()
+            .any(|(at, _)| *at == next.incarnation)
+    );
 }
 
 /// Symptom: an owner gave the log up without another one. A call to the former life had been taken
@@ -170,7 +185,9 @@
     let (mut driver, look) = begin(born(1000));
     see_entry(&mut driver, 1);
     let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
-    driver.core.handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
+    driver
+        .core
+        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let next = born(2000);
     driver.core.list_worker(next.clone(), driver.now);
     let (target, _) = await_call(&mut driver, |effect| match effect {
--- a/ashtiller/tests/owner/first_list.rs
+++ b/ashtiller/tests/owner/first_list.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::{Core, Now};
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::record::{LogRecord, Run, Task};
 use ashtiller::workflow::tuning::Tuning;
 
@@ -40,7 +40,11 @@
                 step: 0,
                 index,
             };
-            let placed = LogRecord::Placed(Run { task, number: 1 }, listed(place).incarnation, Arc::from(""));
+            let placed = LogRecord::Placed(
+                Run { task, number: 1 },
+                listed(place).incarnation,
+                Arc::from(""),
+            );
             book.apply(&placed, now.at);
             place = (place + 1) % WORKERS;
         }
--- a/ashtiller/tests/owner/first_looks.rs
+++ b/ashtiller/tests/owner/first_looks.rs
@@ -8,9 +8,9 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::workflow::agents::{POLL_TIMEOUT_MIN, PollReply};
-use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::core::{Core, Effect, Now};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::tuning::Tuning;
 
 use crate::driver::{MS, listed};
--- a/ashtiller/tests/owner/freshness.rs
+++ b/ashtiller/tests/owner/freshness.rs
@@ -71,7 +71,9 @@
     while told.len() < most {
         let seen = time::timeout(CAP, seen.recv()).await;
         told.push(match seen.expect("something seen").expect("a follower") {
-            StoreUpdate::All { items, as_of } => (as_of.since(begin).as_millis(), Some(items[0].revision)),
+            StoreUpdate::All { items, as_of } => {
+                (as_of.since(begin).as_millis(), Some(items[0].revision))
+            }
             StoreUpdate::Changes { changes, as_of } => {
                 assert!(changes.is_empty());
                 (as_of.since(begin).as_millis(), None)
--- a/ashtiller/tests/owner/jobs.rs
+++ b/ashtiller/tests/owner/jobs.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::EndReason;
-use ashtiller::workflow::record::{LogRecord, Outcome};
 use ashtiller::workflow::job::{Schedule, Step};
 use ashtiller::workflow::message::{Reply, State};
+use ashtiller::workflow::record::{LogRecord, Outcome};
 
 use crate::driver::{Driver, MS, job, policy, step};
 
--- a/ashtiller/tests/owner/late_ends.rs
+++ b/ashtiller/tests/owner/late_ends.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::EndReason;
-use ashtiller::workflow::record::{Outcome, Run};
 use ashtiller::workflow::message::{Reply, State};
+use ashtiller::workflow::record::{Outcome, Run};
 
 use crate::driver::{Driver, MS, job, policy, step};
 use crate::trial::lasting;
--- a/ashtiller/tests/owner/leaving.rs
+++ b/ashtiller/tests/owner/leaving.rs
@@ -4,9 +4,9 @@
 
 use ashtiller::workflow::agents::Active;
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::record::Run;
-use ashtiller::workflow::job::{Sharing, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Sharing, Step};
+use ashtiller::workflow::record::Run;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -6,9 +6,9 @@
 use ashtiller::workflow::agents::{EndReason, Order, OrderReply};
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Effect;
-use ashtiller::workflow::record::{LogRecord, Run};
-use ashtiller::workflow::lease::Lease;
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::lease::Lease;
+use ashtiller::workflow::record::{LogRecord, Run};
 use ashtiller::workflow::tuning::Tuning;
 use ashtiller::workflow::worker::LATE_MAX;
 
@@ -86,7 +86,12 @@
     driver.pass(200 * MS);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(200 * MS);
-    assert!(driver.starts().iter().any(|(at, _)| *at == next.incarnation));
+    assert!(
+        driver
+            .starts()
+            .iter()
+            .any(|(at, _)| *at == next.incarnation)
+    );
 }
 
 /// An entry of the former life is read again and again; it ends nothing and costs few looks.
@@ -207,7 +212,8 @@
         for effect in driver.core.poll(driver.now) {
             match effect {
                 Effect::Look(target, look) if look.ends_recorded > 0 => {
-                    let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer in time");
+                    let nothing =
+                        Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                     driver
                         .core
                         .handle_poll_reply(&target.incarnation, Err(nothing), driver.now);
@@ -234,9 +240,19 @@
     driver.core.list_worker(next.clone(), driver.now);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(Duration::from_secs(11));
-    assert!(!driver.starts().iter().any(|(at, _)| *at == next.incarnation));
+    assert!(
+        !driver
+            .starts()
+            .iter()
+            .any(|(at, _)| *at == next.incarnation)
+    );
     driver.pass(Duration::from_secs(3));
-    assert!(driver.starts().iter().any(|(at, _)| *at == next.incarnation));
+    assert!(
+        driver
+            .starts()
+            .iter()
+            .any(|(at, _)| *at == next.incarnation)
+    );
 }
 
 /// Symptom: a task ran on two workers at once. One had started again without a birth, and the
@@ -259,14 +275,20 @@
             match (effect, &started) {
                 (Effect::Order(target, run, order @ Order::Start(_)), None) => {
                     let said = Ok(OrderReply::Done(heard));
-                    driver
-                        .core
-                        .handle_order_reply(&target.incarnation, run, &order, said, driver.now);
+                    driver.core.handle_order_reply(
+                        &target.incarnation,
+                        run,
+                        &order,
+                        said,
+                        driver.now,
+                    );
                     started = Some((target.incarnation, driver.now.at));
                 }
                 (Effect::Look(target, _), Some((life, _))) if target.incarnation == *life => {
                     let nothing = Failure::unknown_effect("look", life, "no answer in time");
-                    driver.core.handle_poll_reply(life, Err(nothing), driver.now);
+                    driver
+                        .core
+                        .handle_poll_reply(life, Err(nothing), driver.now);
                 }
                 (other, _) => driver.carry_out(other),
             }
@@ -336,7 +358,9 @@
         driver.core.note_complete_listing(driver.now.at);
         for effect in driver.core.poll(driver.now) {
             match effect {
-                Effect::Order(target, run, order @ Order::Start(_)) if target.incarnation == life => {
+                Effect::Order(target, run, order @ Order::Start(_))
+                    if target.incarnation == life =>
+                {
                     let nothing = Failure::unknown_effect("order", &life, "no answer in time");
                     let core = &mut driver.core;
                     core.handle_order_reply(&life, run, &order, Err(nothing), driver.now);
--- a/ashtiller/tests/owner/news.rs
+++ b/ashtiller/tests/owner/news.rs
@@ -5,9 +5,9 @@
 
 use ashtiller::workflow::config::ListedWorker;
 use ashtiller::workflow::core::Ticket;
-use ashtiller::workflow::record::{LogRecord, Run, Task};
-use ashtiller::workflow::job::Step;
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::Step;
+use ashtiller::workflow::record::{LogRecord, Run, Task};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/owner/parts.rs
+++ b/ashtiller/tests/owner/parts.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use ashtiller::workflow::blame::LostRun;
-use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::config::{Config, Queue};
-use ashtiller::workflow::record::{End, LogRecord, Outcome, Run, Task};
-use ashtiller::workflow::interference::{NeighborFill, Interference};
+use ashtiller::workflow::interference::{Interference, NeighborFill};
 use ashtiller::workflow::job::Step;
 use ashtiller::workflow::lease::{self, Lease};
+use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::record::{End, LogRecord, Outcome, Run, Task};
 use ashtiller::workflow::snapshot;
 
 use crate::driver::{MS, job, policy, step};
--- a/ashtiller/tests/owner/placing.rs
+++ b/ashtiller/tests/owner/placing.rs
@@ -6,8 +6,8 @@
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{EndReason, Order};
 use ashtiller::workflow::core::advice::AdviceRequest;
-use ashtiller::workflow::job::{Advice, Policy, Sharing, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Advice, Policy, Sharing, Step};
 
 use crate::driver::{Advisor, Driver, MS, job, policy, step};
 
@@ -163,7 +163,13 @@
 fn a_copy_starts_where_the_step_allows_it_and_the_worker_says_nothing() {
     for (copies, starts) in [(true, 2), (false, 1)] {
         let mut driver = Driver::new(2, policy());
-        driver.submit(job("1", vec![Step { speculative: copies, ..step(1) }]));
+        driver.submit(job(
+            "1",
+            vec![Step {
+                speculative: copies,
+                ..step(1)
+            }],
+        ));
         driver.pass(200 * MS);
         let (id, _) = driver.starts()[0].clone();
         driver.silent = Some(id.clone());
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -38,9 +38,13 @@
             match effect {
                 // Thirty of forty.
                 Effect::Look(target, look)
-                    if !target.incarnation.id().ends_with('0') && target.incarnation.id().len() > 2 =>
+                    if !target.incarnation.id().ends_with('0')
+                        && target.incarnation.id().len() > 2 =>
                 {
-                    late.push((driver.now.at + look.wait + target.timeout, target.incarnation));
+                    late.push((
+                        driver.now.at + look.wait + target.timeout,
+                        target.incarnation,
+                    ));
                 }
                 other => driver.carry_out(other),
             }
@@ -55,5 +59,8 @@
     }
     let pressure = driver.core.pressure();
     assert!(!pressure.is_congested(), "{:?}", pressure.usual());
-    assert_eq!(pressure.timeout(ORDER_TIMEOUT_MIN, 800 * MS), ORDER_TIMEOUT_MIN);
+    assert_eq!(
+        pressure.timeout(ORDER_TIMEOUT_MIN, 800 * MS),
+        ORDER_TIMEOUT_MIN
+    );
 }
--- a/ashtiller/tests/owner/sharing.rs
+++ b/ashtiller/tests/owner/sharing.rs
@@ -4,9 +4,9 @@
 
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{Active, EndReason, Order};
-use ashtiller::workflow::record::{LogRecord, Run};
-use ashtiller::workflow::job::{Sharing, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Sharing, Step};
+use ashtiller::workflow::record::{LogRecord, Run};
 
 use crate::driver::{Driver, MS, job, policy, step};
 
--- a/ashtiller/tests/owner/shrinking.rs
+++ b/ashtiller/tests/owner/shrinking.rs
@@ -4,9 +4,9 @@
 
 use ashtiller::workflow::agents::EndReason;
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::record::{LogRecord, Run};
 use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::message::{Reply, State};
+use ashtiller::workflow::record::{LogRecord, Run};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/owner/stops.rs
+++ b/ashtiller/tests/owner/stops.rs
@@ -49,10 +49,16 @@
     // Looks go out each 150 ms, and a stop has no better chance.
     assert!(stops <= 20, "{stops} stops in 3 s");
     let (_, run) = starts_of(&driver, "lasts")[0].clone();
-    assert!(driver.core.log_state().is_live(run), "its lease is not over");
+    assert!(
+        driver.core.log_state().is_live(run),
+        "its lease is not over"
+    );
     driver.silent = None;
     driver.pass(200 * MS);
-    assert!(!driver.core.log_state().is_live(run), "the first report ends it");
+    assert!(
+        !driver.core.log_state().is_live(run),
+        "the first report ends it"
+    );
 }
 
 #[test]
--- a/ashtiller/tests/owner/strangers.rs
+++ b/ashtiller/tests/owner/strangers.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::record::Run;
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::record::Run;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
@@ -33,7 +33,10 @@
     driver.crashed.insert("stranger".into());
     driver.core.list_worker(stranger(number), driver.now);
     driver.pass(Duration::from_secs(4));
-    assert!(driver.core.log_state().is_live(run), "its lease is not over");
+    assert!(
+        driver.core.log_state().is_live(run),
+        "its lease is not over"
+    );
     assert_eq!(driver.starts().len(), 1);
 }
 
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::workflow::record::{End, LogRecord, Run, Task};
 use ashtiller::workflow::job::Step;
+use ashtiller::workflow::record::{End, LogRecord, Run, Task};
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
@@ -60,7 +60,10 @@
         starts.iter().all(|(_, it)| it.task.index != 0),
         "{starts:?}"
     );
-    assert!(!driver.core.log_state().is_live(run(2)), "its stop is recorded");
+    assert!(
+        !driver.core.log_state().is_live(run(2)),
+        "its stop is recorded"
+    );
 }
 
 /// A run that an owner took over is never started, though its worker answers and the store
--- a/ashtiller/tests/owner/trial.rs
+++ b/ashtiller/tests/owner/trial.rs
@@ -17,9 +17,9 @@
 
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{Active, EndReason};
-use ashtiller::workflow::record::Run;
-use ashtiller::workflow::job::{Policy, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Policy, Step};
+use ashtiller::workflow::record::Run;
 
 use crate::driver::{Driver, MS, job, policy, step};
 
--- a/ashtiller/tests/owner/upkeep.rs
+++ b/ashtiller/tests/owner/upkeep.rs
@@ -25,10 +25,10 @@
 
 use ashtiller::workflow::agents::Active;
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::record::Run;
-use ashtiller::workflow::job::Step;
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::Step;
 use ashtiller::workflow::machines::{Done, Wave};
+use ashtiller::workflow::record::Run;
 
 use crate::driver::{Driver, job, listed, policy};
 use crate::trial::{lasting, starts_of};
--- a/ashtiller/tests/owner/watching.rs
+++ b/ashtiller/tests/owner/watching.rs
@@ -65,7 +65,11 @@
             match fate {
                 Fate::Silent => {
                     time::sleep(wait + SLACK).await;
-                    Err(Failure::unknown_effect("watch", "store", "no answer in time"))
+                    Err(Failure::unknown_effect(
+                        "watch",
+                        "store",
+                        "no answer in time",
+                    ))
                 }
                 Fate::Quiet => {
                     time::sleep(wait).await;
@@ -105,7 +109,10 @@
     }
 
     async fn list(&mut self) {
-        assert!(matches!(self.next().await, StoreUpdate::All { .. }), "a list");
+        assert!(
+            matches!(self.next().await, StoreUpdate::All { .. }),
+            "a list"
+        );
     }
 }
 
--- a/ashtiller/tests/owner/workers.rs
+++ b/ashtiller/tests/owner/workers.rs
@@ -4,9 +4,9 @@
 
 use ashtiller::workflow::agents::{Active, EndReason, Order};
 use ashtiller::workflow::config::ListedWorker;
-use ashtiller::workflow::record::Run;
 use ashtiller::workflow::job::{Policy, Sharing, Step};
 use ashtiller::workflow::machines::{MachineOrder, Wave};
+use ashtiller::workflow::record::Run;
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
--- a/ashtiller/tests/pressure.rs
+++ b/ashtiller/tests/pressure.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
-use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::congestion::Congestion;
+use ashtiller::workflow::incarnation::Incarnation;
 
 const MS: Duration = Duration::from_millis(1);
 /// Workers that orders go to in turn.
@@ -163,6 +163,9 @@
         }
     }
     assert!(pressure.is_congested());
-    assert_eq!(pressure.timeout(ORDER_TIMEOUT_MIN, MOST), 4 * ORDER_TIMEOUT_MIN);
+    assert_eq!(
+        pressure.timeout(ORDER_TIMEOUT_MIN, MOST),
+        4 * ORDER_TIMEOUT_MIN
+    );
     assert_eq!(pressure.timeout(ORDER_TIMEOUT_MIN, 800 * MS), 800 * MS);
 }
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -23,11 +23,11 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Poll, PollReply, TaskName, Order, Target};
-use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::agents::{Order, Poll, PollReply, Target, TaskName};
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
 use ashtiller::workflow::job::{Job, Policy, Step};
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::tuning::Tuning;
 
 use worker::{Weakness, Worker};
@@ -178,7 +178,8 @@
         for Waiting { to, .. } in lost.collect::<Vec<_>>() {
             let failure = Failure::unknown_effect("look", to.address, "connection closed");
             let now = self.clock();
-            self.core.handle_poll_reply(&to.incarnation, Err(failure), now);
+            self.core
+                .handle_poll_reply(&to.incarnation, Err(failure), now);
         }
     }
 
@@ -207,7 +208,8 @@
         let now = self.clock();
         let ready = self.answers.extract_if(.., |(at, ..)| *at <= self.now);
         for (_, to, looked) in ready.collect::<Vec<_>>() {
-            self.core.handle_poll_reply(&to.incarnation, Ok(looked), now);
+            self.core
+                .handle_poll_reply(&to.incarnation, Ok(looked), now);
         }
     }
 
@@ -242,7 +244,8 @@
                 self.note_start(&order);
                 let worker = self.workers.get_mut(&to.address).unwrap();
                 let said = worker.order(to.fence, &order, needs(), length(&order), self.now);
-                self.core.handle_order_reply(&to.incarnation, run, &order, Ok(said), now);
+                self.core
+                    .handle_order_reply(&to.incarnation, run, &order, Ok(said), now);
             }
             Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
         }
--- a/ashtiller/tests/silence.rs
+++ b/ashtiller/tests/silence.rs
@@ -294,7 +294,11 @@
             }
             if asked <= self.leaves && self.leaves < Instant::now() {
                 time::sleep(SLACK).await;
-                return Err(Failure::unknown_effect("instances", "list", "no answer in time"));
+                return Err(Failure::unknown_effect(
+                    "instances",
+                    "list",
+                    "no answer in time",
+                ));
             }
             let leaving = Instant::now() > self.leaves;
             let phase = if leaving { Phase::Leaving } else { Phase::Live };
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -18,7 +18,7 @@
 use ashtiller::pool::Pool;
 use ashtiller::rendezvous;
 use ashtiller::resources::{Pool as Room, Resources};
-use ashtiller::session::{ReportHeader, Change, Session, LeaseTerms};
+use ashtiller::session::{Change, LeaseTerms, ReportHeader, Session};
 use ashtiller::template::Class;
 
 struct Still;
@@ -178,7 +178,10 @@
     assert_eq!(session.grant(&terms, true).until, 60_000);
     assert_eq!(session.lease_bound(), Duration::from_secs(111));
     let late = Duration::from_mins(5);
-    assert_eq!(session.handle_report(3, answer, &terms, late), Change::Stale);
+    assert_eq!(
+        session.handle_report(3, answer, &terms, late),
+        Change::Stale
+    );
     assert_eq!(session.grant(&terms, true).until, 60_000);
     assert_eq!(session.lease_bound(), Duration::from_secs(111));
 }
--- a/ashtiller/tests/workflow.rs
+++ b/ashtiller/tests/workflow.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::record::Outcome;
 use ashtiller::workflow::job::{Job, Step};
 use ashtiller::workflow::message::{Reply, State};
+use ashtiller::workflow::record::Outcome;
 
 use world::worker::Weakness;
 use world::{Faults, Restarts, World, trace};
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -13,14 +13,16 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Poll, PollReply, TaskName, ORDER_TIMEOUT_MIN, Order, OrderReply, Target};
-use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::agents::{
+    ORDER_TIMEOUT_MIN, Order, OrderReply, Poll, PollReply, Target, TaskName,
+};
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
-use ashtiller::workflow::record::{End, LogRecord, Run};
-use ashtiller::workflow::job::{Job, Policy};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Job, Policy};
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::message::{Reply, State};
+use ashtiller::workflow::record::{End, LogRecord, Run};
 use ashtiller::workflow::tuning::Tuning;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -625,7 +627,8 @@
             Effect::Look(target, look) => {
                 if self.percent(self.faults.lost / 2) {
                     let wait = look.wait + ORDER_TIMEOUT_MIN;
-                    let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer in time");
+                    let nothing =
+                        Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                     let looked = Event::Looked(place, target.incarnation.clone(), Err(nothing));
                     self.at(wait, looked);
                     if self.faults.restarts.is_some() && self.percent(self.faults.late) {
@@ -713,7 +716,10 @@
                     let answer = self.millis(1, 4);
                     let delay = if silent { ORDER_TIMEOUT_MIN } else { answer };
                     let said = said.ok_or(failure);
-                    self.at(delay, Event::Ordered(place, target.incarnation, run, order, said));
+                    self.at(
+                        delay,
+                        Event::Ordered(place, target.incarnation, run, order, said),
+                    );
                 }
             }
             Event::Ordered(place, id, run, order, said) => {
@@ -864,7 +870,8 @@
     fn check_room(&mut self, id: &Arc<str>, name: &TaskName, prompt: bool) {
         let worker = &self.workers[id];
         let mut before = self.roomy.get(id).into_iter().flatten();
-        let roomy = before.any(|(room, at)| self.now < *at + SHRUNK && worker.used().fits_within(room));
+        let roomy =
+            before.any(|(room, at)| self.now < *at + SHRUNK && worker.used().fits_within(room));
         if prompt && !roomy && !worker.used().fits_within(&worker.capacity) {
             let text = format!("{name:?} began on {id}, which then holds {}", worker.used());
             self.broken.push(text);
--- a/ashtiller/tests/world/news.rs
+++ b/ashtiller/tests/world/news.rs
@@ -37,7 +37,8 @@
 
 impl News {
     pub fn put(&mut self, listed: ListedWorker) {
-        self.entries.insert(listed.incarnation.id().into(), listed.clone());
+        self.entries
+            .insert(listed.incarnation.id().into(), listed.clone());
         self.changes.push(Change::Put(listed));
     }
 
--- a/bench/src/crashes.rs
+++ b/bench/src/crashes.rs
@@ -7,14 +7,14 @@
 
 use ashtiller::failure::Failure;
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Poll, PollReply, Order, OrderReply};
-use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::agents::{Order, OrderReply, Poll, PollReply};
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
-use ashtiller::workflow::record::{Outcome, Run};
-use ashtiller::workflow::job::{Job, Policy, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Job, Policy, Step};
+use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::message::{Reply, State};
+use ashtiller::workflow::record::{Outcome, Run};
 use ashtiller::workflow::tuning::Tuning;
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng};
@@ -375,7 +375,9 @@
                 let sent = self.now;
                 self.at(6 * MS, Event::Durable(position, sent));
             }
-            Effect::Order(target, run, order) => self.obey(target.incarnation, target.fence, run, order),
+            Effect::Order(target, run, order) => {
+                self.obey(target.incarnation, target.fence, run, order);
+            }
             Effect::Look(target, look) => self.at(2 * MS, Event::See(target.incarnation, look)),
             Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
         }
--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -7,13 +7,15 @@
 use std::time::{Duration, Instant};
 
 use ashtiller::resources::Resources;
-use ashtiller::workflow::agents::{Active, Finished, EndReason, Poll, PollReply, TaskName, Order, OrderReply};
-use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::agents::{
+    Active, EndReason, Finished, Order, OrderReply, Poll, PollReply, TaskName,
+};
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
-use ashtiller::workflow::record::Run;
-use ashtiller::workflow::job::{Job, Policy, Sharing, Step};
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::job::{Job, Policy, Sharing, Step};
+use ashtiller::workflow::log_state::LogState;
+use ashtiller::workflow::record::Run;
 use ashtiller::workflow::tuning::Tuning;
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng};
--- a/bench/src/replay/policy.rs
+++ b/bench/src/replay/policy.rs
@@ -1,6 +1,6 @@
 //! The product's policy and the baselines that it is compared with.
 
-use ashtiller::placement::{PlacementPolicy, InterferenceAware, CandidateHost};
+use ashtiller::placement::{CandidateHost, InterferenceAware, PlacementPolicy};
 use ashtiller::template::Class;
 
 /// A way to place and control tasks.
--- a/bench/src/replay/world.rs
+++ b/bench/src/replay/world.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::agent::{Command, Ended, ReportedEnd, Report, Running};
+use ashtiller::agent::{Command, Ended, Report, ReportedEnd, Running};
 use ashtiller::cell::Cell;
 use ashtiller::fact::{Attempt, Fact, TaskId};
 use ashtiller::job::Phase;
@@ -12,7 +12,7 @@
 use ashtiller::plan::{self, Planner};
 use ashtiller::reconcile::{self, StepContext};
 use ashtiller::resources::Resources;
-use ashtiller::session::{Session, LeaseTerms};
+use ashtiller::session::{LeaseTerms, Session};
 use ashtiller::template::Class;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -294,7 +294,8 @@
             Policy::Threshold => self.evict_newest(worker, &name, &report, now),
             _ => {}
         }
-        let Some(sync) = reconcile::prepare_sync(&mut self.cell, &name, &TERMS, true, moment) else {
+        let Some(sync) = reconcile::prepare_sync(&mut self.cell, &name, &TERMS, true, moment)
+        else {
             return;
         };
         let node = &mut self.nodes[worker];
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::TaskName;
-use ashtiller::workflow::record::LogOwner;
 use ashtiller::workflow::incarnation::Incarnation;
+use ashtiller::workflow::record::LogOwner;
 use hyper::{Method, StatusCode};
 use parking_lot::Mutex;
 use tokio::task::JoinSet;
