--- a/ashtiller/src/workflow/core/admission.rs
+++ b/ashtiller/src/workflow/core/admission.rs
@@ -1,4 +1,4 @@
-//! Jobs that come in, and questions about them.
+//! Job admission, cancellation and status queries.
 
 use std::fmt;
 
@@ -10,28 +10,29 @@
 use crate::workflow::state::JobState;
 
 impl Core {
-    /// Accepts a job; the answer comes when that is durable.
+    /// Accepts a job. The client is answered once the log entry that holds the job is durable.
     pub fn submit(&mut self, job: Job, ticket: Ticket, now: Now) {
         if let Some(number) = self.log_state.find(&job.id) {
             let position = self.undurable_jobs.get(&number).copied().unwrap_or(0);
             self.defer(position, OnDurable::Answer(ticket, Reply::Accepted), now);
             return;
         }
-        // Asked for again, it shares the fate of the first call.
-        let mut coming = self.arrivals.iter_mut();
-        if let Some((_, tickets)) = coming.find(|(other, _)| other.id == job.id) {
+        // A repeated submission gets the same reply as the first one.
+        let mut arrivals = self.arrivals.iter_mut();
+        if let Some((_, tickets)) = arrivals.find(|(other, _)| other.id == job.id) {
             tickets.push(ticket);
             return;
         }
-        if let Some(reply) = self.judge(&job, now) {
-            tracing::info!(job = %job.id, ?reply, stalled_ms = self.stalled_for(now).as_millis(), "job not taken");
+        if let Some(reply) = self.check_admission(&job, now) {
+            tracing::info!(job = %job.id, ?reply, stalled_ms = self.stalled_for(now).as_millis(),
+                "job rejected");
             self.effects.push(Effect::Answer(ticket, reply));
             return;
         }
         self.arrivals.push((job, vec![ticket]));
     }
 
-    /// Records the jobs that came since the last entry.
+    /// Records the jobs that were submitted since the last log entry.
     pub(super) fn record_arrivals(&mut self, now: Now) {
         for (job, tickets) in std::mem::take(&mut self.arrivals) {
             let Some(queue) = self.config.queue(&job.queue) else {
@@ -42,7 +43,7 @@
             };
             let policy = queue.policy.clone();
             let number = self.log_state.next;
-            tracing::info!(job = %job.id, number, queue = %job.queue, steps = %Shape(&job),
+            tracing::info!(job = %job.id, number, queue = %job.queue, steps = %StepSummary(&job),
                 position = self.position, config = self.config.version, "job accepted");
             self.undurable_jobs.insert(number, self.position);
             self.record(LogRecord::Accepted(Box::new(job), policy, now.wall), now);
@@ -58,30 +59,31 @@
         }
     }
 
-    /// While the store is away, jobs that are not in an entry are refused: none of
-    /// them was written anywhere.
+    /// Rejects the jobs that are in no log entry yet while the store does not answer. None of
+    /// them has been written anywhere.
     pub(super) fn refuse_arrivals(&mut self, now: Now) {
         if self.arrivals.is_empty() || !self.is_stalled(now) {
             return;
         }
-        let refused = self.refusal();
+        let refused = self.retry_later_reply();
         for (job, tickets) in std::mem::take(&mut self.arrivals) {
-            tracing::info!(job = %job.id, stalled_ms = self.stalled_for(now).as_millis(), "job refused: the store is away");
+            tracing::info!(job = %job.id, stalled_ms = self.stalled_for(now).as_millis(),
+                "job rejected: the store does not answer");
             for ticket in tickets {
                 self.effects.push(Effect::Answer(ticket, refused.clone()));
             }
         }
     }
 
-    fn refusal(&self) -> Reply {
+    fn retry_later_reply(&self) -> Reply {
         let retry = self.terms.retry.as_millis();
         Reply::Refused(u32::try_from(retry).unwrap_or(u32::MAX))
     }
 
-    /// Why a job is not taken, if so.
-    fn judge(&self, job: &Job, now: Now) -> Option<Reply> {
+    /// Returns the reason to reject a job, or `None` if it can be accepted.
+    fn check_admission(&self, job: &Job, now: Now) -> Option<Reply> {
         if self.is_stalled(now) || self.log_state.open().len() >= self.terms.jobs {
-            return Some(self.refusal());
+            return Some(self.retry_later_reply());
         }
         if let Err(reason) = job.check() {
             return Some(Reply::Invalid(reason.into()));
@@ -89,13 +91,13 @@
         None
     }
 
-    /// Cancels a job; the answer comes when that is durable.
+    /// Cancels a job. The client is answered once the cancellation is durable.
     pub fn cancel(&mut self, id: &str, ticket: Ticket, now: Now) {
         if self.arrivals.iter().any(|(job, _)| *job.id == *id) {
             self.record_arrivals(now);
         }
         let Some(number) = self.log_state.find(id) else {
-            tracing::info!(job = id, "cancel of an unknown job");
+            tracing::info!(job = id, "cancellation of an unknown job");
             self.effects.push(Effect::Answer(ticket, Reply::Missing));
             return;
         };
@@ -109,12 +111,12 @@
         self.defer(position, OnDurable::Answer(ticket, Reply::Accepted), now);
     }
 
-    /// How a job stands. An outcome is told only once it is durable.
+    /// Returns the state of a job. An outcome is reported only once it is durable.
     #[must_use]
     pub fn state(&self, id: &str) -> Reply {
         let Some(number) = self.log_state.find(id) else {
-            let coming = self.arrivals.iter().any(|(job, _)| *job.id == *id);
-            return if coming {
+            let submitted = self.arrivals.iter().any(|(job, _)| *job.id == *id);
+            return if submitted {
                 Reply::State(State::Queued)
             } else {
                 Reply::Missing
@@ -130,7 +132,7 @@
         Reply::State(state)
     }
 
-    /// How many accepted jobs of a queue have not begun.
+    /// Returns the number of accepted jobs of a queue that have not started.
     #[must_use]
     pub fn count_pending(&self, queue: &str) -> Reply {
         let jobs = self
@@ -139,18 +141,22 @@
             .iter()
             .map(|number| &self.log_state.jobs[number]);
         let open = self.log_state.open().iter().zip(jobs);
-        let waiting = open.filter(|(number, job)| {
+        let pending = open.filter(|(number, job)| {
             *job.job.queue == *queue
                 && job.outcome != Some(Outcome::Cancelled)
                 && (!job.begun || !self.has_started(**number, job))
         });
-        Reply::Pending(waiting.count() as u64)
+        Reply::Pending(pending.count() as u64)
     }
 
-    /// Whether a start of a job has come through, or a run of it has ended. Starts may wait
-    /// for others, or get no answer.
+    /// Returns whether a worker has confirmed a start of the job or a run of it has ended. A placed
+    /// run does not count: its start order may wait behind others or get no answer.
     fn has_started(&self, number: u32, job: &JobState) -> bool {
-        let steps = || job.occurrences.values().flat_map(|round| &round.steps);
+        let steps = || {
+            job.occurrences
+                .values()
+                .flat_map(|occurrence| &occurrence.steps)
+        };
         let ended = job.live == 0 || steps().any(|step| step.tasks.iter().any(|task| task.done));
         let started = |run: &Run| {
             let live = self.runs.get(run);
@@ -160,10 +166,10 @@
     }
 }
 
-/// A job's steps in a few words, for logs.
-struct Shape<'a>(&'a Job);
+/// Formats a summary of a job's steps for logs.
+struct StepSummary<'a>(&'a Job);
 
-impl fmt::Display for Shape<'_> {
+impl fmt::Display for StepSummary<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for step in &self.0.steps {
             let kind = match step.sharing {
@@ -171,15 +177,15 @@
                 Sharing::Serves(_) => " serves",
                 Sharing::Fills => " fills",
             };
-            let lasting = if step.long_running { " lasting" } else { "" };
+            let long_running = if step.long_running { " lasting" } else { "" };
             write!(
                 f,
-                "[{}x{}m/{}MiB {}ms{kind}{lasting}{} after {:?}]",
+                "[{}x{}m/{}MiB {}ms{kind}{long_running}{} after {:?}]",
                 step.count,
                 step.needs.processors,
                 step.needs.memory >> 20,
                 step.estimate.as_millis(),
-                Bounds(step),
+                StepLimits(step),
                 step.after
             )?;
         }
@@ -187,16 +193,17 @@
     }
 }
 
-/// A step's bounds on where its tasks go and how many may be away, where it has some.
-struct Bounds<'a>(&'a Step);
+/// Formats a step's limits on tasks per worker and on tasks that are down at once, where it has
+/// any.
+struct StepLimits<'a>(&'a Step);
 
-impl fmt::Display for Bounds<'_> {
+impl fmt::Display for StepLimits<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.spread > 0 {
             write!(f, " spread {}", self.0.spread)?;
         }
-        if let Some(most) = self.0.away_max {
-            write!(f, " away {most}")?;
+        if let Some(limit) = self.0.away_max {
+            write!(f, " away {limit}")?;
         }
         Ok(())
     }
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -1,4 +1,4 @@
-//! Which workers the advisor lets run a step, and the tickets for them.
+//! Requests to the advisor: which workers may run a step, and the tickets for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,122 +12,123 @@
 use crate::workflow::job::Advice;
 use crate::workflow::record::Task;
 
-/// Workers named in one question. The platform allows 100 and its users count 30.
-const NAMED_MAX: usize = 30;
-/// Workers named for each task that waits: some of them will not do.
-const NAMED_EACH: usize = 4;
-/// Questions under way; the advisor takes one at a time and refuses at 32.
-const ASKED_MAX: usize = 4;
-/// Time before the end of a ticket at which it is not used any more: a start may be
-/// sent again.
+/// Limit on workers in one request. The platform allows 100 and its users count 30.
+const REQUEST_WORKERS_MAX: usize = 30;
+/// Workers named in a request per waiting task, since the advisor rejects some of them.
+const WORKERS_PER_TASK: usize = 4;
+/// Limit on requests in flight. The advisor handles one at a time and refuses further ones at 32.
+const REQUESTS_MAX: usize = 4;
+/// Remaining validity below which a ticket is no longer used, since a start may be sent again.
 const TICKET_MARGIN: Duration = Duration::from_millis(600);
-/// Pause after a question that was not answered.
-const RETRY: Duration = Duration::from_millis(250);
+/// Pause after a request that was not answered.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Time for an answer beyond what the policies state: a new connection and the way there
-/// and back, a few times over, and little of the 3 s in which a start is due again after
-/// its connection fell silent.
-const ANSWER_SLACK: Duration = Duration::from_millis(400);
-/// Least time for an answer after one that did not come: on a new connection it is more
-/// likely that the advisor needs longer than stated.
-const ANSWER_LATE: Duration = Duration::from_secs(4);
+/// Allowance for an answer beyond the time that the policies state. It covers a new connection
+/// and a few round trips, and is a small part of the 3 s within which a start is due again after
+/// its connection went silent.
+const ANSWER_ALLOWANCE: Duration = Duration::from_millis(400);
+/// Minimum time limit of a request after one that got no answer. As that uses a new connection,
+/// it is more likely that the advisor needs longer than stated.
+const ANSWER_MIN_AFTER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A step of one time of a job.
+/// Job number, occurrence of the job and step index.
 pub type StepKey = (u32, u32, u16);
 
-/// A question to the advisor.
+/// A request to the advisor.
 #[derive(Clone, Debug)]
 pub struct AdviceRequest {
     /// Id of the job.
     pub job: Arc<str>,
-    /// The step that is to run.
+    /// Step to be placed.
     pub key: StepKey,
-    /// Workers that are asked for.
+    /// Workers that the advisor is asked about.
     pub workers: Vec<Incarnation>,
-    /// When it was asked.
+    /// Time at which the request was made.
     pub asked_at: Duration,
-    /// Time for the answer.
+    /// Time limit of the request.
     pub limit: Duration,
 }
 
-/// What is known about a step.
+/// Answers of the advisor about one step, and the request in flight.
 #[derive(Clone, Debug, Default)]
 pub struct AdviceState {
-    /// Workers that may run it.
-    good: BTreeMap<Incarnation, (Arc<str>, Duration)>,
-    /// Workers that may not, for good.
-    bad: BTreeSet<Incarnation>,
-    /// Workers that are asked for now.
-    asked: BTreeSet<Incarnation>,
-    retry: Duration,
-    /// Whether the last question was not answered.
-    late: bool,
+    /// Workers that may run the step, each with its ticket and the time at which that expires.
+    allowed: BTreeMap<Incarnation, (Arc<str>, Duration)>,
+    /// Workers that must never run the step.
+    forbidden: BTreeSet<Incarnation>,
+    /// Workers in the request in flight.
+    in_flight: BTreeSet<Incarnation>,
+    retry_at: Duration,
+    /// Whether the last request got no answer.
+    unanswered: bool,
 }
 
 impl Core {
-    /// Tickets that hold for a step.
+    /// Returns the valid tickets for a task's step, by worker.
     pub(super) fn tickets(&self, task: Task, now: Now) -> BTreeMap<Incarnation, Arc<str>> {
         let Some(advised) = self.advised.get(&(task.job, task.occurrence, task.step)) else {
             return BTreeMap::new();
         };
-        let holds = advised
-            .good
+        let valid = advised
+            .allowed
             .iter()
             .filter(|(_, (_, until))| *until > now.at + TICKET_MARGIN);
-        holds
+        valid
             .map(|(id, (ticket, _))| (id.clone(), ticket.clone()))
             .collect()
     }
 
-    /// Whether the advisor has said that a step may not run on a worker.
+    /// Returns whether the advisor has ruled out a worker for a step.
     pub(super) fn is_forbidden(&self, step: StepKey, worker: &Incarnation) -> bool {
         let advised = self.advised.get(&step);
-        advised.is_some_and(|advised| advised.bad.contains(worker))
+        advised.is_some_and(|advised| advised.forbidden.contains(worker))
     }
 
-    /// Asks for the likely workers of a step, unless enough is known or asked.
+    /// Requests advice about the best workers for a step, unless a request for the step is in
+    /// flight, too many others are, or the pause after an unanswered one is not over.
     pub(super) fn request_advice(
         &mut self,
         task: Task,
         tasks: usize,
         fleet: &[Candidate],
-        wish: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         now: Now,
     ) {
-        let asking = self
+        let requests = self
             .advised
             .values()
-            .filter(|advised| !advised.asked.is_empty())
+            .filter(|advised| !advised.in_flight.is_empty())
             .count();
         let key = (task.job, task.occurrence, task.step);
         let advised = self.advised.entry(key).or_default();
-        if !advised.asked.is_empty() || asking >= ASKED_MAX || now.at < advised.retry {
+        if !advised.in_flight.is_empty() || requests >= REQUESTS_MAX || now.at < advised.retry_at {
             return;
         }
-        let (bad, good) = (advised.bad.clone(), advised.good.clone());
-        let fresh = |id: &Incarnation| {
-            good.get(id)
+        let (forbidden, allowed) = (advised.forbidden.clone(), advised.allowed.clone());
+        let has_ticket = |id: &Incarnation| {
+            allowed
+                .get(id)
                 .is_some_and(|(_, until)| *until > now.at + TICKET_MARGIN)
         };
-        let open = PlacementRequest {
+        let unrestricted = PlacementRequest {
             advised: None,
             excluded: None,
             failed_on: BTreeSet::new(),
             runs_per_worker: BTreeMap::new(),
-            ..*wish
+            ..*request
         };
-        let mut likely: Vec<&Candidate> = fleet
+        let mut candidates: Vec<&Candidate> = fleet
             .iter()
-            .filter(|candidate| !bad.contains(&candidate.id) && !fresh(&candidate.id))
-            .filter(|candidate| candidates::is_eligible(candidate, &open))
+            .filter(|candidate| !forbidden.contains(&candidate.id) && !has_ticket(&candidate.id))
+            .filter(|candidate| candidates::is_eligible(candidate, &unrestricted))
             .collect();
-        // Known to be good, then roomy.
-        likely.sort_by_key(|candidate| {
-            let known = good.contains_key(&candidate.id);
-            (!known, std::cmp::Reverse(candidate.free.processors))
+        // Workers that were allowed before come first, then those with the most free processors.
+        candidates.sort_by_key(|candidate| {
+            let was_allowed = allowed.contains_key(&candidate.id);
+            (!was_allowed, std::cmp::Reverse(candidate.free.processors))
         });
-        likely.truncate(NAMED_MAX.min(tasks * NAMED_EACH).max(1));
-        let workers: Vec<Incarnation> = likely
+        candidates.truncate(REQUEST_WORKERS_MAX.min(tasks * WORKERS_PER_TASK).max(1));
+        let workers: Vec<Incarnation> = candidates
             .iter()
             .map(|candidate| candidate.id.clone())
             .collect();
@@ -139,7 +140,7 @@
         }
         let id = job.job.id.clone();
         if let Some(advised) = self.advised.get_mut(&key) {
-            advised.asked.extend(workers.iter().cloned());
+            advised.in_flight.extend(workers.iter().cloned());
         }
         self.effects.push(Effect::Advise(AdviceRequest {
             job: id,
@@ -150,27 +151,34 @@
         }));
     }
 
-    /// Time for an answer about a step: the advisor takes one question at a time, so the
-    /// others that are asked may come first.
+    /// Returns the time limit of a request about a step. The advisor handles one request at a time,
+    /// so all others in flight may come first.
     fn answer_limit(&self, key: StepKey) -> Duration {
         let stated: Duration = self
             .advised
             .iter()
-            .filter_map(|(key, advised)| self.stated_time(*key, advised.asked.len()))
+            .filter_map(|(key, advised)| self.stated_time(*key, advised.in_flight.len()))
             .sum();
-        let late = self.advised.get(&key).is_some_and(|advised| advised.late);
-        let least = if late { ANSWER_LATE } else { Duration::ZERO };
-        least.max(stated + ANSWER_SLACK)
+        let unanswered = self
+            .advised
+            .get(&key)
+            .is_some_and(|advised| advised.unanswered);
+        let least = if unanswered {
+            ANSWER_MIN_AFTER_TIMEOUT
+        } else {
+            Duration::ZERO
+        };
+        least.max(stated + ANSWER_ALLOWANCE)
     }
 
-    /// Time that the policy states for a question that names so many workers.
+    /// Returns the answer time that the job's policy states for a request with `named` workers.
     fn stated_time(&self, key: StepKey, named: usize) -> Option<Duration> {
         let advice = self.log_state.jobs.get(&key.0)?.policy.advice?;
         let named = u32::try_from(named).ok().filter(|named| *named > 0)?;
         Some(advice.decide + advice.each * named)
     }
 
-    /// Takes the advisor's answer to a question of `asked_at`.
+    /// Handles the advisor's answer to the request made at `asked_at`.
     pub fn handle_advice(
         &mut self,
         key: StepKey,
@@ -186,26 +194,27 @@
         let Some(advised) = self.advised.get_mut(&key) else {
             return;
         };
-        let asked = std::mem::take(&mut advised.asked);
+        let in_flight = std::mem::take(&mut advised.in_flight);
         let Some(Advice { valid, .. }) = valid else {
             self.advised.remove(&key);
             return;
         };
         match answer {
-            Ok(good) => {
-                advised.late = false;
-                advised.bad.extend(asked);
-                for (id, ticket) in good {
-                    advised.bad.remove(&id);
-                    // The advisor's clock began no later than it was asked.
-                    advised.good.insert(id, (ticket, asked_at + valid));
+            Ok(allowed) => {
+                advised.unanswered = false;
+                advised.forbidden.extend(in_flight);
+                for (id, ticket) in allowed {
+                    advised.forbidden.remove(&id);
+                    // The advisor counts the validity from the request or later, so the ticket does
+                    // not expire there before this time.
+                    advised.allowed.insert(id, (ticket, asked_at + valid));
                 }
                 self.needs_planning = true;
             }
             Err(failure) => {
                 tracing::info!(job = key.0, step = key.2, %failure, "advisor did not answer");
-                advised.retry = now.at + RETRY;
-                advised.late = true;
+                advised.retry_at = now.at + RETRY_PAUSE;
+                advised.unanswered = true;
                 self.needs_planning = true;
             }
         }
--- a/ashtiller/src/workflow/core/allocation.rs
+++ b/ashtiller/src/workflow/core/allocation.rs
@@ -1,4 +1,4 @@
-//! Room that runs take at workers.
+//! Allocation of worker capacity to runs.
 
 use std::sync::Arc;
 
@@ -9,26 +9,26 @@
 use crate::workflow::live_run::{LiveRun, Stage, Stop};
 use crate::workflow::record::{LogRecord, Run};
 
-/// Whether a start still fits into its worker's room.
+/// Whether a placed run still fits into its worker's capacity.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum FitsWhen {
-    /// It does.
+    /// It fits.
     Now,
-    /// Once those that are withdrawn are known not to run.
+    /// It fits once the runs that are being withdrawn are known not to run.
     Later,
-    /// Not with what runs there.
+    /// It does not fit beside the runs that stay.
     Never,
 }
 
 impl Core {
-    /// Whether a run that was placed earlier may still be started: the worker's room may have
-    /// shrunk. All that may run there counts, and so does what is being stopped.
+    /// Checks whether a run that was placed earlier may still be started, as the worker's capacity
+    /// may have shrunk since. All runs that may be going on there count, also those being stopped.
     pub(super) fn check_fit(&self, run: Run, id: &Incarnation) -> FitsWhen {
         let Some(worker) = self.workers.get(id) else {
             return FitsWhen::Never;
         };
-        let (whole, taken) = (worker.pool.capacity(), worker.pool.allocated());
-        if taken.fits_within(whole) {
+        let (capacity, allocated) = (worker.pool.capacity(), worker.pool.allocated());
+        if allocated.fits_within(capacity) {
             return FitsWhen::Now;
         }
         let withdrawn = worker.runs.iter().filter(|other| {
@@ -38,19 +38,21 @@
                     live.stop != Stop::None && !matches!(live.stage, Stage::Started(_))
                 })
         });
-        let rooms = withdrawn.filter_map(|other| {
+        let resources = withdrawn.filter_map(|other| {
             let (job, _) = self.log_state.task(other.task)?;
             Some(job.step(other.task)?.room())
         });
-        let later = rooms.fold(*taken, |left: Resources, room| left.minus(&room));
-        if later.fits_within(whole) {
+        let remaining = resources.fold(*allocated, |left: Resources, released| {
+            left.minus(&released)
+        });
+        if remaining.fits_within(capacity) {
             FitsWhen::Later
         } else {
             FitsWhen::Never
         }
     }
 
-    /// Counts a run in its worker's room.
+    /// Allocates a run's resources on its worker.
     pub(super) fn allocate(&mut self, run: Run, id: &Incarnation) {
         let Some((job, _)) = self.log_state.task(run.task) else {
             return;
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Gives back the room of a run.
+    /// Releases a run's resources on its worker.
     pub(super) fn release(&mut self, run: Run, live: &LiveRun) {
         let Some(job) = self.log_state.jobs.get(&run.task.job) else {
             return;
@@ -89,12 +91,12 @@
         if !worker.runs.remove(&run) {
             return;
         }
-        // What fills takes no processors that a lasting task could have.
+        // A best-effort run takes no processors that a long-running task could use.
         if !step.fills() && !self.passed_over.is_empty() {
             self.freed_workers.insert(live.worker.clone());
         }
         if !worker.pool.allocated().fits_within(worker.pool.capacity()) {
-            // A start may have waited for the room.
+            // A start may have waited for this capacity.
             worker.wake();
         }
         worker.pool.release(&step.room());
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Gives a run to a worker.
+    /// Places a run on a worker and records the placement.
     pub(super) fn place_run(
         &mut self,
         run: Run,
--- a/ashtiller/src/workflow/core/dispatch.rs
+++ b/ashtiller/src/workflow/core/dispatch.rs
@@ -1,4 +1,5 @@
-//! Which workers get their next orders first when not all orders can go out.
+//! Selection of the workers that get their next order when the limit on orders in flight does
+//! not allow all of them.
 
 use std::time::Duration;
 
@@ -8,16 +9,16 @@
 use crate::workflow::record::Run;
 use crate::workflow::worker::{OrderClass, Rank, Worker};
 
-/// Orders under way to one worker; more would open more connections.
-const ORDERS_MAX: u32 = 1;
+/// Limit on orders in flight to one worker. Each further one would open another connection.
+const ORDERS_PER_WORKER_MAX: u32 = 1;
 
-/// Whether a worker may get an order now.
+/// Returns whether a worker may be sent an order now.
 pub(super) fn is_ready(worker: &Worker, now: Now) -> bool {
-    worker.ordering < ORDERS_MAX && worker.has_work(now.at)
+    worker.ordering < ORDERS_PER_WORKER_MAX && worker.has_work(now.at)
 }
 
 impl Core {
-    /// Sends the orders that are due, as many as may be under way.
+    /// Sends the orders that are due, up to the limit on orders in flight.
     pub(super) fn dispatch_orders(&mut self, now: Now) {
         let free = self.pressure.available_slots();
         if free == 0 {
@@ -25,54 +26,57 @@
             return;
         }
         if self.order_queue.is_empty() || now.at >= self.order_queue_built_at + SWEEP {
-            self.line_up(free, now);
+            self.fill_dispatch_queue(free, now);
         }
         for _ in 0..free {
-            // Those that get nothing take no part of the window.
-            while let Some(life) = self.order_queue.pop_front()
-                && !self.send_next_order(&life, now)
+            // A worker that turns out to need no order does not use up the window.
+            while let Some(incarnation) = self.order_queue.pop_front()
+                && !self.send_next_order(&incarnation, now)
             {}
         }
     }
 
-    /// Puts the workers for which there is an order into a line, those with the most pressing
-    /// ones first where not all can go out.
-    fn line_up(&mut self, free: usize, now: Now) {
+    /// Fills the dispatch queue with the workers that may need an order. If not all orders can be
+    /// sent, the workers with the most urgent ones come first.
+    fn fill_dispatch_queue(&mut self, free: usize, now: Now) {
         self.order_queue_built_at = now.at;
-        let waits =
+        let needs_order =
             |worker: &&Worker| worker.fenced && !worker.runs.is_empty() && is_ready(worker, now);
-        let waiting = self.workers.values().filter(waits);
-        if waiting.clone().count() <= free {
-            self.order_queue = waiting.map(|worker| worker.incarnation().clone()).collect();
+        let pending = self.workers.values().filter(needs_order);
+        if pending.clone().count() <= free {
+            self.order_queue = pending.map(|worker| worker.incarnation().clone()).collect();
             return;
         }
         self.pressure.note_limit(now.at);
-        // Ranked anew each time, 26,000 runs that waited took more of an owner's processor
-        // time than it had: 20 to 30 ms each 20 ms.
-        let stale = waiting.filter(|worker| worker.rank(now.at).is_none());
+        // Ranks are cached per worker: ranking 26,000 waiting runs each time took 20 to 30 ms
+        // of processor time every 20 ms, more than an owner has.
+        let stale = pending.filter(|worker| worker.rank(now.at).is_none());
         let stale: Vec<Incarnation> = stale.map(|worker| worker.incarnation().clone()).collect();
-        for life in stale {
-            let (rank, until) = self.rank_worker(&life, now);
-            if let Some(worker) = self.workers.get_mut(&life) {
+        for incarnation in stale {
+            let (rank, until) = self.rank_worker(&incarnation, now);
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.set_rank(rank, until);
             }
         }
-        let ranked = self.workers.values().filter(waits);
+        let ranked = self.workers.values().filter(needs_order);
         let mut ranked: Vec<(Rank, &Incarnation)> = ranked
             .filter_map(|worker| Some((worker.rank(now.at)?, worker.incarnation())))
             .collect();
-        // More than may go out, since some turn out to have nothing.
-        let first = (free * 2).min(ranked.len());
-        if first < ranked.len() {
-            ranked.select_nth_unstable(first);
-            ranked.truncate(first);
+        // Twice as many as can be sent, since some workers turn out to need no order.
+        let count = (free * 2).min(ranked.len());
+        if count < ranked.len() {
+            ranked.select_nth_unstable(count);
+            ranked.truncate(count);
         }
         ranked.sort_unstable();
-        self.order_queue = ranked.into_iter().map(|(_, life)| life.clone()).collect();
+        self.order_queue = ranked
+            .into_iter()
+            .map(|(_, incarnation)| incarnation.clone())
+            .collect();
     }
 
-    /// What a worker's next order protects, and since when it waits; and until when that holds
-    /// if nothing happens.
+    /// Returns the rank of a worker's next order (its class and the placement time of its run) and
+    /// the time until which that rank is valid without further events.
     fn rank_worker(&self, id: &Incarnation, now: Now) -> (Rank, Duration) {
         let mut rank = (OrderClass::Nothing, now.at);
         let mut until = Duration::MAX;
@@ -84,13 +88,13 @@
                 until = until.min(live.retry);
                 continue;
             }
-            rank = rank.min((self.class_of(*run, live), live.placed));
+            rank = rank.min((self.order_class(*run, live), live.placed));
         }
         (rank, until)
     }
 
-    /// What the next order about a run protects.
-    fn class_of(&self, run: Run, live: &LiveRun) -> OrderClass {
+    /// Returns the class of the next order for a run.
+    fn order_class(&self, run: Run, live: &LiveRun) -> OrderClass {
         match (live.stop, live.stage) {
             (Stop::Wanted(_), _) => OrderClass::Stop,
             (Stop::None, Stage::Recorded(position)) if position > self.durable => {
--- a/ashtiller/src/workflow/core/eligibility.rs
+++ b/ashtiller/src/workflow/core/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether a worker may get runs, and if not, why.
+//! Eligibility of workers for new runs, with the reason if there is none.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,36 +8,36 @@
 use crate::workflow::record::Run;
 use crate::workflow::worker::Worker;
 
-/// Whether a worker may get runs.
+/// Eligibility of a worker for new runs.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Eligibility {
-    /// It may.
+    /// It may get runs.
     Eligible,
-    /// It has not answered under this owner's fence.
+    /// It has not answered a message with this owner's fence.
     Unfenced,
-    /// Its last look was not answered.
+    /// It has not answered the last poll.
     Silent,
-    /// It has started again, and a call meant for the life before may still make it forget ends
-    /// that nobody has read.
+    /// It has restarted, and a delayed call meant for its previous incarnation may still
+    /// acknowledge, and so discard, ends of runs that no owner has read.
     MayLoseEnds,
-    /// It is about to leave.
+    /// It is about to shut down.
     Draining,
-    /// Its availability zone is evacuated.
+    /// Its availability zone is being evacuated.
     Evacuated,
-    /// It fails, stalls or is slow.
+    /// It is quarantined because it fails, stalls or is slow.
     Quarantined,
-    /// It was put aside and has a run to show that it works again.
+    /// It was quarantined and has a run that is to show whether it works again.
     Probation,
-    /// It has a run that is suspected of crashing workers.
+    /// It has an isolated run of a task that is suspected of crashing workers.
     RunsSuspect,
-    /// It is emptied for an upkeep, or may have ended with one.
+    /// It is drained for an upkeep of its machine, or may have ended in one.
     UnderUpkeep,
     /// The platform does not list it.
     Unlisted,
 }
 
 impl Eligibility {
-    /// Its name in logs, metrics and dumps.
+    /// Returns the name used in logs, metrics and dumps.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -56,14 +56,14 @@
     }
 }
 
-/// Workers by gate, as text: `open 40, trial 2`.
+/// Number of workers by eligibility. Its text form is `open 40, trial 2`.
 pub(super) struct EligibilityCounts(BTreeMap<Eligibility, u32>);
 
 impl fmt::Display for EligibilityCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut comma = "";
-        for (gate, count) in &self.0 {
-            write!(f, "{comma}{} {count}", gate.name())?;
+        for (eligibility, count) in &self.0 {
+            write!(f, "{comma}{} {count}", eligibility.name())?;
             comma = ", ";
         }
         Ok(())
@@ -71,9 +71,9 @@
 }
 
 impl Core {
-    /// Whether a worker may get runs now.
+    /// Returns whether a worker may get runs now, or the first reason against it.
     pub(super) fn eligibility(&self, worker: &Worker, now: Now) -> Eligibility {
-        let aside = worker.quarantined_until.is_some_and(|until| until > now.at);
+        let quarantined = worker.quarantined_until.is_some_and(|until| until > now.at);
         match () {
             () if !worker.fenced => Eligibility::Unfenced,
             () if !worker.answers => Eligibility::Silent,
@@ -82,20 +82,20 @@
             () if !self.accepts_starts(worker, now) => Eligibility::Unlisted,
             () if self.is_evacuated(worker) => Eligibility::Evacuated,
             () if self.is_closed_for_upkeep(worker) => Eligibility::UnderUpkeep,
-            () if aside => Eligibility::Quarantined,
-            () if self.is_tried(worker, now) => Eligibility::Probation,
+            () if quarantined => Eligibility::Quarantined,
+            () if self.has_probation_run(worker, now) => Eligibility::Probation,
             () if self.has_trial(worker, now) => Eligibility::RunsSuspect,
             () => Eligibility::Eligible,
         }
     }
 
-    /// Whether a run shows whether a worker that was put aside works again.
-    fn is_tried(&self, worker: &Worker, now: Now) -> bool {
+    /// Returns whether a worker that was quarantined has a run that is to show whether it works.
+    fn has_probation_run(&self, worker: &Worker, now: Now) -> bool {
         worker.on_trial()
             && worker.runs.iter().any(|run| {
-                let works = self.is_short(*run) && self.remaining_time(*run, now).is_some();
+                let progresses = self.is_short(*run) && self.remaining_time(*run, now).is_some();
                 let live = self.runs.get(run);
-                live.is_some_and(|live| worker.is_trial(live.placed, works, now.at))
+                live.is_some_and(|live| worker.is_trial(live.placed, progresses, now.at))
             })
     }
 
@@ -107,41 +107,41 @@
         step.is_some_and(|step| !step.long_running)
     }
 
-    /// Workers of one service, or of all, by gate.
+    /// Counts the workers of one service, or of all, by eligibility.
     pub(super) fn count_by_eligibility(
         &self,
         service: Option<&str>,
         now: Now,
     ) -> EligibilityCounts {
-        let mut gates = BTreeMap::new();
-        let asked = |worker: &&Worker| service.is_none_or(|name| *worker.listed.service == *name);
-        for worker in self.workers.values().filter(asked) {
-            *gates.entry(self.eligibility(worker, now)).or_insert(0) += 1;
+        let mut counts = BTreeMap::new();
+        let matches = |worker: &&Worker| service.is_none_or(|name| *worker.listed.service == *name);
+        for worker in self.workers.values().filter(matches) {
+            *counts.entry(self.eligibility(worker, now)).or_insert(0) += 1;
         }
-        EligibilityCounts(gates)
+        EligibilityCounts(counts)
     }
 
-    /// Workers of a service that have room for a task and may not get it, by gate.
+    /// Counts the workers of a service that have capacity for a task but may not get runs.
     pub(super) fn count_ineligible_with_capacity(
         &self,
         service: &str,
-        room: &Resources,
+        resources: &Resources,
         now: Now,
     ) -> EligibilityCounts {
-        let mut gates = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         let workers = self.workers.values();
-        let roomy = workers.filter(|worker| {
-            *worker.listed.service == *service && room.fits_within(&worker.pool.free())
+        let with_capacity = workers.filter(|worker| {
+            *worker.listed.service == *service && resources.fits_within(&worker.pool.free())
         });
-        for gate in roomy.map(|worker| self.eligibility(worker, now)) {
-            if gate != Eligibility::Eligible {
-                *gates.entry(gate).or_insert(0) += 1;
+        for eligibility in with_capacity.map(|worker| self.eligibility(worker, now)) {
+            if eligibility != Eligibility::Eligible {
+                *counts.entry(eligibility).or_insert(0) += 1;
             }
         }
-        EligibilityCounts(gates)
+        EligibilityCounts(counts)
     }
 
-    /// Workers by gate, for metrics.
+    /// Returns the number of workers by eligibility, for metrics.
     #[must_use]
     pub fn workers_by_eligibility(&self, now: Now) -> BTreeMap<Eligibility, u32> {
         self.count_by_eligibility(None, now).0
--- a/ashtiller/src/workflow/core/location_index.rs
+++ b/ashtiller/src/workflow/core/location_index.rs
@@ -1,6 +1,6 @@
-//! Where lives of workers were seen: a new entry is compared with those of its own worker,
-//! machine and address. With all others, 3,000 entries took 0.8 s of a whole processor, in
-//! which a new owner answered no heartbeat.
+//! Index of worker incarnations by machine and address. A new catalog entry is compared only
+//! with the incarnations of its own worker, machine and address: comparing it with all others took
+//! 0.8 s of a processor for 3,000 entries, during which a new owner answered no heartbeats.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 use crate::workflow::config::ListedWorker;
 use crate::workflow::incarnation::Incarnation;
 
-/// Lives by machine and by address. Entries of a worker change, so one that is found here may
-/// be elsewhere by now.
+/// Worker incarnations by machine and by address. Entries of a worker change, so an incarnation
+/// found here may have moved since.
 #[derive(Debug, Default)]
 pub(super) struct LocationIndex {
     machines: HashMap<Arc<str>, Vec<Incarnation>>,
@@ -18,39 +18,39 @@
 }
 
 impl LocationIndex {
-    /// A life is where its entry says.
+    /// Adds an incarnation at the machine and address of its entry.
     pub fn note(&mut self, listed: &ListedWorker) {
         if let Some(machine) = &listed.machine {
-            insert(
+            insert_unique(
                 self.machines.entry(machine.clone()).or_default(),
                 &listed.incarnation,
             );
         }
-        insert(
+        insert_unique(
             self.addresses.entry(listed.address).or_default(),
             &listed.incarnation,
         );
     }
 
-    /// A life is not there any more.
+    /// Removes an incarnation from the machine and address of its entry.
     pub fn forget(&mut self, listed: &ListedWorker) {
         if let Some(machine) = &listed.machine
-            && let Some(lives) = self.machines.get_mut(machine)
+            && let Some(incarnations) = self.machines.get_mut(machine)
         {
-            lives.retain(|life| *life != listed.incarnation);
-            if lives.is_empty() {
+            incarnations.retain(|incarnation| *incarnation != listed.incarnation);
+            if incarnations.is_empty() {
                 self.machines.remove(machine);
             }
         }
-        if let Some(lives) = self.addresses.get_mut(&listed.address) {
-            lives.retain(|life| *life != listed.incarnation);
-            if lives.is_empty() {
+        if let Some(incarnations) = self.addresses.get_mut(&listed.address) {
+            incarnations.retain(|incarnation| *incarnation != listed.incarnation);
+            if incarnations.is_empty() {
                 self.addresses.remove(&listed.address);
             }
         }
     }
 
-    /// Lives that were seen on the machine or at the address of an entry.
+    /// Returns the incarnations seen on the machine or at the address of an entry.
     pub fn find(&self, listed: &ListedWorker) -> impl Iterator<Item = &Incarnation> {
         let machine = listed.machine.as_ref();
         let machine = machine.and_then(|machine| self.machines.get(machine));
@@ -59,8 +59,8 @@
     }
 }
 
-fn insert(lives: &mut Vec<Incarnation>, life: &Incarnation) {
-    if !lives.contains(life) {
-        lives.push(life.clone());
+fn insert_unique(incarnations: &mut Vec<Incarnation>, incarnation: &Incarnation) {
+    if !incarnations.contains(incarnation) {
+        incarnations.push(incarnation.clone());
     }
 }
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -1,4 +1,4 @@
-//! Relief for runs that serve, from runs that fill beside them.
+//! Throttling of best-effort runs, to protect the latency-sensitive runs beside them.
 
 use std::time::Duration;
 
@@ -9,56 +9,56 @@
 use crate::workflow::record::Run;
 use crate::workflow::worker::Worker;
 
-/// Headroom that paces keep of a service that has been over its target for a while, as a
-/// share of the room between its usual headroom and its target: what is known of its
-/// pairs is too little.
-const KEPT_OVER: f64 = 0.55;
-/// The same of one that has not been: fills end within two seconds, and what a service
-/// loses in a moment is less than what they lose.
-const KEPT_FIRST: f64 = -0.3;
-/// Time over the target after which the former holds: two reports, and the lag of both.
-const OVER_SOON: Duration = Duration::from_millis(900);
-/// Time over the target after which all that fills beside it stands still; the platform
-/// allows 4 s, of which a report may take 0.5 s and an unanswered order 1 s.
-const STILL_AFTER: Duration = Duration::from_millis(1800);
-/// Seconds by which paces look ahead: half of what a report averages, and the time
-/// until an order works.
-const AHEAD: f64 = 0.35;
-/// Least change of a pace that is worth an order, in percent.
-const STEP: u32 = 12;
-/// Pace under which a run would better be elsewhere, in percent.
-const SLOW: u32 = 60;
+/// Headroom to preserve for a service that has been over its target for a while, as a share of
+/// the range between its usual headroom and its target. In that case too little is known about
+/// the interference between its image and those of the fills.
+const KEPT_HEADROOM_OVER_TARGET: f64 = 0.55;
+/// The same for a service that has not. Fills end within two seconds, and what a service loses in
+/// a short moment is less than what throttling would cost them.
+const KEPT_HEADROOM: f64 = -0.3;
+/// Time over the target after which the first share applies: two reports and the lag of both.
+const OVER_TARGET_CONFIRMED: Duration = Duration::from_millis(900);
+/// Time over the target after which all fills on the worker are paused. The platform allows 4 s,
+/// of which a report may take 0.5 s and an unanswered order 1 s.
+const PAUSE_AFTER: Duration = Duration::from_millis(1800);
+/// Time in seconds by which the load is extrapolated: half of the period that a report averages,
+/// plus the time until an order takes effect.
+const LOOKAHEAD_SECONDS: f64 = 0.35;
+/// Minimum change of a pace that is worth an order, in percentage points.
+const PACE_CHANGE_MIN_PERCENT: u32 = 12;
+/// Pace in percent below which a run should move to another worker.
+const SLOW_PACE_PERCENT: u32 = 60;
 
-/// Share of the room above the target to keep, for services over it for so long.
-fn kept_after(over: Duration) -> f64 {
-    if over > OVER_SOON {
-        KEPT_OVER
+/// Returns the share of headroom to preserve after services were over their target for a time.
+fn headroom_to_keep(over_target: Duration) -> f64 {
+    if over_target > OVER_TARGET_CONFIRMED {
+        KEPT_HEADROOM_OVER_TARGET
     } else {
-        KEPT_FIRST
+        KEPT_HEADROOM
     }
 }
 
-/// A run that serves, as its worker last reported it.
+/// A latency-sensitive run, with the latency that its worker last reported.
 struct Service {
     run: Run,
     image: Image,
-    /// How many times faster than its target it answers.
-    times: f64,
+    /// Latency target divided by the reported tail latency; below 1 it misses the target.
+    target_ratio: f64,
 }
 
-/// A run that fills, with the share of its worker that it would use in full and the
-/// part of it that it is to get.
+/// A best-effort run, with the share of its worker's processors that it would use unthrottled
+/// (`full_share`) and the fraction of that which it is to get (`fraction`).
 struct Fill {
     run: Run,
     image: Image,
-    full: f64,
-    part: f64,
-    /// How late its job is: 0 in time, 1 late, 2 too late to earn anything.
-    late: u8,
+    full_share: f64,
+    fraction: f64,
+    /// Lateness class of its job: 0 on time, 1 late, 2 too late to earn anything.
+    lateness: u8,
 }
 
 impl Core {
-    /// Learns from a worker's report and sets the pace of what fills there.
+    /// Learns from a worker's report and sets the pace of the fills on it.
     pub(super) fn pace_worker(&mut self, id: &Incarnation, now: Now) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -67,35 +67,35 @@
             return;
         }
         let services = self.services_of(worker);
-        let beside = self.fills_of(worker, now);
+        let neighbors = self.fills_of(worker, now);
         let fresh = worker.settled < now.at;
         if fresh {
-            self.learn(&services, &beside, now);
+            self.learn(&services, &neighbors, now);
         }
-        if beside.is_empty() || !self.terms.switches.pace_fills {
+        if neighbors.is_empty() || !self.terms.switches.pace_fills {
             return;
         }
-        let over = services.iter().any(|service| service.times < 1.0);
+        let over_target = services.iter().any(|service| service.target_ratio < 1.0);
         let earliest = self.filled_since(id, now);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if over {
+        if over_target {
             worker.over.get_or_insert(earliest);
         } else {
             worker.over = None;
             worker.calm = now.at;
         }
-        let over = worker
+        let over_target = worker
             .over
             .map_or(Duration::ZERO, |since| now.at.saturating_sub(since));
         if fresh || services.is_empty() {
-            self.choose_paces(id, &services, &beside, over, now);
+            self.choose_paces(id, &services, &neighbors, over_target, now);
         }
     }
 
-    /// Since when fills may have brought a service of a worker over its target: reports
-    /// before it said otherwise, or nothing filled there.
+    /// Returns the earliest time at which fills can have pushed a service of a worker over its
+    /// target. Before it, reports showed all services within their targets, or no fill was there.
     fn filled_since(&self, id: &Incarnation, now: Now) -> Duration {
         let Some(worker) = self.workers.get(id) else {
             return now.at;
@@ -107,18 +107,21 @@
         filled.min().unwrap_or(now.at).max(worker.calm)
     }
 
-    /// Learns about headrooms and pairs from what services reported beside these fills.
-    fn learn(&mut self, services: &[Service], beside: &[NeighborFill], now: Now) {
+    /// Updates headrooms and interference factors from what services reported beside these fills.
+    fn learn(&mut self, services: &[Service], neighbors: &[NeighborFill], now: Now) {
         for service in services {
-            let track = self.load_tracks.entry(service.run.task.job).or_default();
-            let own = track.trend(now.at).map(|trend| trend.level);
+            let history = self.load_tracks.entry(service.run.task.job).or_default();
+            let own_headroom = history.trend(now.at).map(|trend| trend.level);
             self.interference
-                .learn(service.image, service.times, own, beside);
-            let pressure = self.interference.pressure(service.image, beside);
-            let own = self.interference.headroom(service.image, service.times) + pressure;
-            track.note(own, pressure, now.at);
+                .learn(service.image, service.target_ratio, own_headroom, neighbors);
+            let pressure = self.interference.pressure(service.image, neighbors);
+            let own_headroom = self
+                .interference
+                .headroom(service.image, service.target_ratio)
+                + pressure;
+            history.note(own_headroom, pressure, now.at);
             if let Some(live) = self.runs.get_mut(&service.run) {
-                live.headroom = Some(own);
+                live.headroom = Some(own_headroom);
             }
         }
     }
@@ -129,21 +132,21 @@
             let RunSharing::Serves(image, target) = live.share else {
                 return None;
             };
-            #[expect(clippy::cast_precision_loss, reason = "milliseconds of a tail")]
+            #[expect(clippy::cast_precision_loss, reason = "tail latency in milliseconds")]
             let tail = live.tail.filter(|tail| *tail > 0)? as f64;
             Some(Service {
                 run: *run,
                 image,
-                times: target.max(1.0) / tail,
+                target_ratio: target.max(1.0) / tail,
             })
         });
         served.collect()
     }
 
-    /// What filled there over the time that a report averages: fills begin and end within
-    /// it more often than not.
+    /// Returns the fills on a worker, weighted by how much of the report's averaging period they
+    /// ran for, since most fills begin or end within it.
     fn fills_of(&self, worker: &Worker, now: Now) -> Vec<NeighborFill> {
-        let whole = whole_of(worker);
+        let processors = processors_of(worker);
         let span = self.terms.report.as_secs_f64();
         let since = |at: Duration| now.at.saturating_sub(at).as_secs_f64() / span;
         let fills = worker.runs.iter().filter_map(|run| {
@@ -151,21 +154,21 @@
             let (RunSharing::Fills(image), Stage::Started(at)) = (live.share, live.stage) else {
                 return None;
             };
-            let share = live.asked * f64::from(live.pace) / 100.0 / whole;
+            let share = live.asked * f64::from(live.pace) / 100.0 / processors;
             let share = share * since(at).min(1.0);
             Some(NeighborFill { image, share })
         });
-        let left = worker.left.iter().filter_map(|(image, share, at)| {
+        let ended = worker.left.iter().filter_map(|(image, share, at)| {
             let share = share * (1.0 - since(*at));
             (share > 0.0).then_some(NeighborFill {
                 image: *image,
                 share,
             })
         });
-        fills.chain(left).collect()
+        fills.chain(ended).collect()
     }
 
-    /// Notes a fill that has ended, for the reports that still show it.
+    /// Records a fill that has ended, as its load is part of the next reports.
     pub(super) fn note_fill_ended(&mut self, live: &LiveRun, now: Now) {
         let (RunSharing::Fills(image), Stage::Started(_)) = (live.share, live.stage) else {
             return;
@@ -174,26 +177,26 @@
         let Some(worker) = self.workers.get_mut(&live.worker) else {
             return;
         };
-        let share = live.asked * f64::from(live.pace) / 100.0 / whole_of(worker);
+        let share = live.asked * f64::from(live.pace) / 100.0 / processors_of(worker);
         worker.left.retain(|(_, _, at)| now.at < *at + report);
         worker.left.push((image, share, now.at));
     }
 
-    /// Chooses the pace of each fill anew: all work in full, less what the services
-    /// cannot bear by what is known of the pairs, the most harmful first.
+    /// Recomputes the pace of each fill on a worker: 100 %, reduced by what the services cannot
+    /// tolerate according to the learned interference factors, the most harmful fill first.
     fn choose_paces(
         &mut self,
         id: &Incarnation,
         services: &[Service],
-        beside: &[NeighborFill],
-        over: Duration,
+        neighbors: &[NeighborFill],
+        over_target: Duration,
         now: Now,
     ) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let kept = kept_after(over);
-        let whole = whole_of(worker);
+        let kept_share = headroom_to_keep(over_target);
+        let processors = processors_of(worker);
         let fills = worker.runs.iter().filter_map(|run| {
             let live = self.runs.get(run)?;
             let RunSharing::Fills(image) = live.share else {
@@ -202,54 +205,61 @@
             Some(Fill {
                 run: *run,
                 image,
-                full: live.asked / whole,
-                part: 1.0,
-                late: self.lateness_of(run.task, now),
+                full_share: live.asked / processors,
+                fraction: 1.0,
+                lateness: self.lateness_of(run.task, now),
             })
         });
         let mut fills: Vec<Fill> = fills.collect();
         for service in services {
-            let pressure = self.interference.pressure(service.image, beside);
-            let own = self.interference.headroom(service.image, service.times) + pressure;
+            let pressure = self.interference.pressure(service.image, neighbors);
+            let own_headroom = self
+                .interference
+                .headroom(service.image, service.target_ratio)
+                + pressure;
             let follow = self.terms.switches.follow_slopes;
-            let track = self.load_tracks.get_mut(&service.run.task.job);
-            let track = track.filter(|_| follow);
-            let slope = track
-                .and_then(|track| track.trend(now.at))
+            let history = self.load_tracks.get_mut(&service.run.task.job);
+            let history = history.filter(|_| follow);
+            let slope = history
+                .and_then(|history| history.trend(now.at))
                 .map_or(0.0, |trend| trend.slope);
-            let expected = own + slope * AHEAD;
+            let expected = own_headroom + slope * LOOKAHEAD_SECONDS;
             let floor = self.interference.floor(service.image);
-            let room = expected - floor - kept * (1.0 - floor).max(0.0);
-            self.relieve(service.image, room, &mut fills);
+            let spare = expected - floor - kept_share * (1.0 - floor).max(0.0);
+            self.reduce_fills(service.image, spare, &mut fills);
         }
-        let still = over > STILL_AFTER;
+        let paused = over_target > PAUSE_AFTER;
         for fill in fills {
-            let goal = if still { 0 } else { percent(fill.part * 100.0) };
+            let goal = if paused {
+                0
+            } else {
+                percent(fill.fraction * 100.0)
+            };
             self.set_pace(fill.run, goal, now);
         }
     }
 
-    /// Takes from the fills what a service cannot bear beyond `room`.
-    fn relieve(&self, serves: Image, room: f64, fills: &mut [Fill]) {
+    /// Reduces fills until their pressure on a service is within `headroom`.
+    fn reduce_fills(&self, serves: Image, headroom: f64, fills: &mut [Fill]) {
         let factor = |fill: &Fill| self.interference.factor(serves, fill.image);
         let pressure: f64 = fills
             .iter()
-            .map(|fill| factor(fill) * fill.full * fill.part)
+            .map(|fill| factor(fill) * fill.full_share * fill.fraction)
             .sum();
-        let mut excess = pressure - room;
+        let mut excess = pressure - headroom;
         if excess <= 0.0 {
             return;
         }
-        // What is late gives way first, then what is most harmful.
+        // The latest jobs are throttled first, then the most harmful fills.
         fills.sort_by(|one, two| {
-            two.late
-                .cmp(&one.late)
+            two.lateness
+                .cmp(&one.lateness)
                 .then(factor(two).total_cmp(&factor(one)))
         });
         for fill in fills {
-            let harm = (factor(fill) * fill.full).max(1e-6);
-            let cut = (excess / harm).min(fill.part);
-            fill.part -= cut;
+            let harm = (factor(fill) * fill.full_share).max(1e-6);
+            let cut = (excess / harm).min(fill.fraction);
+            fill.fraction -= cut;
             excess -= cut * harm;
             if excess <= 0.0 {
                 return;
@@ -262,25 +272,27 @@
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
-        let small = live.pace_goal.abs_diff(goal) < STEP && goal > 0 && goal < 100;
-        if live.stop != Stop::None || live.pace_goal == goal || small {
+        let negligible =
+            live.pace_goal.abs_diff(goal) < PACE_CHANGE_MIN_PERCENT && goal > 0 && goal < 100;
+        if live.stop != Stop::None || live.pace_goal == goal || negligible {
             return;
         }
-        tracing::debug!(task = %run.task, run = run.number, worker = %live.worker, from = live.pace_goal, to = goal, "pace changed");
+        tracing::debug!(task = %run.task, run = run.number, worker = %live.worker,
+            from = live.pace_goal, to = goal, "pace changed");
         live.pace_goal = goal;
-        live.slow = (goal < SLOW).then_some(live.slow.unwrap_or(now.at));
+        live.slow = (goal < SLOW_PACE_PERCENT).then_some(live.slow.unwrap_or(now.at));
         if let Some(worker) = self.workers.get_mut(&live.worker) {
-            // Reports are averages over half a second: older ones say nothing of it.
+            // Reports are averages over half a second, so earlier ones do not show the effect.
             worker.settled = now.at + delay + self.terms.report / 2;
             worker.wake();
         }
     }
 }
 
-fn whole_of(worker: &Worker) -> f64 {
+fn processors_of(worker: &Worker) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "thousandths of processors")]
-    let whole = worker.pool.capacity().processors as f64;
-    whole.max(1.0)
+    let processors = worker.pool.capacity().processors as f64;
+    processors.max(1.0)
 }
 
 #[expect(
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -1,4 +1,4 @@
-//! Where the time of each job went.
+//! Breakdown of the time that each job took.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,21 +8,22 @@
 use crate::workflow::live_run::{LiveRun, Stage};
 use crate::workflow::record::Run;
 
-/// Times of one step: of each kind the longest among its tasks.
+/// Time spent in each phase of a step, each the longest among its tasks, or their sum over the
+/// steps of a job.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TimeBreakdown {
-    /// Without a worker, although nothing that it depends on was left.
+    /// Time without a worker after all dependencies had ended.
     pub waiting: Duration,
-    /// From being placed to the worker's confirmation.
+    /// Time from placement to the worker's confirmation of the start.
     pub start_delay: Duration,
-    /// At work.
+    /// Time from the confirmed start to the end of the run.
     pub work: Duration,
-    /// Part of that which its pace took.
+    /// Part of the running time that was lost to throttling.
     pub paced: Duration,
 }
 
 impl TimeBreakdown {
-    fn widen(&mut self, other: Self) {
+    fn raise_to(&mut self, other: Self) {
         self.waiting = self.waiting.max(other.waiting);
         self.start_delay = self.start_delay.max(other.start_delay);
         self.work = self.work.max(other.work);
@@ -37,7 +38,7 @@
     }
 }
 
-/// Times of the steps of open jobs, on this owner's clock.
+/// Time breakdowns of the steps of open jobs, on this owner's clock.
 #[derive(Debug, Default)]
 pub(super) struct JobTimings {
     ready: BTreeMap<StepKey, Duration>,
@@ -45,27 +46,27 @@
 }
 
 impl JobTimings {
-    /// A step has tasks that could start.
+    /// Records that a step has tasks that could start.
     pub fn note_ready(&mut self, step: StepKey, now: Duration) {
         self.ready.entry(step).or_insert(now);
     }
 
-    /// Every task of a step has a worker.
+    /// Records that every task of a step has a worker.
     pub fn note_placed(&mut self, step: StepKey) {
         self.ready.remove(&step);
     }
 
-    /// Since when a step has tasks that could start.
+    /// Returns since when a step has had tasks that could start.
     pub fn ready_since(&self, step: StepKey) -> Option<Duration> {
         self.ready.get(&step).copied()
     }
 
-    fn note(&mut self, step: StepKey, times: TimeBreakdown) {
-        self.steps.entry(step).or_default().widen(times);
+    fn record(&mut self, step: StepKey, times: TimeBreakdown) {
+        self.steps.entry(step).or_default().raise_to(times);
     }
 
-    /// The times of a job, step after step, which is then forgotten.
-    fn close(&mut self, job: u32) -> TimeBreakdown {
+    /// Removes a job and returns the sum of its steps' times.
+    fn finish_job(&mut self, job: u32) -> TimeBreakdown {
         let keys = (job, 0, 0)..=(job, u32::MAX, u16::MAX);
         let steps: Vec<StepKey> = self
             .steps
@@ -89,23 +90,23 @@
 }
 
 impl Core {
-    /// A task gets a worker now.
+    /// Records how long a run waited for the worker that it gets now.
     pub(super) fn record_placement_time(&mut self, run: Run, now: Duration) {
         let step = step_of(run);
         let Some(since) = self.ledger.ready.get(&step) else {
             return;
         };
-        let room = now.saturating_sub(*since);
-        self.ledger.note(
+        let waiting = now.saturating_sub(*since);
+        self.ledger.record(
             step,
             TimeBreakdown {
-                waiting: room,
+                waiting,
                 ..TimeBreakdown::default()
             },
         );
     }
 
-    /// A run has ended.
+    /// Records the times of a run that has ended, if its start was confirmed.
     pub(super) fn record_run_time(&mut self, run: Run, live: &LiveRun, now: Duration) {
         let Stage::Started(at) = live.stage else {
             return;
@@ -116,17 +117,17 @@
             work: now.saturating_sub(at),
             paced: live.paced + live.paced_since(now),
         };
-        self.ledger.note(step_of(run), times);
+        self.ledger.record(step_of(run), times);
     }
 
-    /// The times of a job that has ended, for its line in the log and the histograms.
+    /// Returns the times of a job that has ended, for the log, and keeps them for the histograms.
     pub(super) fn finish_job_times(&mut self, job: u32) -> TimeBreakdown {
-        let times = self.ledger.close(job);
+        let times = self.ledger.finish_job(job);
         self.ended_job_times.push(times);
         times
     }
 
-    /// The times of the jobs that have ended since this was asked last.
+    /// Returns the times of the jobs that have ended since the last call.
     pub fn drain_job_times(&mut self) -> Vec<TimeBreakdown> {
         std::mem::take(&mut self.ended_job_times)
     }
