--- a/ashtiller/src/workflow/core/freed_capacity.rs
+++ b/ashtiller/src/workflow/core/freed_capacity.rs
@@ -1,5 +1,5 @@
-//! Lasting tasks that have waited for long get the room that others leave, without a round
-//! through all that waits.
+//! Placement of starved long-running tasks in capacity that other runs have freed, without a full
+//! placement round.
 
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::core::plan::PlacementRound;
@@ -7,16 +7,16 @@
 use crate::workflow::core::{Core, Now};
 
 impl Core {
-    /// Gives room that runs have left since the last round to lasting tasks that go first.
-    /// Rounds come less often the more waits, 5 times a second with 2,000 steps; until the next
-    /// one, room that a lasting task could have would stand empty.
+    /// Places starved long-running tasks in capacity freed since the last placement round. The more
+    /// steps wait, the rarer are full rounds: 5 per second with 2,000 steps. Until the next one,
+    /// capacity that a long-running task could use would be idle.
     pub(super) fn place_in_freed_capacity(&mut self, now: Now) {
         let freed = std::mem::take(&mut self.freed_workers);
         if freed.is_empty() || !self.may_start(now) {
             return;
         }
-        let blocked = self.collect_starved(now).into_iter();
-        let waiting = blocked.filter_map(|key| self.find_waiting(key));
+        let starved = self.collect_starved(now).into_iter();
+        let waiting = starved.filter_map(|key| self.find_waiting(key));
         let mut waiting: Vec<WaitingStep> = waiting.collect();
         if waiting.is_empty() {
             return;
@@ -25,32 +25,33 @@
         let mut fleet = self.collect_candidates(now);
         fleet.retain(|candidate| freed.contains(&candidate.id));
         let trials = self.count_trials(&fleet, now);
-        let mut placing = PlacementRound::new(fleet, trials);
-        for entry in waiting {
-            if !self.has_capacity(&entry, &placing.fleet) {
+        let mut round = PlacementRound::new(fleet, trials);
+        for pending in waiting {
+            if !self.has_capacity(&pending, &round.fleet) {
                 continue;
             }
-            self.plan_step(entry, &mut placing, now);
-            if self.waiting_tasks(entry).is_empty() {
-                self.ledger.note_placed(entry.key());
-                self.wait_logged_at.remove(&entry.key());
+            self.place_step(pending, &mut round, now);
+            if self.waiting_tasks(pending).is_empty() {
+                self.ledger.note_placed(pending.key());
+                self.wait_logged_at.remove(&pending.key());
             }
         }
     }
 
-    /// Whether runs have left room since the last entry that a lasting task may be waiting for.
+    /// Returns whether runs have freed capacity since the last log entry while long-running tasks
+    /// wait for it.
     pub(super) fn has_freed_capacity(&self, now: Now) -> bool {
         !self.freed_workers.is_empty() && !self.collect_starved(now).is_empty()
     }
 
-    /// A lasting step that waited in the last round, if tasks of it still do: by priority, then
-    /// the one for which a worker is kept, then the one that waits longest.
+    /// Returns a long-running step that waited in the last round, if tasks of it still wait. Its
+    /// urgency sorts by priority, then the step with a reserved worker, then the longest wait.
     fn find_waiting(&self, key: StepKey) -> Option<WaitingStep> {
-        let (job, time, step) = key;
+        let (job, index, step) = key;
         let state = self.log_state.jobs.get(&job)?;
-        let round = state.occurrences.get(&time)?;
-        let waits = round.steps.get(usize::from(step))?.waiting > 0;
-        if state.outcome.is_some() || !waits {
+        let occurrence = state.occurrences.get(&index)?;
+        let has_waiting = occurrence.steps.get(usize::from(step))?.waiting > 0;
+        if state.outcome.is_some() || !has_waiting {
             return None;
         }
         let urgency = Urgency {
@@ -61,7 +62,7 @@
         Some(WaitingStep {
             urgency,
             job,
-            time,
+            occurrence: index,
             step,
         })
     }
--- a/ashtiller/src/workflow/core/log_entries.rs
+++ b/ashtiller/src/workflow/core/log_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the log: what goes in, and what waits for them.
+//! Entries of the replicated log: their content, and actions deferred until they are durable.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::workflow::log_state;
 use crate::workflow::record::LogRecord;
 
-/// Time after which what waits is looked at again although nothing happened.
-const REPLAN: Duration = Duration::from_millis(200);
-/// Least time between two entries while room stands empty for which a lasting task has waited
-/// for long.
-const REFILL: Duration = Duration::from_millis(8);
-/// Time between two rounds of placing for each step that waits: a round looks at all of them,
-/// and writing an entry with a round in it took an owner 14 to 20 ms with 1,000 open jobs.
-const ROUND_EACH: Duration = Duration::from_micros(100);
+/// Interval after which placement runs again although no event occurred.
+const REPLAN_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum time between two entries while there is freed capacity and long-running tasks have
+/// waited for long.
+const FREED_CAPACITY_PAUSE: Duration = Duration::from_millis(8);
+/// Minimum time between two placement rounds per waiting step. A round looks at all of them:
+/// writing an entry with a round in it took an owner 14 to 20 ms with 1,000 open jobs.
+const ROUND_PAUSE_PER_STEP: Duration = Duration::from_micros(100);
 
 impl Core {
-    /// The entry at `position`, first sent at `sent`, is durable.
+    /// Handles the confirmation that the entry at `position`, first sent at `sent`, is durable.
     pub fn note_durable(&mut self, position: u64, sent: Duration, now: Now) {
         if self.is_stalled(now) {
             tracing::info!(
@@ -37,31 +37,31 @@
         self.in_flight = None;
         self.undurable_jobs.retain(|_, at| *at > position);
         while self.deferred.front().is_some_and(|(at, _)| *at <= position) {
-            let Some((_, then)) = self.deferred.pop_front() else {
+            let Some((_, action)) = self.deferred.pop_front() else {
                 break;
             };
-            self.finish(then, now);
+            self.run_deferred(action, now);
         }
     }
 
-    /// Does something once the entry at `position` is durable.
-    pub(super) fn defer(&mut self, position: u64, then: OnDurable, now: Now) {
+    /// Runs an action once the entry at `position` is durable.
+    pub(super) fn defer(&mut self, position: u64, action: OnDurable, now: Now) {
         if position <= self.durable {
-            self.finish(then, now);
+            self.run_deferred(action, now);
             return;
         }
-        let place = self.deferred.partition_point(|(at, _)| *at <= position);
-        self.deferred.insert(place, (position, then));
+        let index = self.deferred.partition_point(|(at, _)| *at <= position);
+        self.deferred.insert(index, (position, action));
     }
 
-    fn finish(&mut self, then: OnDurable, now: Now) {
-        match then {
+    fn run_deferred(&mut self, action: OnDurable, now: Now) {
+        match action {
             OnDurable::Answer(ticket, reply) => self.effects.push(Effect::Answer(ticket, reply)),
             OnDurable::Acknowledge(worker, number) => self.acknowledge(&worker, number, now),
         }
     }
 
-    /// Ends of a worker up to this number are in the log.
+    /// Records that the run ends reported by a worker up to this number are durable.
     fn acknowledge(&mut self, id: &Incarnation, number: u64, now: Now) {
         let pause = self.terms.pause;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -77,7 +77,7 @@
     pub(super) fn append_entry(&mut self, now: Now) {
         let since = now.at.saturating_sub(self.last_append);
         let pause = if self.has_freed_capacity(now) {
-            self.terms.commit.min(REFILL)
+            self.terms.commit.min(FREED_CAPACITY_PAUSE)
         } else {
             self.terms.commit
         };
@@ -85,13 +85,13 @@
             return;
         }
         self.record_arrivals(now);
-        let pause = (ROUND_EACH * self.backlog).min(REPLAN);
-        let dirty = self.needs_planning && now.at >= self.last_planning + pause;
-        // Workers are let back, and services calm down, without an event.
-        if dirty || now.at >= self.last_planning + REPLAN {
+        let pause = (ROUND_PAUSE_PER_STEP * self.backlog).min(REPLAN_INTERVAL);
+        let is_due = self.needs_planning && now.at >= self.last_planning + pause;
+        // Quarantines end and services return to their targets without an event.
+        if is_due || now.at >= self.last_planning + REPLAN_INTERVAL {
             self.needs_planning = false;
             self.last_planning = now.at;
-            self.plan(now);
+            self.place_tasks(now);
         }
         self.place_in_freed_capacity(now);
         self.forget_ended(now);
@@ -99,9 +99,9 @@
         if self.pending.is_empty() && since < self.terms.proof {
             return;
         }
-        let facts = std::mem::take(&mut self.pending);
+        let records = std::mem::take(&mut self.pending);
         self.counts.entries += 1;
-        self.effects.push(Effect::Append(self.position, facts));
+        self.effects.push(Effect::Append(self.position, records));
         self.in_flight = Some((self.position, now.at));
         self.last_append = now.at;
         self.position += 1;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Keeps what was learned, for a later owner.
+    /// Records the learned interference factors for later owners.
     pub(super) fn record_lessons(&mut self, now: Now) {
         if now.at < self.lessons_recorded_at + self.terms.teach {
             return;
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Applies a fact and puts it into the next entry.
-    pub(super) fn record(&mut self, fact: LogRecord, now: Now) {
-        let effect = self.log_state.apply(&fact, now.at);
-        self.pending.push(fact);
+    /// Applies a log record and adds it to the next log entry.
+    pub(super) fn record(&mut self, record: LogRecord, now: Now) {
+        let effect = self.log_state.apply(&record, now.at);
+        self.pending.push(record);
         if let log_state::Effect::Ended(number, outcome) = effect {
             self.undurable_jobs.insert(number, self.position);
             self.close_job(number, outcome);
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -1,4 +1,4 @@
-//! Which waiting task goes to which worker.
+//! Placement of waiting tasks on workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,18 +13,18 @@
 use crate::workflow::live_run::RunSharing;
 use crate::workflow::record::{Run, Task};
 
-/// What a task asks of a worker.
+/// Requirements of a task, used to remember which requirements no worker meets.
 #[derive(Clone)]
 pub(super) struct Demand {
     pub service: Arc<str>,
     pub share: RunSharing,
     pub resources: Resources,
-    /// How selective it is, if it fills.
+    /// Selectivity about services beside it for a best-effort task, 0 for others.
     pub selectivity: f64,
 }
 
 impl Demand {
-    /// Whether this is as much as another task asks, or less.
+    /// Returns whether these requirements are at most those of `other`.
     fn is_within(&self, other: &Self) -> bool {
         self.service == other.service
             && self.share == other.share
@@ -33,16 +33,16 @@
     }
 }
 
-/// One round of placing.
+/// State of one placement round.
 pub(super) struct PlacementRound {
     pub fleet: Vec<Candidate>,
-    /// What found no worker.
-    refused: Vec<Demand>,
-    /// Worker that gets no short runs until a lasting one has room there.
+    /// Requirements for which no worker was found.
+    unplaceable: Vec<Demand>,
+    /// Worker that gets no short runs until a long-running one fits there.
     pub reserved: Option<Incarnation>,
-    /// A step that is too late and goes first in this round.
+    /// Step that is too late to earn anything and is placed first in this round.
     pub promoted_late: Option<StepKey>,
-    /// Trials of tasks that are suspected of crashing workers.
+    /// Isolated runs of tasks that are suspected of crashing workers.
     pub trials: ActiveTrials,
 }
 
@@ -50,131 +50,141 @@
     pub fn new(fleet: Vec<Candidate>, trials: ActiveTrials) -> Self {
         Self {
             fleet,
-            refused: Vec::new(),
+            unplaceable: Vec::new(),
             reserved: None,
             promoted_late: None,
             trials,
         }
     }
 
-    /// Whether a task like this, or one that wants less, found no worker before.
+    /// Returns whether no worker was found for the same or smaller requirements in this round.
     pub fn is_known_unplaceable(&self, demand: &Demand) -> bool {
-        self.refused.iter().any(|refused| refused.is_within(demand))
+        self.unplaceable
+            .iter()
+            .any(|unplaceable| unplaceable.is_within(demand))
     }
 
-    /// Notes that no worker takes a task like this.
+    /// Records that no worker meets these requirements.
     pub fn note_unplaceable(&mut self, demand: Demand) {
-        self.refused.push(demand);
+        self.unplaceable.push(demand);
     }
 }
 
-/// A worker for members of a gang.
-struct Seat {
-    place: usize,
-    left: Resources,
-    /// Members that it got.
-    here: u32,
-    /// Whether one of them is tried there.
-    tried: bool,
+/// Capacity of a worker for members of a gang.
+struct GangCandidate {
+    index: usize,
+    free: Resources,
+    /// Gang members assigned to the worker.
+    members: u32,
+    /// Whether one of them is suspected of crashing workers.
+    has_suspect: bool,
 }
 
-impl Seat {
-    fn new(place: usize, left: Resources) -> Self {
+impl GangCandidate {
+    fn new(index: usize, free: Resources) -> Self {
         Self {
-            place,
-            left,
-            here: 0,
-            tried: false,
+            index,
+            free,
+            members: 0,
+            has_suspect: false,
         }
     }
 
-    fn admits(&self, wish: &PlacementRequest<'_>) -> bool {
-        let spread = wish.step.spread;
-        wish.resources.fits_within(&self.left) && (spread == 0 || self.here < spread)
+    fn fits(&self, request: &PlacementRequest<'_>) -> bool {
+        let spread = request.step.spread;
+        request.resources.fits_within(&self.free) && (spread == 0 || self.members < spread)
     }
 }
 
 impl Core {
-    /// Places what waits and fits.
-    pub(super) fn plan(&mut self, now: Now) {
+    /// Places waiting tasks that fit, starts copies of runs on workers that do not answer and
+    /// moves runs that are slowed down.
+    pub(super) fn place_tasks(&mut self, now: Now) {
         self.freed_workers.clear();
         let mut waiting = self.collect_waiting_steps(now);
         self.backlog = u32::try_from(waiting.len()).unwrap_or(u32::MAX);
         if !self.terms.switches.short_first {
-            let lasting = waiting.iter_mut().filter(|entry| self.is_lasting(entry));
-            lasting.for_each(WaitingStep::promote);
+            let long_running = waiting
+                .iter_mut()
+                .filter(|pending| self.is_long_running(pending));
+            long_running.for_each(WaitingStep::promote);
         }
-        let silent = self.collect_copyable_tasks();
-        let crowded = self.collect_throttled_runs(now);
-        if waiting.is_empty() && silent.is_empty() && crowded.is_empty() {
+        let copyable = self.collect_copyable_tasks();
+        let throttled = self.collect_throttled_runs(now);
+        if waiting.is_empty() && copyable.is_empty() && throttled.is_empty() {
             return;
         }
-        for entry in &waiting {
-            self.ledger.note_ready(entry.key(), now.at);
+        for pending in &waiting {
+            self.ledger.note_ready(pending.key(), now.at);
         }
-        // What was placed now would pile up on workers that may be leaving.
+        // Runs placed now would pile up on workers that may be leaving.
         if !self.may_start(now) {
             self.hold_starts(now);
             return;
         }
         let fleet = self.collect_candidates(now);
         let trials = self.count_trials(&fleet, now);
-        let mut placing = PlacementRound::new(fleet, trials);
+        let mut round = PlacementRound::new(fleet, trials);
         if self.terms.switches.room_in_time {
-            self.promote_lasting(&mut waiting, &mut placing, now);
-            self.promote_oldest_late(&mut waiting, &mut placing, now);
+            self.promote_long_running(&mut waiting, &mut round, now);
+            self.promote_oldest_late(&mut waiting, &mut round, now);
         }
         waiting.sort_unstable();
-        for entry in waiting {
-            self.plan_step(entry, &mut placing, now);
-            if self.waiting_tasks(entry).is_empty() {
-                self.ledger.note_placed(entry.key());
-                self.wait_logged_at.remove(&entry.key());
+        for pending in waiting {
+            self.place_step(pending, &mut round, now);
+            if self.waiting_tasks(pending).is_empty() {
+                self.ledger.note_placed(pending.key());
+                self.wait_logged_at.remove(&pending.key());
             } else {
-                self.log_wait(entry, &placing, now);
+                self.log_wait(pending, &round, now);
             }
         }
-        for task in silent {
-            self.place_copy(task, &mut placing, now);
+        for task in copyable {
+            self.place_copy(task, &mut round, now);
         }
-        for run in crowded {
-            self.consider_move(run, &mut placing, now);
+        for run in throttled {
+            self.try_relocate(run, &mut round, now);
         }
     }
 
-    fn demand_of(&mut self, entry: WaitingStep, now: Now) -> Demand {
-        let job = &self.log_state.jobs[&entry.job];
+    fn demand_of(&mut self, pending: WaitingStep, now: Now) -> Demand {
+        let job = &self.log_state.jobs[&pending.job];
         let (service, spec) = (job.policy.service.clone(), job.job.clone());
-        let step = &spec.steps[usize::from(entry.step)];
+        let step = &spec.steps[usize::from(pending.step)];
         let (share, _) = share_of(&mut self.interference, step);
         Demand {
             service: self.intern_service(&service),
             share,
             resources: step.room(),
             selectivity: if step.fills() {
-                self.selectivity(entry.key(), now)
+                self.selectivity(pending.key(), now)
             } else {
                 0.0
             },
         }
     }
 
-    pub(super) fn plan_step(&mut self, entry: WaitingStep, placing: &mut PlacementRound, now: Now) {
-        let demand = self.demand_of(entry, now);
-        if placing.is_known_unplaceable(&demand) {
+    pub(super) fn place_step(
+        &mut self,
+        pending: WaitingStep,
+        round: &mut PlacementRound,
+        now: Now,
+    ) {
+        let demand = self.demand_of(pending, now);
+        if round.is_known_unplaceable(&demand) {
             return;
         }
-        let job = &self.log_state.jobs[&entry.job];
+        let job = &self.log_state.jobs[&pending.job];
         let spec = job.job.clone();
-        let advice = job.policy.advice.is_some();
-        let step = &spec.steps[usize::from(entry.step)];
-        let tasks = self.waiting_tasks(entry);
+        let asks_advisor = job.policy.advice.is_some();
+        let step = &spec.steps[usize::from(pending.step)];
+        let tasks = self.waiting_tasks(pending);
         let Some(first) = tasks.first().copied() else {
             return;
         };
-        let tickets = advice.then(|| self.tickets(first, now));
-        let rescued = placing.promoted_late == Some(entry.key());
-        let mut wish = PlacementRequest {
+        let tickets = asks_advisor.then(|| self.tickets(first, now));
+        let is_promoted = round.promoted_late == Some(pending.key());
+        let mut request = PlacementRequest {
             service: &demand.service,
             step,
             share: demand.share,
@@ -182,66 +192,66 @@
             failed_on: BTreeSet::new(),
             runs_per_worker: BTreeMap::new(),
             advised: tickets.as_ref(),
-            excluded: placing
+            excluded: round
                 .reserved
                 .clone()
-                .filter(|_| !step.long_running && !step.fills() && !rescued),
+                .filter(|_| !step.long_running && !step.fills() && !is_promoted),
             suspect: tasks.iter().any(|task| self.is_suspect(*task)),
             selectivity: demand.selectivity,
         };
         if step.gang {
-            if !self.plan_gang(&tasks, &wish, placing, now) && advice {
-                self.request_advice(first, tasks.len(), &placing.fleet, &wish, now);
+            if !self.place_gang(&tasks, &request, round, now) && asks_advisor {
+                self.request_advice(first, tasks.len(), &round.fleet, &request, now);
             }
             return;
         }
-        let alike = step.label.is_none() && step.spread == 0 && !advice;
+        let uniform = step.label.is_none() && step.spread == 0 && !asks_advisor;
         if step.spread > 0 {
-            wish.runs_per_worker = candidates::count_runs_per_worker(self, first);
+            request.runs_per_worker = candidates::count_runs_per_worker(self, first);
         }
-        let mut choices = None;
-        for (done, task) in tasks.iter().enumerate() {
+        let mut ranking = None;
+        for (placed, task) in tasks.iter().enumerate() {
             let failed_on = self
                 .log_state
                 .task(*task)
                 .map(|(_, state)| state.failed_on.clone());
-            wish.failed_on = failed_on.unwrap_or_default();
-            match self.try_suspect(*task, &wish, placing, now) {
+            request.failed_on = failed_on.unwrap_or_default();
+            match self.try_suspect(*task, &request, round, now) {
                 TrialResult::None => {}
                 TrialResult::Placed | TrialResult::Waits => continue,
             }
-            let usual = wish.failed_on.is_empty();
-            let place = if usual {
-                let choices =
-                    choices.get_or_insert_with(|| self.rank_candidates(&placing.fleet, &wish));
-                choices.pop_best(&placing.fleet)
+            let no_failures = request.failed_on.is_empty();
+            let index = if no_failures {
+                let ranking =
+                    ranking.get_or_insert_with(|| self.rank_candidates(&round.fleet, &request));
+                ranking.pop_best(&round.fleet)
             } else {
-                self.choose_worker(&placing.fleet, &wish)
+                self.choose_worker(&round.fleet, &request)
             };
-            debug_assert_eq!(place, self.choose_worker(&placing.fleet, &wish));
-            let Some(place) = place else {
-                if alike {
-                    placing.note_unplaceable(demand.clone());
+            debug_assert_eq!(index, self.choose_worker(&round.fleet, &request));
+            let Some(index) = index else {
+                if uniform {
+                    round.note_unplaceable(demand.clone());
                 }
-                if advice {
-                    self.request_advice(first, tasks.len() - done, &placing.fleet, &wish, now);
+                if asks_advisor {
+                    self.request_advice(first, tasks.len() - placed, &round.fleet, &request, now);
                 }
                 return;
             };
-            let id = placing.fleet[place].id.clone();
-            let stays = placing.fleet[place].add_run(&wish, &self.interference);
+            let id = round.fleet[index].id.clone();
+            let takes_more = round.fleet[index].add_run(&request, &self.interference);
             if step.spread > 0 {
-                *wish.runs_per_worker.entry(id.clone()).or_insert(0) += 1;
+                *request.runs_per_worker.entry(id.clone()).or_insert(0) += 1;
             }
-            if !stays {
-                placing.fleet[place].close();
+            if !takes_more {
+                round.fleet[index].close();
             }
-            match &mut choices {
-                Some(choices) if usual => {
-                    self.rerank_candidate(choices, &placing.fleet, place, &wish);
+            match &mut ranking {
+                Some(ranking) if no_failures => {
+                    self.rerank_candidate(ranking, &round.fleet, index, &request);
                 }
-                // What is known of one worker has changed.
-                _ => choices = None,
+                // The worker's state has changed, so the ranking is out of date.
+                _ => ranking = None,
             }
             let run = Run {
                 task: *task,
@@ -251,40 +261,42 @@
                 .as_ref()
                 .and_then(|tickets| tickets.get(&id).cloned());
             self.place_run(run, &id, ticket, now);
-            if rescued {
+            if is_promoted {
                 self.last_rescue = now.at;
             }
         }
     }
 
-    /// A gang is placed whole or not at all, under one number.
-    fn plan_gang(
+    /// Places all members of a gang under one run number, or none of them. Returns false if no
+    /// set of workers can take the gang.
+    fn place_gang(
         &mut self,
         tasks: &[Task],
-        wish: &PlacementRequest<'_>,
-        placing: &mut PlacementRound,
+        request: &PlacementRequest<'_>,
+        round: &mut PlacementRound,
         now: Now,
     ) -> bool {
-        if tasks.len() < wish.step.count as usize {
+        if tasks.len() < request.step.count as usize {
             return true;
         }
-        let apart: Vec<bool> = tasks
+        let suspects: Vec<bool> = tasks
             .iter()
             .map(|task| self.is_strong_suspect(*task))
             .collect();
-        let tried = tasks.iter().zip(&apart).filter(|(_, apart)| **apart);
-        let mut tried = tried.map(|(task, _)| *task);
-        let waits = |task| !self.may_begin_trial(task, wish.service, &placing.trials, now);
-        if tried.any(|task| self.has_reached_crash_limit(task) || waits(task)) {
+        let isolated = tasks.iter().zip(&suspects).filter(|(_, suspect)| **suspect);
+        let mut isolated = isolated.map(|(task, _)| *task);
+        let must_wait = |task| !self.may_begin_trial(task, request.service, &round.trials, now);
+        if isolated.any(|task| self.has_reached_crash_limit(task) || must_wait(task)) {
             return true;
         }
-        let racks = if wish.step.one_rack {
-            self.racks(wish.service)
+        let racks = if request.step.one_rack {
+            self.racks(request.service)
         } else {
             vec![None]
         };
         for rack in racks {
-            let Some(chosen) = self.choose_gang(&apart, wish, &placing.fleet, rack.as_ref()) else {
+            let Some(chosen) = self.choose_gang(&suspects, request, &round.fleet, rack.as_ref())
+            else {
                 continue;
             };
             let number = tasks
@@ -292,11 +304,13 @@
                 .map(|task| self.next_run_number(*task))
                 .max()
                 .unwrap_or(1);
-            for (task, place) in tasks.iter().zip(&chosen) {
-                let candidate = &mut placing.fleet[*place];
-                candidate.add_run(wish, &self.interference);
+            for (task, index) in tasks.iter().zip(&chosen) {
+                let candidate = &mut round.fleet[*index];
+                candidate.add_run(request, &self.interference);
                 let id = candidate.id.clone();
-                let ticket = wish.advised.and_then(|tickets| tickets.get(&id).cloned());
+                let ticket = request
+                    .advised
+                    .and_then(|tickets| tickets.get(&id).cloned());
                 self.place_run(
                     Run {
                         task: *task,
@@ -307,7 +321,7 @@
                     now,
                 );
             }
-            for (task, _) in tasks.iter().zip(&apart).filter(|(_, apart)| **apart) {
+            for (task, _) in tasks.iter().zip(&suspects).filter(|(_, suspect)| **suspect) {
                 let run = Run {
                     task: *task,
                     number,
@@ -316,15 +330,20 @@
                     live.isolated = true;
                 }
             }
-            for (place, _) in chosen.iter().zip(&apart).filter(|(_, apart)| **apart) {
-                placing.fleet[*place].close();
+            for (index, _) in chosen
+                .iter()
+                .zip(&suspects)
+                .filter(|(_, suspect)| **suspect)
+            {
+                round.fleet[*index].close();
             }
             return true;
         }
         false
     }
 
-    /// Labels of a service's workers, racks among them, and last no label at all.
+    /// Returns the labels of a service's workers, which include their racks, followed by `None`
+    /// for a gang that spans racks.
     fn racks(&self, service: &Arc<str>) -> Vec<Option<Arc<str>>> {
         let mut racks: BTreeSet<Arc<str>> = BTreeSet::new();
         for worker in self
@@ -332,7 +351,7 @@
             .values()
             .filter(|worker| worker.listed.service == *service)
         {
-            // The first label is the worker's kind, which a rack does not share.
+            // The first label is the kind of the worker, which says nothing about its rack.
             racks.extend(worker.listed.labels.iter().skip(1).cloned());
         }
         racks.into_iter().map(Some).chain([None]).collect()
@@ -340,31 +359,31 @@
 
     fn choose_gang(
         &self,
-        apart: &[bool],
-        wish: &PlacementRequest<'_>,
+        suspects: &[bool],
+        request: &PlacementRequest<'_>,
         fleet: &[Candidate],
         rack: Option<&Arc<str>>,
     ) -> Option<Vec<usize>> {
-        let mut free: Vec<Seat> = fleet
+        let mut free: Vec<GangCandidate> = fleet
             .iter()
             .enumerate()
-            .filter(|(_, candidate)| candidates::is_eligible(candidate, wish))
+            .filter(|(_, candidate)| candidates::is_eligible(candidate, request))
             .filter(|(_, candidate)| {
                 let worker = self.workers.get(&candidate.id);
                 rack.is_none_or(|rack| worker.is_some_and(|worker| worker.has_label(rack)))
             })
-            .map(|(place, candidate)| Seat::new(place, candidate.free))
+            .map(|(index, candidate)| GangCandidate::new(index, candidate.free))
             .collect();
         let mut chosen = Vec::new();
-        for apart in apart {
+        for suspect in suspects {
             let best = free
                 .iter_mut()
-                .filter(|seat| seat.admits(wish) && !(*apart && seat.tried))
-                .max_by_key(|seat| seat.left.processors)?;
-            best.left = best.left.minus(&wish.resources);
-            best.here += 1;
-            best.tried |= *apart;
-            chosen.push(best.place);
+                .filter(|candidate| candidate.fits(request) && !(*suspect && candidate.has_suspect))
+                .max_by_key(|candidate| candidate.free.processors)?;
+            best.free = best.free.minus(&request.resources);
+            best.members += 1;
+            best.has_suspect |= *suspect;
+            chosen.push(best.index);
         }
         Some(chosen)
     }
--- a/ashtiller/src/workflow/core/relocation.rs
+++ b/ashtiller/src/workflow/core/relocation.rs
@@ -1,5 +1,5 @@
-//! Runs that would do better elsewhere: beside services that they disturb, or on a worker
-//! that says nothing.
+//! Runs that should continue on another worker: fills that are throttled for the services beside
+//! them, and copies of runs whose worker does not answer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,35 +10,35 @@
 use crate::workflow::live_run::{Stop, StopReason};
 use crate::workflow::record::{Run, Task};
 
-/// Time for which a run that fills is slowed down before it moves: one stuck task makes
-/// its whole job late.
-const CROWDED: Duration = Duration::from_millis(400);
+/// Time for which a best-effort run is throttled before it moves. One stuck task makes its whole
+/// job late.
+const MOVE_AFTER: Duration = Duration::from_millis(400);
 
-/// Progress up to which a run that keeps no checkpoints moves, in percent.
-const LOSS_MAX: u32 = 20;
+/// Progress in percent up to which a run without checkpoints may be moved.
+const LOST_PROGRESS_MAX_PERCENT: u32 = 20;
 
 impl Core {
-    /// Tasks that may have copies and whose only run is on a worker that says nothing.
+    /// Returns tasks that may have copies and whose only run is on a worker that does not answer.
     pub(super) fn collect_copyable_tasks(&self) -> Vec<Task> {
         let silent = self
             .workers
             .values()
             .filter(|worker| worker.fenced && !worker.answers);
         let runs = silent.flat_map(|worker| worker.runs.iter());
-        let copied = runs.filter(|run| {
+        let copyable = runs.filter(|run| {
             self.log_state.task(run.task).is_some_and(|(job, task)| {
-                let copies = job
+                let may_copy = job
                     .step(run.task)
                     .is_some_and(|step| step.speculative && !step.gang);
-                let alone = !task.done && task.live.len() == 1;
-                copies && job.outcome.is_none() && alone && !self.is_suspect(run.task)
+                let has_single_run = !task.done && task.live.len() == 1;
+                may_copy && job.outcome.is_none() && has_single_run && !self.is_suspect(run.task)
             })
         });
-        copied.map(|run| run.task).collect()
+        copyable.map(|run| run.task).collect()
     }
 
-    /// Starts a copy rather than wait for the lease of a worker that says nothing.
-    pub(super) fn place_copy(&mut self, task: Task, placing: &mut PlacementRound, now: Now) {
+    /// Places a copy of a task instead of waiting until the lease of its silent worker expires.
+    pub(super) fn place_copy(&mut self, task: Task, round: &mut PlacementRound, now: Now) {
         let Some((job, state)) = self.log_state.task(task) else {
             return;
         };
@@ -52,7 +52,7 @@
         );
         let step = &spec.steps[usize::from(task.step)];
         let (share, _) = share_of(&mut self.interference, step);
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             service: &service,
             step,
             share,
@@ -64,31 +64,32 @@
             suspect: false,
             selectivity: 0.0,
         };
-        let Some(place) = self.choose_worker(&placing.fleet, &wish) else {
+        let Some(index) = self.choose_worker(&round.fleet, &request) else {
             return;
         };
-        let id = placing.fleet[place].id.clone();
-        if !placing.fleet[place].add_run(&wish, &self.interference) {
-            placing.fleet[place].close();
+        let id = round.fleet[index].id.clone();
+        if !round.fleet[index].add_run(&request, &self.interference) {
+            round.fleet[index].close();
         }
         let number = self.next_run_number(task);
-        tracing::info!(%task, run = number, worker = %id, "copy of a run whose worker does not answer");
+        tracing::info!(%task, run = number, worker = %id,
+            "starting a copy of a run whose worker does not answer");
         self.place_run(Run { task, number }, &id, None, now);
     }
 
-    /// Runs that fill and stand still for the services beside them.
+    /// Returns the runs that have been throttled for long for the services beside them.
     pub(super) fn collect_throttled_runs(&self, now: Now) -> Vec<Run> {
         if !self.terms.switches.move_fills {
             return Vec::new();
         }
-        let crowded = self.runs.iter().filter(|(_, live)| {
-            live.stop == Stop::None && live.slow.is_some_and(|since| now.at >= since + CROWDED)
+        let throttled = self.runs.iter().filter(|(_, live)| {
+            live.stop == Stop::None && live.slow.is_some_and(|since| now.at >= since + MOVE_AFTER)
         });
-        crowded.map(|(run, _)| *run).collect()
+        throttled.map(|(run, _)| *run).collect()
     }
 
-    /// Stops a run that stands still when there is a worker where it would go on.
-    pub(super) fn consider_move(&mut self, run: Run, placing: &mut PlacementRound, now: Now) {
+    /// Stops a throttled run if another worker could run it.
+    pub(super) fn try_relocate(&mut self, run: Run, round: &mut PlacementRound, now: Now) {
         let Some((job, state)) = self.log_state.task(run.task) else {
             return;
         };
@@ -100,20 +101,20 @@
         if job.policy.advice.is_some() || step.gang {
             return;
         }
-        if !step.checkpoints && live.percent > LOSS_MAX {
+        if !step.checkpoints && live.percent > LOST_PROGRESS_MAX_PERCENT {
             return;
         }
-        let selective = self.selectivity((run.task.job, run.task.occurrence, run.task.step), now);
+        let selectivity = self.selectivity((run.task.job, run.task.occurrence, run.task.step), now);
         let demand = Demand {
             service: service.clone(),
             share: live.share,
             resources: step.room(),
-            selectivity: selective,
+            selectivity,
         };
-        if placing.is_known_unplaceable(&demand) {
+        if round.is_known_unplaceable(&demand) {
             return;
         }
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             service: &service,
             step,
             share: live.share,
@@ -123,17 +124,18 @@
             advised: None,
             excluded: None,
             suspect: false,
-            selectivity: selective,
+            selectivity,
         };
-        let Some(place) = self.choose_worker(&placing.fleet, &wish) else {
-            placing.note_unplaceable(demand);
+        let Some(index) = self.choose_worker(&round.fleet, &request) else {
+            round.note_unplaceable(demand);
             return;
         };
-        if placing.fleet[place].id == live.worker {
+        if round.fleet[index].id == live.worker {
             return;
         }
-        tracing::debug!(task = %run.task, run = run.number, from = %live.worker, "run that stands still moves");
-        placing.fleet[place].add_run(&wish, &self.interference);
+        tracing::debug!(task = %run.task, run = run.number, from = %live.worker,
+            "moving a throttled run to another worker");
+        round.fleet[index].add_run(&request, &self.interference);
         self.request_stop(run, StopReason::Crowded);
     }
 }
--- a/ashtiller/src/workflow/core/starvation.rs
+++ b/ashtiller/src/workflow/core/starvation.rs
@@ -1,4 +1,4 @@
-//! Room for steps that others are placed before again and again.
+//! Starvation prevention: capacity for steps that others keep being placed ahead of.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,70 +11,71 @@
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::record::Task;
 
-/// Time for which there may be room for a lasting step while short ones are placed first.
-/// The platform asks for its start within 3 s.
-const PASSED_OVER: Duration = Duration::from_millis(1200);
+/// Time for which short steps may be placed ahead of a long-running step that would fit. The
+/// platform asks for its start within 3 s.
+const PASSED_OVER_MAX: Duration = Duration::from_millis(1200);
 
-/// Time without room after which that begins anew; room that a short run leaves is taken
+/// Time without capacity after which that time restarts. Capacity released by a short run is taken
 /// again within a tenth of a second.
-const ROOM_GAP: Duration = Duration::from_secs(1);
+const CAPACITY_GAP_MAX: Duration = Duration::from_secs(1);
 
-/// Time without room after which a lasting step goes first where there is some, and gets a
-/// worker to itself. The platform asks for its start within 9 s of its last run.
-const BLOCKED: Duration = Duration::from_secs(4);
+/// Waiting time after which a long-running step is placed first wherever it fits, and gets a worker
+/// reserved if it fits nowhere. The platform asks for its start within 9 s of its last run.
+const STARVED_AFTER: Duration = Duration::from_secs(4);
 
-/// Time between two steps that are too late to earn and go first all the same; one of
-/// some ten tasks, which leaves nearly all room to those in time.
-const RESCUE_PAUSE: Duration = Duration::from_secs(2);
+/// Time between two steps that are too late to earn anything and are placed first all the same.
+/// Such a step has some ten tasks, which leaves nearly all capacity to steps that are on time.
+const LATE_PROMOTION_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Longest time for which a worker is kept; the short runs there end sooner.
-const RESERVED_MAX: Duration = Duration::from_secs(4);
+/// Maximum time for which a worker stays reserved. The short runs on it end sooner.
+const RESERVATION_MAX: Duration = Duration::from_secs(4);
 
-/// How long a lasting step has waited.
+/// Waiting history of a long-running step.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StarvationTracker {
-    /// When it was first seen to wait.
-    began: Duration,
-    /// Since when there has been room for it, but for short gaps.
-    since: Option<Duration>,
-    /// When there was room last.
-    last: Duration,
+    /// Time at which it was first seen waiting.
+    waiting_since: Duration,
+    /// Time since which there has been capacity for it, ignoring short gaps.
+    capacity_since: Option<Duration>,
+    /// Time at which there was capacity last.
+    last_capacity: Duration,
 }
 
 impl StarvationTracker {
     fn new(now: Duration) -> Self {
         Self {
-            began: now,
-            since: None,
-            last: now,
+            waiting_since: now,
+            capacity_since: None,
+            last_capacity: now,
         }
     }
 
-    fn note(&mut self, has_room: bool, now: Duration) {
-        if has_room {
-            self.last = now;
-            self.since.get_or_insert(now);
-        } else if now >= self.last + ROOM_GAP {
-            self.since = None;
+    fn note_capacity(&mut self, has_capacity: bool, now: Duration) {
+        if has_capacity {
+            self.last_capacity = now;
+            self.capacity_since.get_or_insert(now);
+        } else if now >= self.last_capacity + CAPACITY_GAP_MAX {
+            self.capacity_since = None;
         }
     }
 
-    fn is_overdue(&self, now: Duration) -> bool {
-        self.since.is_some_and(|since| now >= since + PASSED_OVER)
+    fn is_passed_over(&self, now: Duration) -> bool {
+        self.capacity_since
+            .is_some_and(|since| now >= since + PASSED_OVER_MAX)
     }
 
-    /// Whether it has waited for so long that it goes first where there is room.
-    fn is_blocked(&self, now: Duration) -> bool {
-        now >= self.began + BLOCKED
+    /// Returns whether it has waited long enough to be placed first wherever it fits.
+    fn is_starved(&self, now: Duration) -> bool {
+        now >= self.waiting_since + STARVED_AFTER
     }
 
-    /// When it was first seen to wait, if it has waited for long and there is no room.
-    fn blocked(&self, now: Duration) -> Option<Duration> {
-        (self.since.is_none() && self.is_blocked(now)).then_some(self.began)
+    /// Returns when it was first seen waiting, if it has waited for long and fits nowhere.
+    fn starved_since(&self, now: Duration) -> Option<Duration> {
+        (self.capacity_since.is_none() && self.is_starved(now)).then_some(self.waiting_since)
     }
 }
 
-/// A worker that is kept for a lasting step.
+/// Reservation of a worker for a long-running step.
 #[derive(Clone, Debug)]
 pub(super) struct WorkerReservation {
     step: StepKey,
@@ -83,120 +84,136 @@
 }
 
 impl Core {
-    /// A lasting step stands first when it begins to wait, and when there has been room for
-    /// it all along, or none for long: what is placed before it takes that room again and again.
-    /// The one that waits longest without room, and for which a worker can be emptied, gets one to itself.
-    pub(super) fn promote_lasting(
+    /// Promotes long-running steps that have just begun to wait, that would have fit for some time,
+    /// or that have found no capacity for long: steps placed ahead of them keep taking it. Reserves
+    /// a worker for the one that has waited longest without capacity and for which a worker can be
+    /// emptied.
+    pub(super) fn promote_long_running(
         &mut self,
         waiting: &mut [WaitingStep],
-        placing: &mut PlacementRound,
+        round: &mut PlacementRound,
         now: Now,
     ) {
-        let mut passed_over = std::mem::take(&mut self.passed_over);
+        let mut trackers = std::mem::take(&mut self.passed_over);
         let keys: BTreeSet<StepKey> = waiting.iter().map(WaitingStep::key).collect();
-        passed_over.retain(|key, _| keys.contains(key));
-        for entry in waiting.iter_mut().filter(|entry| self.is_lasting(entry)) {
-            let new = !passed_over.contains_key(&entry.key());
-            let passed = passed_over
-                .entry(entry.key())
+        trackers.retain(|key, _| keys.contains(key));
+        for pending in waiting
+            .iter_mut()
+            .filter(|pending| self.is_long_running(pending))
+        {
+            let new = !trackers.contains_key(&pending.key());
+            let tracker = trackers
+                .entry(pending.key())
                 .or_insert(StarvationTracker::new(now.at));
-            passed.note(self.has_capacity(entry, &placing.fleet), now.at);
-            if new || passed.is_overdue(now.at) || passed.is_blocked(now.at) {
-                entry.promote();
-                // A trial shuts its worker, and the next one would follow it at once.
-                if self.waits_for_trials(entry) {
-                    entry.yield_to_equals();
+            tracker.note_capacity(self.has_capacity(pending, &round.fleet), now.at);
+            if new || tracker.is_passed_over(now.at) || tracker.is_starved(now.at) {
+                pending.promote();
+                // An isolated run closes its worker, and the next one would follow at once.
+                if self.all_need_isolation(pending) {
+                    pending.yield_to_equals();
                 }
             }
         }
-        self.passed_over = passed_over;
-        placing.reserved = self.reserve(waiting, &placing.fleet, now);
+        self.passed_over = trackers;
+        round.reserved = self.reserve(waiting, &round.fleet, now);
     }
 
-    /// Whether all tasks of a step that wait are to be tried apart from others.
-    fn waits_for_trials(&self, entry: &WaitingStep) -> bool {
+    /// Returns whether all waiting tasks of a step are strong suspects, to be run in isolation.
+    fn all_need_isolation(&self, pending: &WaitingStep) -> bool {
         !self.log_state.suspects().is_empty()
             && self
-                .waiting_tasks(*entry)
+                .waiting_tasks(*pending)
                 .iter()
                 .all(|task| self.is_strong_suspect(*task))
     }
 
-    /// Keeps a worker for the lasting step that has waited longest without room.
+    /// Reserves a worker for the long-running step that has waited longest without capacity.
     fn reserve(
         &mut self,
         waiting: &mut [WaitingStep],
         fleet: &[Candidate],
         now: Now,
     ) -> Option<Incarnation> {
-        if let Some(kept) = self.reserved.take()
-            && now.at < kept.since + RESERVED_MAX
-            && let Some(entry) = waiting.iter_mut().find(|entry| entry.key() == kept.step)
-            && let Some(candidate) = fleet.iter().find(|it| it.id == kept.worker)
+        if let Some(reservation) = self.reserved.take()
+            && now.at < reservation.since + RESERVATION_MAX
+            && let Some(pending) = waiting
+                .iter_mut()
+                .find(|pending| pending.key() == reservation.step)
+            && let Some(candidate) = fleet.iter().find(|it| it.id == reservation.worker)
         {
-            if self.fits_step(entry, candidate) {
-                entry.promote();
+            if self.fits_step(pending, candidate) {
+                pending.promote();
             }
-            let worker = kept.worker.clone();
-            self.reserved = Some(kept);
+            let worker = reservation.worker.clone();
+            self.reserved = Some(reservation);
             return Some(worker);
         }
-        let blocked = waiting.iter().filter_map(|entry| {
-            Some((self.passed_over.get(&entry.key())?.blocked(now.at)?, entry))
+        let starved = waiting.iter().filter_map(|pending| {
+            Some((
+                self.passed_over
+                    .get(&pending.key())?
+                    .starved_since(now.at)?,
+                pending,
+            ))
         });
-        let mut blocked: Vec<(Duration, &WaitingStep)> = blocked.collect();
-        blocked.sort_unstable();
-        // One for which no worker can be emptied must not stop the others.
-        let (entry, worker) = blocked
-            .into_iter()
-            .find_map(|(_, entry)| Some((entry, self.find_emptying(entry, fleet)?)))?;
-        tracing::debug!(job = entry.job, %worker, "worker kept for a lasting task");
+        let mut starved: Vec<(Duration, &WaitingStep)> = starved.collect();
+        starved.sort_unstable();
+        // A step for which no worker can be emptied must not block the others.
+        let (pending, worker) = starved.into_iter().find_map(|(_, pending)| {
+            Some((pending, self.find_worker_to_reserve(pending, fleet)?))
+        })?;
+        tracing::debug!(job = pending.job, %worker, "worker reserved for a lasting task");
         self.reserved = Some(WorkerReservation {
-            step: entry.key(),
+            step: pending.key(),
             worker: worker.clone(),
             since: now.at,
         });
         Some(worker)
     }
 
-    /// The oldest short step that is too late to earn anything goes first now and then, so
-    /// that it still ends while newer ones keep coming.
+    /// Promotes the oldest short step that is too late to earn anything, once in a while, so that
+    /// it still ends while newer steps keep arriving.
     pub(super) fn promote_oldest_late(
         &mut self,
         waiting: &mut [WaitingStep],
-        placing: &mut PlacementRound,
+        round: &mut PlacementRound,
         now: Now,
     ) {
-        if now.at < self.last_rescue + RESCUE_PAUSE {
+        if now.at < self.last_rescue + LATE_PROMOTION_INTERVAL {
             return;
         }
-        let late = waiting
-            .iter_mut()
-            .filter(|entry| entry.urgency.lateness == TOO_LATE && !self.is_lasting(entry));
-        let Some(oldest) = late.min_by_key(|entry| (entry.job, entry.time)) else {
+        let late = waiting.iter_mut().filter(|pending| {
+            pending.urgency.lateness == TOO_LATE && !self.is_long_running(pending)
+        });
+        let Some(oldest) = late.min_by_key(|pending| (pending.job, pending.occurrence)) else {
             return;
         };
         oldest.promote();
-        placing.promoted_late = Some(oldest.key());
-        if placing.reserved.is_none() && !self.has_capacity(oldest, &placing.fleet) {
-            placing.reserved = self.find_emptying(oldest, &placing.fleet);
+        round.promoted_late = Some(oldest.key());
+        if round.reserved.is_none() && !self.has_capacity(oldest, &round.fleet) {
+            round.reserved = self.find_worker_to_reserve(oldest, &round.fleet);
         }
     }
 
-    /// The worker on which short runs leave room soonest for a task of a step: one that
-    /// gets nothing, or none of this step, would be kept in vain.
-    fn find_emptying(&self, entry: &WaitingStep, fleet: &[Candidate]) -> Option<Incarnation> {
-        let job = &self.log_state.jobs[&entry.job];
-        let step = &job.job.steps[usize::from(entry.step)];
-        let room = step.room();
-        let spread = self.spread_of(entry);
+    /// Returns the worker with the fewest short runs that, once they end, leave enough capacity
+    /// for a task of a step. Workers that may get no runs, or none of this step, are left out, as
+    /// reserving them would be useless.
+    fn find_worker_to_reserve(
+        &self,
+        pending: &WaitingStep,
+        fleet: &[Candidate],
+    ) -> Option<Incarnation> {
+        let job = &self.log_state.jobs[&pending.job];
+        let step = &job.job.steps[usize::from(pending.step)];
+        let resources = step.room();
+        let spread = self.count_step_runs(pending);
         let open = fleet
             .iter()
             .filter(|it| it.service == job.policy.service && !it.is_closed())
             .filter(|it| candidates::satisfies_constraints(it, step, &spread))
-            .filter(|it| !self.is_forbidden(entry.key(), &it.id))
+            .filter(|it| !self.is_forbidden(pending.key(), &it.id))
             .filter_map(|it| self.workers.get(&it.id));
-        let emptying = open.filter_map(|worker| {
+        let suitable = open.filter_map(|worker| {
             let mut free = worker.pool.free();
             let mut short = 0;
             for run in &worker.runs {
@@ -209,68 +226,78 @@
                     short += 1;
                 }
             }
-            room.fits_within(&free)
+            resources
+                .fits_within(&free)
                 .then_some((short, worker.incarnation()))
         });
-        emptying.min().map(|(_, id)| id.clone())
+        suitable.min().map(|(_, id)| id.clone())
     }
 
-    /// Lasting steps that have waited for so long that they go first.
+    /// Returns the long-running steps that have waited long enough to be placed first.
     pub(super) fn collect_starved(&self, now: Now) -> Vec<StepKey> {
-        let passed = self.passed_over.iter();
-        let blocked = passed.filter(|(_, passed)| passed.is_blocked(now.at));
-        blocked.map(|(key, _)| *key).collect()
+        let trackers = self.passed_over.iter();
+        let starved = trackers.filter(|(_, tracker)| tracker.is_starved(now.at));
+        starved.map(|(key, _)| *key).collect()
     }
 
-    /// Place of a lasting step among those that wait: first the one for which a worker is kept,
-    /// then by when each was first seen to wait.
+    /// Returns the sort key of a waiting long-running step: first the one with a reserved worker,
+    /// then by the time at which each was first seen waiting.
     pub(super) fn starvation_rank(&self, key: StepKey) -> i64 {
-        if self.reserved.as_ref().is_some_and(|kept| kept.step == key) {
+        if self
+            .reserved
+            .as_ref()
+            .is_some_and(|reservation| reservation.step == key)
+        {
             return i64::MIN;
         }
-        let began = self.passed_over.get(&key).map(|passed| passed.began);
-        let began = began.unwrap_or_default().as_millis();
-        i64::try_from(began).unwrap_or(i64::MAX)
+        let since = self
+            .passed_over
+            .get(&key)
+            .map(|tracker| tracker.waiting_since);
+        let since = since.unwrap_or_default().as_millis();
+        i64::try_from(since).unwrap_or(i64::MAX)
     }
 
-    /// The worker that is kept for a lasting step.
+    /// Returns the worker that is reserved for a long-running step.
     pub(super) fn reserved_worker(&self) -> Option<&str> {
-        self.reserved.as_ref().map(|kept| kept.worker.as_str())
+        self.reserved
+            .as_ref()
+            .map(|reservation| reservation.worker.as_str())
     }
 
-    pub(super) fn is_lasting(&self, entry: &WaitingStep) -> bool {
-        self.log_state.jobs[&entry.job].job.steps[usize::from(entry.step)].long_running
+    pub(super) fn is_long_running(&self, pending: &WaitingStep) -> bool {
+        self.log_state.jobs[&pending.job].job.steps[usize::from(pending.step)].long_running
     }
 
-    /// Runs of a waiting step on each worker, where that is bounded.
-    fn spread_of(&self, entry: &WaitingStep) -> RunsPerWorker {
-        let step = &self.log_state.jobs[&entry.job].job.steps[usize::from(entry.step)];
+    /// Counts the runs of a waiting step on each worker, if the step limits them.
+    fn count_step_runs(&self, pending: &WaitingStep) -> RunsPerWorker {
+        let step = &self.log_state.jobs[&pending.job].job.steps[usize::from(pending.step)];
         if step.spread == 0 {
             return RunsPerWorker::new();
         }
-        let (job, time, step) = entry.key();
+        let (job, occurrence, step) = pending.key();
         let first = Task {
             job,
-            occurrence: time,
+            occurrence,
             step,
             index: 0,
         };
         candidates::count_runs_per_worker(self, first)
     }
 
-    pub(super) fn fits_step(&self, entry: &WaitingStep, candidate: &Candidate) -> bool {
-        self.has_capacity(entry, std::slice::from_ref(candidate))
+    pub(super) fn fits_step(&self, pending: &WaitingStep, candidate: &Candidate) -> bool {
+        self.has_capacity(pending, std::slice::from_ref(candidate))
     }
 
-    /// Whether some worker has room for a task of a step, and may have it.
-    pub(super) fn has_capacity(&self, entry: &WaitingStep, fleet: &[Candidate]) -> bool {
-        let job = &self.log_state.jobs[&entry.job];
-        let step = &job.job.steps[usize::from(entry.step)];
-        let (room, spread) = (step.room(), self.spread_of(entry));
+    /// Returns whether a task of a step fits on some worker that is allowed to run it.
+    pub(super) fn has_capacity(&self, pending: &WaitingStep, fleet: &[Candidate]) -> bool {
+        let job = &self.log_state.jobs[&pending.job];
+        let step = &job.job.steps[usize::from(pending.step)];
+        let (resources, spread) = (step.room(), self.count_step_runs(pending));
         fleet.iter().any(|candidate| {
-            candidate.has_capacity(&job.policy.service, &room)
+            candidate.has_capacity(&job.policy.service, &resources)
                 && candidates::satisfies_constraints(candidate, step, &spread)
-                && !self.is_forbidden(entry.key(), &candidate.id)
+                && !self.is_forbidden(pending.key(), &candidate.id)
         })
     }
 }
--- a/ashtiller/src/workflow/core/step_priority.rs
+++ b/ashtiller/src/workflow/core/step_priority.rs
@@ -1,4 +1,4 @@
-//! In which order waiting steps get workers.
+//! The order in which waiting steps get workers.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use crate::workflow::record::Task;
 use crate::workflow::state::{JobState, Occurrence};
 
-/// Objective within which a job that is late still earns something, as a factor.
-const LATE: u32 = 3;
+/// Multiple of a job's time objective up to which a late job still earns something.
+const LATE_FACTOR: u32 = 3;
 
-/// Class of what is too late to earn anything.
+/// Lateness class of a step whose job is too late to earn anything.
 pub(super) const TOO_LATE: u8 = 2;
 
-/// How urgent a step is: jobs that can be on time first, then by priority, then by
-/// the time that is left to begin.
+/// Sort key of a waiting step: jobs that can still be on time first, then by priority, then by
+/// the time left until the step must start.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Urgency {
     pub lateness: u8,
@@ -23,27 +23,27 @@
     pub slack: i64,
 }
 
-/// Tasks of one step of one time of a job that wait.
+/// A step with waiting tasks, in one scheduled occurrence of a job.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct WaitingStep {
     pub urgency: Urgency,
     pub job: u32,
-    pub time: u32,
+    pub occurrence: u32,
     pub step: u16,
 }
 
 impl WaitingStep {
     pub fn key(&self) -> StepKey {
-        (self.job, self.time, self.step)
+        (self.job, self.occurrence, self.step)
     }
 
-    /// Puts it first among its priority.
+    /// Moves the step ahead of all others of its priority.
     pub fn promote(&mut self) {
         self.urgency.lateness = 0;
         self.urgency.slack = i64::MIN;
     }
 
-    /// Puts it behind what is just as urgent.
+    /// Moves the step behind those of equal urgency.
     pub fn yield_to_equals(&mut self) {
         self.urgency.slack = self.urgency.slack.saturating_add(1);
     }
@@ -57,28 +57,28 @@
             if job.outcome.is_some() {
                 continue;
             }
-            for (time, round) in &job.occurrences {
-                collect_round(&mut found, *number, *time, job, round, now);
+            for (index, occurrence) in &job.occurrences {
+                collect_waiting_of(&mut found, *number, *index, job, occurrence, now);
             }
         }
         found
     }
 
-    pub(super) fn waiting_tasks(&self, entry: WaitingStep) -> Vec<Task> {
-        let job = &self.log_state.jobs[&entry.job];
-        let state = &job.occurrences[&entry.time].steps[usize::from(entry.step)];
+    pub(super) fn waiting_tasks(&self, pending: WaitingStep) -> Vec<Task> {
+        let job = &self.log_state.jobs[&pending.job];
+        let state = &job.occurrences[&pending.occurrence].steps[usize::from(pending.step)];
         let tasks = (0..).zip(&state.tasks).filter(|(_, task)| task.waits());
         tasks
             .map(|(index, _)| Task {
-                job: entry.job,
-                occurrence: entry.time,
-                step: entry.step,
+                job: pending.job,
+                occurrence: pending.occurrence,
+                step: pending.step,
                 index,
             })
             .collect()
     }
 
-    /// How late the job of a task is already: 0 in time, 1 late, 2 too late to earn.
+    /// Returns the lateness class of a task's job: 0 on time, 1 late, 2 too late to earn anything.
     pub(super) fn lateness_of(&self, task: Task, now: Now) -> u8 {
         let Some(job) = self.log_state.jobs.get(&task.job) else {
             return 0;
@@ -88,9 +88,10 @@
     }
 }
 
-/// When a job is due, and the time within which it is on time.
-fn objective_of(job: &JobState, time: u32) -> (u64, Duration) {
-    let due = job.job.schedule.map_or(job.accepted, |it| it.due(time));
+/// Returns when a job is due, in milliseconds since the Unix epoch, and the time from then within
+/// which it is on time.
+fn objective_of(job: &JobState, index: u32) -> (u64, Duration) {
+    let due = job.job.schedule.map_or(job.accepted, |it| it.due(index));
     let longest = job.job.chains().into_iter().max().unwrap_or_default();
     (
         due,
@@ -98,46 +99,46 @@
     )
 }
 
-fn collect_round(
+fn collect_waiting_of(
     found: &mut Vec<WaitingStep>,
     number: u32,
-    time: u32,
+    index: u32,
     job: &JobState,
-    round: &Occurrence,
+    occurrence: &Occurrence,
     now: Now,
 ) {
-    if round.steps.iter().all(|state| state.waiting == 0) {
+    if occurrence.steps.iter().all(|state| state.waiting == 0) {
         return;
     }
     let chains = job.job.chains();
-    let (due, objective) = objective_of(job, time);
-    for (step, (state, chain)) in (0..).zip(round.steps.iter().zip(&chains)) {
-        let asked: &Step = &job.job.steps[usize::from(step)];
-        if state.waiting == 0 || !round.may_begin(asked) {
+    let (due, objective) = objective_of(job, index);
+    for (step, (state, chain)) in (0..).zip(occurrence.steps.iter().zip(&chains)) {
+        let spec: &Step = &job.job.steps[usize::from(step)];
+        if state.waiting == 0 || !occurrence.may_begin(spec) {
             continue;
         }
         let (late, slack) = lateness(due, objective, *chain, now);
         let urgency = Urgency {
-            lateness: if asked.long_running { TOO_LATE } else { late },
+            lateness: if spec.long_running { TOO_LATE } else { late },
             priority: job.policy.priority,
-            slack: if asked.long_running { i64::MAX } else { slack },
+            slack: if spec.long_running { i64::MAX } else { slack },
         };
         found.push(WaitingStep {
             urgency,
             job: number,
-            time,
+            occurrence: index,
             step,
         });
     }
 }
 
-/// Class of lateness and milliseconds until the step must begin.
+/// Returns the lateness class and the milliseconds left until the step must start.
 fn lateness(due: u64, objective: Duration, chain: Duration, now: Now) -> (u8, i64) {
     let millis = |time: Duration| i64::try_from(time.as_millis()).unwrap_or(i64::MAX / 8);
-    let spent = i64::try_from(now.wall.saturating_sub(due)).unwrap_or(i64::MAX / 8);
-    let slack = millis(objective) - spent - millis(chain);
-    let last = millis(objective * LATE) - spent - millis(chain);
-    let class = match (slack >= 0, last >= 0) {
+    let elapsed = i64::try_from(now.wall.saturating_sub(due)).unwrap_or(i64::MAX / 8);
+    let slack = millis(objective) - elapsed - millis(chain);
+    let late_slack = millis(objective * LATE_FACTOR) - elapsed - millis(chain);
+    let class = match (slack >= 0, late_slack >= 0) {
         (true, _) => 0,
         (false, true) => 1,
         (false, false) => TOO_LATE,
