--- a/ashtiller/src/workflow/core/eligibility.rs
+++ b/ashtiller/src/workflow/core/eligibility.rs
@@ -20,7 +20,7 @@
     /// It has restarted, and a delayed call meant for its previous incarnation may still
     /// acknowledge, and so discard, ends of runs that no owner has read.
     MayLoseEnds,
-    /// It is about to shut down.
+    /// It is draining and about to leave the fleet.
     Draining,
     /// Its availability zone is being evacuated.
     Evacuated,
--- a/ashtiller/src/workflow/core/log_entries.rs
+++ b/ashtiller/src/workflow/core/log_entries.rs
@@ -74,6 +74,8 @@
         }
     }
 
+    /// Starts the next log entry if none is in flight and one is due, after a placement round if
+    /// that is due as well.
     pub(super) fn append_entry(&mut self, now: Now) {
         let since = now.at.saturating_sub(self.last_append);
         let pause = if self.has_freed_capacity(now) {
@@ -107,6 +109,7 @@
         self.position += 1;
     }
 
+    /// Records that jobs which ended longer than `keep` ago are forgotten.
     pub(super) fn forget_ended(&mut self, now: Now) {
         let Some(limit) = now.at.checked_sub(self.terms.keep) else {
             return;
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -147,6 +147,7 @@
         }
     }
 
+    /// Returns the requirements of the tasks of a waiting step.
     fn demand_of(&mut self, pending: WaitingStep, now: Now) -> Demand {
         let job = &self.log_state.jobs[&pending.job];
         let (service, spec) = (job.policy.service.clone(), job.job.clone());
@@ -164,6 +165,7 @@
         }
     }
 
+    /// Places the waiting tasks of a step until no worker takes the next one.
     pub(super) fn place_step(
         &mut self,
         pending: WaitingStep,
@@ -388,6 +390,7 @@
         Some(chosen)
     }
 
+    /// Returns the number of the next run of a task; the first is 1.
     pub(super) fn next_run_number(&self, task: Task) -> u32 {
         self.log_state
             .task(task)
--- a/ashtiller/src/workflow/core/wait_report.rs
+++ b/ashtiller/src/workflow/core/wait_report.rs
@@ -1,4 +1,5 @@
-//! Reports on steps that wait for workers: for how long, and for what reason.
+//! Logs, metrics and dumps of steps that wait for workers: since when, and what prevents their
+//! placement.
 
 use std::time::Duration;
 
