--- a/ashtiller/src/workflow/core/adopted_runs.rs
+++ b/ashtiller/src/workflow/core/adopted_runs.rs
@@ -10,56 +10,56 @@
 use crate::workflow::record::{Run, Task};
 use crate::workflow::state::JobState;
 
-/// Runs of earlier owners by the life of their worker, until that is listed.
+/// Runs of earlier owners by the incarnation of their worker, until that is listed.
 #[derive(Debug, Default)]
-pub(super) struct Adopted(BTreeMap<Incarnation, Vec<Run>>);
+pub(super) struct AdoptedRuns(BTreeMap<Incarnation, Vec<Run>>);
 
-impl Adopted {
-    fn add(&mut self, life: &Incarnation, run: Run) {
-        self.0.entry(life.clone()).or_default().push(run);
+impl AdoptedRuns {
+    fn add(&mut self, incarnation: &Incarnation, run: Run) {
+        self.0.entry(incarnation.clone()).or_default().push(run);
     }
 
-    /// Lives with such runs of the worker with this id.
+    /// Returns the incarnations of the worker with this id that have such runs.
     pub fn incarnations_of_id(&self, id: &str) -> Vec<Incarnation> {
         incarnations::incarnations_of_id(&self.0, id)
     }
 
-    /// Takes out the runs of a life.
-    pub fn take(&mut self, life: &Incarnation) -> Vec<Run> {
-        self.0.remove(life).unwrap_or_default()
+    /// Removes and returns the runs of an incarnation.
+    pub fn take(&mut self, incarnation: &Incarnation) -> Vec<Run> {
+        self.0.remove(incarnation).unwrap_or_default()
     }
 
-    /// The others will never be listed.
+    /// Drops the rest, whose workers will never be listed.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 }
 
-/// A run in the log, with what is to become of it.
-struct Found {
+/// A run in the log that has no recorded end.
+struct LoggedRun {
     run: Run,
     worker: Incarnation,
-    saved: Arc<str>,
-    /// Why it is not to go on, if so.
-    over: Option<StopReason>,
+    checkpoint: Arc<str>,
+    /// Why the run must be stopped, if so.
+    stop_reason: Option<StopReason>,
 }
 
 impl Core {
-    /// Takes over the runs that may be going on. Whether they were ever started is not
-    /// known, so they are ordered again, but for those that nobody needs any more.
+    /// Adopts the runs that may still be executing. It is unknown whether they were ever started,
+    /// so starts are sent again, except for runs that are no longer needed.
     pub(super) fn adopt_runs(&mut self, now: Now) {
         let open = self.log_state.open();
         let jobs = open
             .iter()
             .map(|number| (*number, &self.log_state.jobs[number]));
-        let found: Vec<Found> = jobs
-            .flat_map(|(number, job)| find_runs(number, job))
+        let found: Vec<LoggedRun> = jobs
+            .flat_map(|(number, job)| runs_without_end(number, job))
             .collect();
-        for Found {
+        for LoggedRun {
             run,
             worker,
-            saved,
-            over,
+            checkpoint,
+            stop_reason,
         } in found
         {
             let Some(step) = self.step_of(run) else {
@@ -68,8 +68,8 @@
             let (share, processors) = share_of(&mut self.interference, &step);
             self.adopted.add(&worker, run);
             let mut live = LiveRun::new(worker, Stage::Starting, share, processors, now.at);
-            live.checkpoint = saved;
-            if let Some(reason) = over {
+            live.checkpoint = checkpoint;
+            if let Some(reason) = stop_reason {
                 live.want_stop(reason);
             }
             self.runs.insert(run, live);
@@ -82,33 +82,33 @@
     }
 }
 
-/// The runs of a job that have no recorded end.
-fn find_runs(number: u32, job: &JobState) -> Vec<Found> {
+/// Returns the runs of a job without a recorded end.
+fn runs_without_end(number: u32, job: &JobState) -> Vec<LoggedRun> {
     let mut found = Vec::new();
-    for (time, round) in &job.occurrences {
-        for (step, state) in (0..).zip(&round.steps) {
-            for (index, task) in (0..).zip(&state.tasks) {
-                let place = Task {
+    for (occurrence, state) in &job.occurrences {
+        for (step, step_state) in (0..).zip(&state.steps) {
+            for (index, task) in (0..).zip(&step_state.tasks) {
+                let id = Task {
                     job: number,
-                    occurrence: *time,
+                    occurrence: *occurrence,
                     step,
                     index,
                 };
-                // A copy of a task that is done may never have been started, and must
-                // not be now.
-                let over = match (job.outcome, task.done) {
+                // A copy of a completed task may never have been started, and must not be started
+                // now.
+                let stop_reason = match (job.outcome, task.done) {
                     (Some(_), _) => Some(StopReason::Over),
                     (None, true) => Some(StopReason::Copied),
                     (None, false) => None,
                 };
-                found.extend(task.live.iter().map(|live| Found {
+                found.extend(task.live.iter().map(|live| LoggedRun {
                     run: Run {
-                        task: place,
+                        task: id,
                         number: live.number,
                     },
                     worker: live.worker.clone(),
-                    saved: task.checkpoint.clone(),
-                    over,
+                    checkpoint: task.checkpoint.clone(),
+                    stop_reason,
                 }));
             }
         }
--- a/ashtiller/src/workflow/core/crash_record.rs
+++ b/ashtiller/src/workflow/core/crash_record.rs
@@ -1,4 +1,5 @@
-//! Crashes of workers a moment ago: by moment, by machine, and by steps that had just begun there.
+//! Recent crashes of workers, indexed by time, by machine and by the steps that had just begun
+//! there.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -7,32 +8,32 @@
 use crate::workflow::core::advice::StepKey;
 use crate::workflow::record::Task;
 
-/// Span within which workers that go silent count as having gone together: what is
-/// switched off at one moment is noticed within the time of one call.
+/// Interval within which workers that fall silent count as lost together: a simultaneous loss is
+/// noticed within the duration of one call.
 pub(super) const CRASH_WINDOW: Duration = Duration::from_millis(250);
 
 /// A crash of a worker.
 #[derive(Clone, Debug)]
 pub(super) struct Crash {
     pub at: Duration,
-    /// Machine of the worker.
+    /// The worker's machine.
     pub machine: Arc<str>,
-    /// Tasks that were there, until one of them is known to be to blame.
+    /// Tasks that were running there, until one of them is found to be the cause.
     pub tasks: BTreeSet<Task>,
-    /// Steps of which a run had just begun.
+    /// Steps with a run that had just begun there.
     pub begun: BTreeSet<StepKey>,
-    /// Whether a task was tried there, which explains it.
-    pub tried: bool,
+    /// Whether a task was on trial there, which explains the crash.
+    pub had_trial: bool,
 }
 
-/// Crashes that are remembered.
+/// The remembered crashes.
 #[derive(Debug, Default)]
 pub(super) struct CrashRecord {
-    /// By their moments, those of one moment in the order in which they were noted.
+    /// Crashes by time; those of one moment stay in the order in which they were recorded.
     crashes: BTreeMap<(Duration, u64), Crash>,
     next: u64,
     machines: HashMap<Arc<str>, u32>,
-    /// When workers crashed on which a run of a step had just begun.
+    /// Times of crashes by the steps with a run that had just begun on the worker.
     begun: BTreeMap<StepKey, Vec<Duration>>,
 }
 
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Forgets the crashes that a task explains.
+    /// Forgets the crashes that are explained by a task.
     pub fn forget_task(&mut self, task: Task) {
         let explained = self.crashes.iter();
         let explained = explained.filter(|(_, crash)| crash.tasks.contains(&task));
@@ -87,12 +88,12 @@
         }
     }
 
-    /// Crashes of a machine.
+    /// Returns the number of crashes of a machine.
     pub fn count_at(&self, machine: &str) -> u32 {
         self.machines.get(machine).copied().unwrap_or(0)
     }
 
-    /// Crashes at about the same moment.
+    /// Returns the crashes within [`CRASH_WINDOW`] of a time.
     pub fn near(&self, at: Duration) -> impl Iterator<Item = &Crash> {
         let first = at.saturating_sub(CRASH_WINDOW);
         let near = self
@@ -101,14 +102,15 @@
         near.map(|(_, crash)| crash)
     }
 
-    /// Crashes at about the same moment of workers on which a run of a step had just begun.
+    /// Returns the number of crashes within [`CRASH_WINDOW`] of a time on workers where a run of a
+    /// step had just begun.
     pub fn count_begun(&self, step: StepKey, at: Duration) -> usize {
         let times = self.begun.get(&step).into_iter().flatten();
         times.filter(|other| is_simultaneous(**other, at)).count()
     }
 }
 
-/// Whether two moments lie so close that what happened then may have one cause.
+/// Returns whether two times are close enough for events to have a common cause.
 pub(super) fn is_simultaneous(one: Duration, other: Duration) -> bool {
     one.abs_diff(other) <= CRASH_WINDOW
 }
--- a/ashtiller/src/workflow/core/dump.rs
+++ b/ashtiller/src/workflow/core/dump.rs
@@ -1,21 +1,21 @@
-//! The state of the owner of a log, for operators.
+//! A dump of the owner's state for operators.
 
 use crate::workflow::core::{Core, Now};
 
-/// Jobs shown in a dump, and steps that wait.
-const DUMPED: usize = 100;
+/// Limit of the jobs, and of the waiting steps, in a dump.
+const DUMP_MAX: usize = 100;
 
 impl Core {
-    /// The state in short, for operators; at most some 100 jobs and all workers.
+    /// Returns a summary of the state for operators, with at most 100 jobs and all workers.
     #[must_use]
     pub fn dump(&self, now: Now) -> serde_json::Value {
-        let open = self.log_state.open().iter().take(DUMPED);
+        let open = self.log_state.open().iter().take(DUMP_MAX);
         let jobs = open.map(|number| {
             let job = &self.log_state.jobs[number];
             let waiting: u32 = job
                 .occurrences
                 .values()
-                .flat_map(|round| &round.steps)
+                .flat_map(|occurrence| &occurrence.steps)
                 .map(|step| step.waiting)
                 .sum();
             serde_json::json!({
@@ -41,7 +41,7 @@
             "usual_delay_ms": u64::try_from(self.pressure.usual().as_millis()).unwrap_or(u64::MAX),
             "orders_under_way": self.pressure.under_way(), "orders_window": self.pressure.window(),
             "open_jobs": self.log_state.open().len(), "runs": self.runs.len(),
-            "waiting": self.dump_waits(DUMPED, now), "kept": self.reserved_worker(),
+            "waiting": self.dump_waits(DUMP_MAX, now), "kept": self.reserved_worker(),
             "jobs": jobs.collect::<Vec<_>>(), "workers": workers.collect::<Vec<_>>(),
         })
     }
--- a/ashtiller/src/workflow/core/evacuation.rs
+++ b/ashtiller/src/workflow/core/evacuation.rs
@@ -1,8 +1,7 @@
-//! Availability zones under evacuation: their workers get no new runs, and what runs there
-//! goes on.
+//! Availability zones under evacuation: their workers get no new runs, and existing runs continue.
 //!
-//! Nothing of this is in the log. Each owner goes by operators' entries, and starts nothing
-//! while its reading of them is too old: a zone may have been evacuated since.
+//! None of this is in the log. Each owner relies on the operators' entries in the store and starts
+//! nothing while its reading of them is outdated, because a zone may have been evacuated since.
 
 use std::time::Duration;
 
@@ -13,16 +12,16 @@
 use crate::workflow::relay;
 use crate::workflow::worker::Worker;
 
-/// Operators' entries as this owner last heard of them.
+/// The operators' entries as this owner last read them.
 #[derive(Debug, Default)]
 pub(super) struct Evacuation {
     zones: Zones,
-    /// When the newest reading came, and how old it was then.
+    /// When the newest reading arrived, and its age at that time.
     read: Option<(Duration, Duration)>,
 }
 
 impl Evacuation {
-    /// Age of the newest reading.
+    /// Returns the age of the newest reading.
     fn age(&self, now: Duration) -> Option<Duration> {
         let (at, age) = self.read?;
         Some(now.saturating_sub(at) + age)
@@ -30,7 +29,7 @@
 }
 
 impl Core {
-    /// Exactly these zones were under evacuation `age` ago.
+    /// Records the zones that were under evacuation `age` ago.
     pub fn note_evacuations(&mut self, zones: &Zones, age: Duration, now: Now) {
         self.evacuation.read = Some((now.at, age));
         if self.evacuation.zones == *zones {
@@ -55,49 +54,55 @@
         self.needs_planning = true;
     }
 
-    /// Whether a worker's zone is under evacuation.
+    /// Returns whether a worker's zone is under evacuation.
     pub(super) fn is_evacuated(&self, worker: &Worker) -> bool {
         self.evacuation.zones.contains_key(&worker.listed.zone)
     }
 
-    /// Zones under evacuation.
+    /// Returns the zones under evacuation.
     pub(super) fn evacuated_zones(&self) -> &Zones {
         &self.evacuation.zones
     }
 
-    /// Age of what is known of evacuations.
+    /// Returns the age of the newest reading of evacuations.
     pub(super) fn evacuation_age(&self, now: Now) -> Option<Duration> {
         self.evacuation.age(now.at)
     }
 
-    /// Whether a start that is ordered now reaches its worker, also over a relay, before a zone
-    /// that was evacuated right after the last reading must get no more.
+    /// Returns whether a start ordered now, possibly over a relay, arrives before the bound within
+    /// which a zone evacuated right after the last reading must stop receiving starts.
     pub(super) fn is_evacuation_known(&self, now: Now) -> bool {
         let Some(bound) = self.terms.evacuation else {
             return true;
         };
-        let under_way = relay::MAX_QUEUE_DELAY + self.order_timeout();
+        let delay = relay::MAX_QUEUE_DELAY + self.order_timeout();
         self.evacuation_age(now)
-            .is_some_and(|age| age + under_way < bound)
+            .is_some_and(|age| age + delay < bound)
     }
 
     /// Withdraws runs that have not begun on workers of evacuated zones, so that they begin
-    /// elsewhere. A worker that has answered this owner lists what an earlier one started.
+    /// elsewhere. Only workers that have answered this owner are considered, as they list what an
+    /// earlier owner started.
     pub(super) fn withdraw_starts(&mut self, now: Now) {
         if self.evacuation.zones.is_empty() {
             return;
         }
-        let open = |worker: &&Worker| worker.fenced && worker.answers && self.is_evacuated(worker);
-        let runs = self.workers.values().filter(open).flat_map(|it| &it.runs);
-        let waiting = runs.filter(|run| {
+        let in_evacuated_zone =
+            |worker: &&Worker| worker.fenced && worker.answers && self.is_evacuated(worker);
+        let runs = self
+            .workers
+            .values()
+            .filter(in_evacuated_zone)
+            .flat_map(|it| &it.runs);
+        let unstarted = runs.filter(|run| {
             self.runs.get(run).is_some_and(|live| {
                 live.stop == Stop::None
                     && !live.ordering
                     && !matches!(live.stage, Stage::Started(_))
             })
         });
-        let waiting: Vec<Run> = waiting.copied().collect();
-        for run in waiting {
+        let unstarted: Vec<Run> = unstarted.copied().collect();
+        for run in unstarted {
             tracing::info!(task = %run.task, run = run.number,
                 age_ms = self.evacuation_age(now).unwrap_or_default().as_millis(),
                 "start is withdrawn: the availability zone is evacuated");
--- a/ashtiller/src/workflow/core/fences.rs
+++ b/ashtiller/src/workflow/core/fences.rs
@@ -1,9 +1,10 @@
-//! The fence of calls to each worker.
+//! Fencing tokens of the calls to each worker.
 //!
-//! An owner's epoch keeps out calls of earlier owners. Within its own time it raises the fence at a
-//! worker after each call that failed, so that whatever life takes a later one carries out none of
-//! before: a worker that starts again under its id knows nothing of them. Any revision of the store
-//! at which the owner held the log will do: a later owner's epoch is higher.
+//! An owner's epoch fences off calls of earlier owners. During its own term the owner raises the
+//! fence of a worker after each failed call, so that whichever incarnation receives a later call
+//! rejects the earlier ones: a worker that restarts under its id remembers none of them. Any store
+//! revision at which the owner held the log can serve as the new fence, because the epoch of a
+//! later owner is higher.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,82 +13,82 @@
 use crate::workflow::core::{Core, Now};
 use crate::workflow::incarnation::Incarnation;
 
-/// Time after a fence rose for which answers to calls of before come.
-const SETTLES: Duration = Duration::from_secs(3);
-/// Workers whose fences are kept apart; some 100 bytes each.
-const APART_MAX: usize = 10_000;
+/// Time after raising a fence during which replies to earlier calls may still arrive.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Limit of workers with a fence of their own; each takes some 100 bytes.
+const RAISED_MAX: usize = 10_000;
 
-/// A fence that has risen.
+/// A raised fence and the time at which it was raised.
 #[derive(Clone, Copy, Debug)]
-struct Raised {
+struct RaisedFence {
     fence: u64,
     at: Duration,
 }
 
-/// Fences of the calls to workers.
+/// Fencing tokens of the calls to workers.
 #[derive(Debug)]
 pub(super) struct Fences {
-    /// Fence where none has risen.
-    least: u64,
+    /// Lower bound of all fences, which applies where none was raised.
+    floor: u64,
     /// Newest revision of the store that is lower than the epoch of any later owner.
-    newest: u64,
-    /// By the worker's id: calls to any of its lives may come to the one that is there.
-    raised: HashMap<Arc<str>, Raised>,
+    newest_revision: u64,
+    /// Raised fences by worker id, since a call to any incarnation may reach the current one.
+    raised: HashMap<Arc<str>, RaisedFence>,
 }
 
 impl Fences {
-    /// Those of an owner at this epoch.
+    /// Returns the fences of an owner with this epoch.
     pub fn new(epoch: u64) -> Self {
         Self {
-            least: epoch,
-            newest: epoch,
+            floor: epoch,
+            newest_revision: epoch,
             raised: HashMap::new(),
         }
     }
 
-    /// The fence of calls to a worker.
-    pub fn of(&self, life: &Incarnation) -> u64 {
-        let raised = self.raised.get(life.id());
-        raised.map_or(self.least, |it| it.fence.max(self.least))
+    /// Returns the fence of calls to a worker.
+    pub fn of(&self, incarnation: &Incarnation) -> u64 {
+        let raised = self.raised.get(incarnation.id());
+        raised.map_or(self.floor, |it| it.fence.max(self.floor))
     }
 
-    fn raise(&mut self, life: &Incarnation, now: Duration) {
-        if self.newest <= self.of(life) {
+    fn raise(&mut self, incarnation: &Incarnation, now: Duration) {
+        if self.newest_revision <= self.of(incarnation) {
             return;
         }
-        if self.raised.len() >= APART_MAX {
+        if self.raised.len() >= RAISED_MAX {
             let fences = self.raised.values().map(|it| it.fence);
-            self.least = fences.fold(self.least, u64::max);
+            self.floor = fences.fold(self.floor, u64::max);
             self.raised.clear();
         }
-        let raised = Raised {
-            fence: self.newest,
+        let raised = RaisedFence {
+            fence: self.newest_revision,
             at: now,
         };
-        self.raised.insert(life.id().into(), raised);
+        self.raised.insert(incarnation.id().into(), raised);
     }
 
-    /// Whether calls to a worker may be under way that its risen fence keeps out.
-    fn is_settling(&self, life: &Incarnation, now: Duration) -> bool {
-        let raised = self.raised.get(life.id());
-        raised.is_some_and(|it| now < it.at + SETTLES)
+    /// Returns whether calls that the raised fence rejects may still be in flight.
+    fn is_settling(&self, incarnation: &Incarnation, now: Duration) -> bool {
+        let raised = self.raised.get(incarnation.id());
+        raised.is_some_and(|it| now < it.at + SETTLE_TIME)
     }
 }
 
 impl Core {
-    /// A revision of the store was seen that is lower than the epoch of any later owner.
+    /// Records a store revision that is lower than the epoch of any later owner.
     pub fn note_revision(&mut self, revision: u64) {
-        self.fences.newest = self.fences.newest.max(revision);
+        self.fences.newest_revision = self.fences.newest_revision.max(revision);
     }
 
-    /// A call to a worker failed, or was answered by another life than the one that was meant.
-    pub(super) fn raise_fence(&mut self, life: &Incarnation, now: Now) {
-        self.fences.raise(life, now.at);
+    /// Raises the fence of a worker after a call that failed or that another incarnation answered.
+    pub(super) fn raise_fence(&mut self, incarnation: &Incarnation, now: Now) {
+        self.fences.raise(incarnation, now.at);
     }
 
-    /// A worker knows a higher fence than that of a call: a later owner's, or one of this owner
-    /// that passed the call on its way.
-    pub(super) fn note_fenced_reply(&mut self, life: &Incarnation, now: Now) {
-        self.superseded |= !self.fences.is_settling(life, now.at);
+    /// Handles a call rejected for its fence. The worker knows a higher one: that of a later owner,
+    /// or one of this owner whose call overtook the rejected one.
+    pub(super) fn note_fenced_reply(&mut self, incarnation: &Incarnation, now: Now) {
+        self.superseded |= !self.fences.is_settling(incarnation, now.at);
     }
 }
--- a/ashtiller/src/workflow/core/incarnations.rs
+++ b/ashtiller/src/workflow/core/incarnations.rs
@@ -1,4 +1,4 @@
-//! The end of a worker's life, whatever tells of it, and the beginning of the next.
+//! Changes of a worker's incarnation: what ends the old one, and how the next one takes over.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -14,141 +14,156 @@
 use crate::workflow::record::{End, Run};
 use crate::workflow::worker::{LATE_MAX, LateRun, Worker};
 
-/// Time for which an entry that names a life which is not there is passed over: long against
-/// the moment in which a new life is listed before it answers.
-const STRANGER_PAUSE: Duration = Duration::from_secs(5);
-/// Such entries that are remembered; some 300 bytes each.
-const STRANGERS_MAX: usize = 1000;
+/// How long an entry that names an incarnation that is not there is ignored. This is much longer
+/// than the moment between the listing of a new incarnation and its first reply.
+const STALE_ENTRY_PAUSE: Duration = Duration::from_secs(5);
+/// Limit of such entries that are remembered; each takes some 300 bytes.
+const STALE_ENTRIES_MAX: usize = 1000;
 
-/// Lives of the worker with this id among others.
+/// Returns the incarnations of the worker with this id among the keys of a map.
 pub(super) fn incarnations_of_id<T>(
-    lives: &BTreeMap<Incarnation, T>,
+    incarnations: &BTreeMap<Incarnation, T>,
     id: &str,
 ) -> Vec<Incarnation> {
     let from = (Bound::Included(id), Bound::Unbounded);
-    let near = lives.range::<str, _>(from).map(|(life, _)| life);
-    let near = near.take_while(|life| life.as_str().starts_with(id));
-    near.filter(|life| life.id() == id).cloned().collect()
+    let near = incarnations
+        .range::<str, _>(from)
+        .map(|(incarnation, _)| incarnation);
+    let near = near.take_while(|incarnation| incarnation.as_str().starts_with(id));
+    near.filter(|incarnation| incarnation.id() == id)
+        .cloned()
+        .collect()
 }
 
 impl Core {
-    /// Known lives of the worker with this id.
-    fn kin_of(&self, id: &str) -> Vec<Incarnation> {
+    /// Returns the known incarnations of the worker with this id.
+    fn incarnations_of(&self, id: &str) -> Vec<Incarnation> {
         incarnations_of_id(&self.workers, id)
     }
 
-    /// Whether an entry lacks the birth that its worker has. Another writer may have put it in
-    /// the place of the worker's own, so it says nothing new of it.
+    /// Returns whether an entry lacks the incarnation number that its worker is known to have.
+    /// Another writer may have put it in the place of the worker's own entry, so it says nothing
+    /// new about the worker.
     pub(super) fn lacks_incarnation(&self, listed: &ListedWorker) -> bool {
-        let kin = || self.kin_of(listed.incarnation.id());
-        listed.incarnation.born().is_none() && kin().iter().any(|life| life.born().is_some())
+        let incarnations = || self.incarnations_of(listed.incarnation.id());
+        listed.incarnation.born().is_none()
+            && incarnations()
+                .iter()
+                .any(|incarnation| incarnation.born().is_some())
     }
 
-    /// The platform does not list any life of the worker with this id any more.
+    /// Records that the platform no longer lists any incarnation of the worker with this id.
     pub fn unlist_id(&mut self, id: &str, now: Now) {
-        for life in self.kin_of(id) {
-            self.unlist_worker(&life, now);
+        for incarnation in self.incarnations_of(id) {
+            self.unlist_worker(&incarnation, now);
         }
     }
 
-    /// Other lives of the worker or of the machine that an entry names, or at its address.
-    fn find_former_lives(&self, listed: &ListedWorker) -> Vec<Incarnation> {
-        let is_there = |life: &&Incarnation| {
-            self.workers.get(*life).is_some_and(|worker| {
+    /// Returns the other incarnations of the worker, of its machine, or at its address.
+    fn find_former_incarnations(&self, listed: &ListedWorker) -> Vec<Incarnation> {
+        let at_place = |incarnation: &&Incarnation| {
+            self.workers.get(*incarnation).is_some_and(|worker| {
                 let same = listed.machine.is_some() && worker.listed.machine == listed.machine;
                 same || worker.listed.address == listed.address
             })
         };
-        let there = self.places.find(listed).filter(is_there).cloned();
-        let mut former: Vec<Incarnation> =
-            there.chain(self.kin_of(listed.incarnation.id())).collect();
+        let there = self.places.find(listed).filter(at_place).cloned();
+        let mut former: Vec<Incarnation> = there
+            .chain(self.incarnations_of(listed.incarnation.id()))
+            .collect();
         former.sort_unstable();
         former.dedup();
-        former.retain(|life| *life != listed.incarnation);
+        former.retain(|incarnation| *incarnation != listed.incarnation);
         former
     }
 
-    /// Begins to know a life of a worker.
+    /// Adds an incarnation of a worker.
     pub(super) fn add_worker(&mut self, worker: Worker) {
         self.places.note(&worker.listed);
         self.workers.insert(worker.incarnation().clone(), worker);
     }
 
-    /// Ceases to know a life of a worker.
-    pub(super) fn remove_worker(&mut self, life: &Incarnation) -> Option<Worker> {
-        let worker = self.workers.remove(life)?;
+    /// Removes an incarnation of a worker.
+    pub(super) fn remove_worker(&mut self, incarnation: &Incarnation) -> Option<Worker> {
+        let worker = self.workers.remove(incarnation)?;
         self.places.forget(&worker.listed);
-        self.summaries.remove(life);
+        self.summaries.remove(incarnation);
         Some(worker)
     }
 
-    /// Another life is listed where workers were: they are looked at. Anyone may have written
-    /// the entry, so that it alone ends nothing.
+    /// Polls the known workers at the place where another incarnation is listed. Anyone may have
+    /// written the entry, so it alone does not end them.
     pub(super) fn poll_former_incarnations(&mut self, listed: &ListedWorker, now: Now) {
-        for life in self.find_former_lives(listed) {
-            if let Some(worker) = self.workers.get_mut(&life) {
+        for incarnation in self.find_former_incarnations(listed) {
+            if let Some(worker) = self.workers.get_mut(&incarnation) {
                 worker.next_poll = worker.next_poll.min(now.at);
-                worker.replaced |= life.is_same_worker(&listed.incarnation);
+                worker.replaced |= incarnation.is_same_worker(&listed.incarnation);
             }
         }
     }
 
-    /// Runs of an earlier owner may be on a former life of a worker that is listed, which was
-    /// over before this owner heard of it. A look tells.
+    /// Adds former incarnations of a listed worker that runs of an earlier owner are placed on.
+    /// They may have ended before this owner learned of them, which a poll tells.
     pub(super) fn add_former_incarnations(&mut self, listed: &ListedWorker, now: Now) {
-        for life in self.adopted.incarnations_of_id(listed.incarnation.id()) {
-            if self.workers.contains_key(&life) {
+        for incarnation in self.adopted.incarnations_of_id(listed.incarnation.id()) {
+            if self.workers.contains_key(&incarnation) {
                 continue;
             }
             let known = ListedWorker {
-                incarnation: life.clone(),
+                incarnation: incarnation.clone(),
                 ..listed.clone()
             };
             let mut worker = Worker::new(known, self.earlier_leases_end());
             worker.absent = Some(now.at);
             worker.replaced = true;
             self.add_worker(worker);
-            self.seat_adopted(&life);
+            self.allocate_adopted_runs(&incarnation);
         }
     }
 
-    /// Whether an entry names a life that was not found where it says, a moment ago.
+    /// Returns whether an entry names an incarnation that was recently not found at its address.
     pub(super) fn is_stale_entry(&self, listed: &ListedWorker, now: Now) -> bool {
         let known = self.stale_entries.get(&listed.incarnation);
         known.is_some_and(|(entry, until)| entry == listed && now.at < *until)
     }
 
-    /// Another life answers for one whose entry is wrong, or older than what answers.
-    fn note_stranger(&mut self, life: &Incarnation, now: Now) {
-        let Some(worker) = self.workers.get(life) else {
+    /// Remembers an entry that is wrong or older than the incarnation that answered in its place.
+    fn note_stale_entry(&mut self, incarnation: &Incarnation, now: Now) {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
-        if self.stale_entries.len() >= STRANGERS_MAX {
+        if self.stale_entries.len() >= STALE_ENTRIES_MAX {
             self.stale_entries.clear();
         }
-        let entry = (worker.listed.clone(), now.at + STRANGER_PAUSE);
-        let fresh = self.stale_entries.insert(life.clone(), entry).is_none();
+        let entry = (worker.listed.clone(), now.at + STALE_ENTRY_PAUSE);
+        let fresh = self
+            .stale_entries
+            .insert(incarnation.clone(), entry)
+            .is_none();
         if fresh && !worker.fenced {
-            tracing::warn!(worker = %life, address = %worker.listed.address,
-                "entry names a life that is not there");
+            tracing::warn!(worker = %incarnation, address = %worker.listed.address,
+                "entry names an incarnation that is not there");
         }
     }
 
-    /// Another life has answered for a worker; `next` when it said which.
+    /// Handles the reply of another incarnation than the one addressed; `next` is set if it named
+    /// itself.
     pub(super) fn note_other_incarnation(
         &mut self,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         next: Option<Incarnation>,
         now: Now,
     ) {
-        let Some(worker) = self.workers.get(life) else {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
-        let Some(next) = next.filter(|next| next.is_same_worker(life) && next != life) else {
+        let Some(next) =
+            next.filter(|next| next.is_same_worker(incarnation) && next != incarnation)
+        else {
             if !worker.fenced {
-                self.note_stranger(life, now);
+                self.note_stale_entry(incarnation, now);
             }
-            self.lose_worker(life, "another life answered", now);
+            self.lose_worker(incarnation, "another incarnation answered", now);
             return;
         };
         if !self.workers.contains_key(&next) {
@@ -158,40 +173,46 @@
                 remaining: None,
                 ..worker.listed.clone()
             };
-            let mut fresh = Worker::new(listed, self.answered_bound(now));
-            // It gets nothing before its own entry says what it has.
+            let mut fresh = Worker::new(listed, self.answered_leases_end(now));
+            // Nothing is placed on it before its own entry tells its capacity.
             fresh.absent = Some(now.at);
             self.add_worker(fresh);
         }
-        self.note_stranger(life, now);
-        self.succeed(life, &next, now);
+        self.note_stale_entry(incarnation, now);
+        self.replace_incarnation(incarnation, &next, now);
     }
 
-    /// A worker that answers in a new life runs nothing of its former ones.
-    pub(super) fn end_former_incarnations(&mut self, life: &Incarnation, now: Now) {
-        let Some(listed) = self.workers.get(life).map(|worker| worker.listed.clone()) else {
+    /// Ends the former incarnations of a worker that has answered; nothing runs on them any more.
+    pub(super) fn end_former_incarnations(&mut self, incarnation: &Incarnation, now: Now) {
+        let Some(listed) = self
+            .workers
+            .get(incarnation)
+            .map(|worker| worker.listed.clone())
+        else {
             return;
         };
-        for former in self.find_former_lives(&listed) {
-            if former.is_same_worker(life) {
-                self.note_stranger(&former, now);
-                self.succeed(&former, life, now);
+        for former in self.find_former_incarnations(&listed) {
+            if former.is_same_worker(incarnation) {
+                self.note_stale_entry(&former, now);
+                self.replace_incarnation(&former, incarnation, now);
             } else {
                 self.lose_worker(&former, "came back under another id", now);
             }
         }
     }
 
-    /// A worker without births has started again: what it says is of another life.
-    pub(super) fn restart_in_place(&mut self, life: &Incarnation, now: Now) {
+    /// Handles the restart of a worker whose entries carry no incarnation number: its reports are
+    /// those of another incarnation.
+    pub(super) fn restart_in_place(&mut self, incarnation: &Incarnation, now: Now) {
         let entry = |it: &Worker| (it.entered, it.absent, it.draining);
-        let entry = self.workers.get(life).map(entry);
-        self.succeed(life, life, now);
-        // Ends of the former life, which the log has by then.
-        self.deferred
-            .retain(|(_, then)| !matches!(then, OnDurable::Acknowledge(of, _) if of == life));
-        // An entry without a birth is of whichever life is there.
-        if let Some(worker) = self.workers.get_mut(life)
+        let entry = self.workers.get(incarnation).map(entry);
+        self.replace_incarnation(incarnation, incarnation, now);
+        // These ends belong to the former incarnation, and are in the log by then.
+        self.deferred.retain(
+            |(_, then)| !matches!(then, OnDurable::Acknowledge(of, _) if of == incarnation),
+        );
+        // An entry without an incarnation number belongs to whichever incarnation is there.
+        if let Some(worker) = self.workers.get_mut(incarnation)
             && let Some(entry) = entry
         {
             (worker.entered, worker.absent, worker.draining) = entry;
@@ -199,28 +220,29 @@
         }
     }
 
-    /// Leases that were granted to a life that has just answered end by this time, those that were
-    /// meant for the life before among them.
-    fn answered_bound(&self, now: Now) -> Duration {
+    /// Returns when all leases have ended that were granted to an incarnation that has just
+    /// answered, those meant for its predecessor included.
+    fn answered_leases_end(&self, now: Now) -> Duration {
         let bound = now.at + lease::worst_case_elapsed(self.terms.hold);
         bound.max(self.earlier_leases_end())
     }
 
-    /// A worker has started again under its id. Nothing of its former life runs, but a start
-    /// that was sent to it may still be carried out by the next, which the id alone does not
-    /// keep from doing so: such runs are stopped there before their tasks start elsewhere.
-    fn succeed(&mut self, former: &Incarnation, next: &Incarnation, now: Now) {
+    /// Replaces a worker's incarnation by the next one under the same id. Nothing of the former one
+    /// runs any more, but a start that was sent to it may still be carried out by the next one, as
+    /// the id alone does not prevent that. Such runs are stopped there before their tasks start
+    /// elsewhere.
+    fn replace_incarnation(&mut self, former: &Incarnation, next: &Incarnation, now: Now) {
         let Some(worker) = self.workers.get(former) else {
             return;
         };
-        // Where entries have no births, answers may.
-        let learned = !worker.fenced && former.born().is_none() && former != next;
+        // Replies may carry an incarnation number where entries do not.
+        let number_learned = !worker.fenced && former.born().is_none() && former != next;
         let runs: Vec<Run> = worker.runs.iter().copied().collect();
         let (moved, lost): (Vec<Run>, Vec<Run>) = runs
             .into_iter()
-            .partition(|run| learned || self.may_still_begin(*run, now));
+            .partition(|run| number_learned || self.may_still_begin(*run, now));
         let acknowledged = worker.ends_recorded;
-        let guilty = if learned {
+        let culprit = if number_learned {
             None
         } else {
             self.note_crash(former, now)
@@ -228,7 +250,7 @@
         let Some(mut old) = self.remove_worker(former) else {
             return;
         };
-        if !learned {
+        if !number_learned {
             self.counts.restarts += 1;
             tracing::warn!(
                 worker = former.id(),
@@ -240,11 +262,11 @@
                 silent_ms = old
                     .missed
                     .map_or(0, |since| now.at.saturating_sub(since).as_millis()),
-                "worker has started again under its id"
+                "worker has restarted under its id"
             );
         }
         self.raise_fence(next, now);
-        let bound = self.answered_bound(now);
+        let bound = self.answered_leases_end(now);
         if !self.workers.contains_key(next) {
             self.add_worker(Worker::new(old.listed.clone(), bound));
         }
@@ -255,16 +277,16 @@
             self.end_run(run, End::Lost, &Arc::from(""), now);
         }
         for run in moved {
-            self.move_to_next(run, next, !learned);
+            self.move_to_next_incarnation(run, next, !number_learned);
         }
-        if let Some(task) = guilty {
+        if let Some(task) = culprit {
             self.fail_crashing_job(task, now);
         }
         self.needs_planning = true;
     }
 
-    /// Whether a start of a run may be carried out later, by a life that knows nothing of it:
-    /// the former one never listed the run, or a start was not answered.
+    /// Returns whether a start of a run may still be carried out by an incarnation that does not
+    /// know the run: the former one never listed it, or a start was not answered.
     fn may_still_begin(&self, run: Run, now: Now) -> bool {
         let Some(live) = self.runs.get(&run) else {
             return false;
@@ -274,7 +296,7 @@
         live.sent > 0 && (adopted || in_doubt || live.began.is_none())
     }
 
-    fn move_to_next(&mut self, run: Run, next: &Incarnation, stop: bool) {
+    fn move_to_next_incarnation(&mut self, run: Run, next: &Incarnation, stop: bool) {
         let Some(mut live) = self.runs.remove(&run) else {
             return;
         };
@@ -294,8 +316,8 @@
         self.allocate(run, next);
     }
 
-    /// A run has ended here, and a start of it may still be carried out: not by this life, which
-    /// remembers the end, but by its next one.
+    /// Records an ended run whose unanswered start may still be carried out: not by this
+    /// incarnation, which remembers the end, but by the next one.
     pub(super) fn note_unconfirmed_start(&mut self, run: Run, live: &LiveRun, now: Now) {
         let Some(until) = live.in_doubt.filter(|until| now.at < *until) else {
             return;
@@ -309,10 +331,11 @@
         }
     }
 
-    /// Stops at a life that answers for the first time what may still come for the one before.
-    pub(super) fn stop_unconfirmed_starts(&mut self, life: &Incarnation, now: Now) {
-        let (limit, fence) = (self.order_timeout(), self.fences.of(life));
-        let Some(worker) = self.workers.get_mut(life) else {
+    /// Stops, on an incarnation that answers for the first time, the runs whose starts may still
+    /// arrive from the time of its predecessor.
+    pub(super) fn stop_unconfirmed_starts(&mut self, incarnation: &Incarnation, now: Now) {
+        let (limit, fence) = (self.order_timeout(), self.fences.of(incarnation));
+        let Some(worker) = self.workers.get_mut(incarnation) else {
             return;
         };
         let late = std::mem::take(&mut worker.late);
@@ -324,25 +347,25 @@
         }
     }
 
-    /// A worker's life is over: nothing of it runs.
-    pub(super) fn lose_worker(&mut self, life: &Incarnation, cause: &str, now: Now) {
-        let Some(worker) = self.workers.get(life) else {
+    /// Ends a worker's incarnation: all runs on it are lost.
+    pub(super) fn lose_worker(&mut self, incarnation: &Incarnation, cause: &str, now: Now) {
+        let Some(worker) = self.workers.get(incarnation) else {
             return;
         };
         let runs: Vec<Run> = worker.runs.iter().copied().collect();
         tracing::info!(
-            worker = %life,
+            worker = %incarnation,
             cause,
             runs = runs.len(),
-            "worker's life is over"
+            "worker's incarnation has ended"
         );
-        let guilty = self.note_crash(life, now);
+        let culprit = self.note_crash(incarnation, now);
         for run in runs {
             self.end_run(run, End::Lost, &Arc::from(""), now);
         }
-        if let Some(task) = guilty {
+        if let Some(task) = culprit {
             self.fail_crashing_job(task, now);
         }
-        self.remove_worker(life);
+        self.remove_worker(incarnation);
     }
 }
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -1,8 +1,8 @@
-//! The owner of a log as a state machine, without clock, socket or random draw.
+//! The owner of a log as a deterministic state machine without clock, socket or random draw.
 //!
-//! Events come in through methods; [`Core::poll`] returns what to do next. Facts
-//! are applied as soon as they are decided and grouped into entries of the log;
-//! what depends on a fact waits in a queue until its entry is durable.
+//! Events come in through methods, and each step returns the effects to carry out. Records are
+//! applied as soon as they are decided and are batched into log entries. Whatever depends on a
+//! record is deferred until the entry that holds it is durable.
 
 mod admission;
 mod adopted_runs;
@@ -58,54 +58,54 @@
 use crate::workflow::tuning::Tuning;
 use crate::workflow::worker::Worker;
 
-/// Time between two looks through all workers for what is over.
+/// Time between two passes over all workers for expired leases, departed workers and other timers.
 const SWEEP: Duration = Duration::from_millis(20);
 
-/// Time on both clocks.
+/// A reading of both clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// On the monotonic clock.
+    /// Reading of the monotonic clock.
     pub at: Duration,
-    /// Milliseconds since the Unix epoch.
+    /// Wall clock in milliseconds since the Unix epoch.
     pub wall: u64,
 }
 
-/// Who waits for an answer.
+/// A handle of a caller that awaits a reply.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Ticket(pub u64);
 
-/// Something to do outside.
+/// An action that the state machine asks its driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Write an entry at this position of the log.
+    /// Appends an entry at this position of the log.
     Append(u64, Vec<LogRecord>),
-    /// Give a worker an order about a run.
+    /// Sends a worker an order about a run.
     Order(Target, Run, Order),
-    /// Look at a worker.
+    /// Polls a worker.
     Look(Target, Poll),
-    /// Ask the advisor which workers may run a step.
+    /// Asks the advisor which workers may run a step.
     Advise(AdviceRequest),
-    /// Give a machine an order.
+    /// Sends an order to a machine.
     Duty(Arc<str>, MachineOrder),
-    /// Answer who waits.
+    /// Replies to a waiting caller.
     Answer(Ticket, Reply),
 }
 
-/// Something that waits for an entry to be durable.
+/// A follow-up that is deferred until an entry is durable.
 #[derive(Clone, Debug)]
 enum OnDurable {
     Answer(Ticket, Reply),
     Acknowledge(Incarnation, u64),
 }
 
-/// Counts since this owner began.
+/// Counts since this owner took over.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
     /// Jobs accepted.
     pub accepted: u64,
     /// Runs placed.
     pub placed: u64,
-    /// Runs that did their work.
+    /// Runs that completed.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
@@ -113,23 +113,23 @@
     pub stopped: u64,
     /// Runs that were lost.
     pub lost: u64,
-    /// Looks at workers.
+    /// Polls of workers.
     pub looks: u64,
     /// Orders to workers.
     pub orders: u64,
     /// Entries written.
     pub entries: u64,
-    /// Workers that started again under their ids.
+    /// Workers that restarted under the same id.
     pub restarts: u64,
     /// Workers that crashed.
     pub crashes: u64,
-    /// Jobs given up because workers crash under one of their tasks.
+    /// Jobs failed because workers crash under one of their tasks.
     pub convicted: u64,
-    /// Tasks that are not suspected of crashing workers any more.
+    /// Tasks cleared of the suspicion of crashing workers.
     pub absolved: u64,
 }
 
-/// The owner of a log.
+/// The state machine of a log's owner.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a state of its own")]
 pub struct Core {
@@ -137,11 +137,11 @@
     epoch: u64,
     log_state: LogState,
     workers: BTreeMap<Incarnation, Worker>,
-    /// Where lives of workers were seen.
+    /// Incarnations of workers by address and machine.
     places: location_index::LocationIndex,
     runs: BTreeMap<Run, LiveRun>,
-    /// Runs of earlier owners whose workers were not listed yet.
-    adopted: adopted_runs::Adopted,
+    /// Runs of earlier owners whose workers are not listed yet.
+    adopted: adopted_runs::AdoptedRuns,
     config: Arc<Config>,
     arrivals: Vec<(Job, Vec<Ticket>)>,
     pending: Vec<LogRecord>,
@@ -155,21 +155,21 @@
     workers_to_wake: BTreeSet<Incarnation>,
     needs_planning: bool,
     last_planning: Duration,
-    /// Steps that waited in the last round of placing.
+    /// Steps that waited in the last placement round.
     backlog: u32,
     awaits_unlisted_workers: bool,
     last_sweep: Duration,
     superseded: bool,
     fences: fences::Fences,
     began: Duration,
-    /// Since when no earlier owner grants leases.
+    /// When it became certain that no earlier owner grants leases.
     former_owner_ended_at: Option<Duration>,
     store_returned_at: Option<Duration>,
-    /// As of when the list of workers was last known to be whole.
+    /// Time as of which the list of workers was last known to be complete.
     listed_at: Duration,
     /// Availability zones under evacuation.
     evacuation: evacuation::Evacuation,
-    /// Since when starts wait.
+    /// The current hold on starts, if any.
     start_hold: Option<start_hold::StartHold>,
     effects: Vec<Effect>,
     advised: BTreeMap<StepKey, AdviceState>,
@@ -177,49 +177,57 @@
     load_tracks: BTreeMap<u32, HeadroomHistory>,
     interference: Interference,
     summaries: candidates::CandidateCache,
-    /// How much may be under way at workers.
+    /// Limits on outstanding calls to workers.
     pressure: Congestion,
-    /// Whether answers waited in a queue when that was last looked at.
-    workers_queueing: bool,
-    /// Workers for which there is an order, as of `lined`.
+    /// Whether replies were queueing at most workers when that was last checked.
+    was_congested: bool,
+    /// Workers with an order to send, as of `order_queue_built_at`.
     order_queue: VecDeque<Incarnation>,
     order_queue_built_at: Duration,
-    /// When looks that are due were last searched for.
+    /// When workers were last scanned for due polls.
     last_poll_scan: Duration,
-    /// Lasting steps that wait although there was room, by job, time and step.
+    /// Long-running steps that wait although there was capacity, by job, occurrence and step.
     passed_over: BTreeMap<StepKey, starvation::StarvationTracker>,
     reserved: Option<starvation::WorkerReservation>,
-    /// Workers whose runs have left room since the last round, while lasting steps wait.
+    /// Workers on which runs have freed capacity since the last round while long-running steps
+    /// wait.
     freed_workers: BTreeSet<Incarnation>,
-    /// When it was last said of a step that it waits.
+    /// When the wait of a step was last logged.
     wait_logged_at: BTreeMap<StepKey, Duration>,
-    /// When a step that is too late last went first.
+    /// When an overdue step was last placed first.
     last_rescue: Duration,
     services: BTreeSet<Arc<str>>,
     ledger: times::JobTimings,
-    /// Times of jobs that ended, until they are counted.
+    /// Times of ended jobs that are not counted yet.
     ended_job_times: Vec<times::TimeBreakdown>,
     lessons_recorded_at: Duration,
-    /// Entries that name a life which is not there, passed over until then.
+    /// Entries that name an incarnation that is not there, with the time until which each is
+    /// ignored.
     stale_entries: BTreeMap<Incarnation, (ListedWorker, Duration)>,
-    /// Crashes of workers a moment ago.
+    /// Recent crashes of workers.
     crashes: crash_record::CrashRecord,
     counts: Counts,
 }
 
 impl Core {
-    /// Begins to own a log whose next position is `position`, fenced at `epoch`.
+    /// Takes over a log whose next position is `position`, with fence `epoch`.
     #[must_use]
-    pub fn new(terms: Tuning, epoch: u64, mut book: LogState, position: u64, now: Now) -> Self {
-        book.index(now.at);
+    pub fn new(
+        terms: Tuning,
+        epoch: u64,
+        mut log_state: LogState,
+        position: u64,
+        now: Now,
+    ) -> Self {
+        log_state.index(now.at);
         let mut core = Self {
             terms,
             epoch,
-            log_state: book,
+            log_state,
             workers: BTreeMap::new(),
             places: location_index::LocationIndex::default(),
             runs: BTreeMap::new(),
-            adopted: adopted_runs::Adopted::default(),
+            adopted: adopted_runs::AdoptedRuns::default(),
             config: Arc::default(),
             arrivals: Vec::new(),
             pending: Vec::new(),
@@ -251,7 +259,7 @@
             interference: Interference::default(),
             summaries: candidates::CandidateCache::default(),
             pressure: Congestion::default(),
-            workers_queueing: false,
+            was_congested: false,
             order_queue: VecDeque::new(),
             order_queue_built_at: now.at,
             last_poll_scan: now.at,
@@ -273,7 +281,7 @@
         core
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Applies a configuration unless a newer one is in force.
     pub fn set_config(&mut self, config: Arc<Config>) {
         if config.version > self.config.version || self.config.queues.is_empty() {
             self.config = config;
@@ -281,100 +289,100 @@
         }
     }
 
-    /// Counts since this owner began.
+    /// Returns the counts since this owner took over.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The book, for a snapshot or a dump.
+    /// Returns the replicated state, for a snapshot or a dump.
     #[must_use]
     pub fn log_state(&self) -> &LogState {
         &self.log_state
     }
 
-    /// Workers by id, for a dump.
+    /// Returns the known incarnations of workers, for a dump.
     #[must_use]
     pub fn workers(&self) -> &BTreeMap<Incarnation, Worker> {
         &self.workers
     }
 
-    /// The fence of this owner.
+    /// Returns the fencing epoch of this owner.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Position of the newest durable entry.
+    /// Returns the position of the newest durable entry.
     #[must_use]
     pub fn durable_position(&self) -> u64 {
         self.durable
     }
 
-    /// Whether the store has kept this owner waiting for too long.
+    /// Returns whether the store has kept an append waiting for longer than the stall limit.
     #[must_use]
     pub fn is_stalled(&self, now: Now) -> bool {
         self.stalled_for(now) > self.terms.stall
     }
 
-    /// Whether all that was decided is durable.
+    /// Returns whether all decided records are durable.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.pending.is_empty() && self.in_flight.is_none()
     }
 
-    /// Whether a worker has heard a later owner.
+    /// Returns whether a worker has heard from a later owner.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// How long the entry under way has waited for the store.
+    /// Returns how long the entry in flight has been waiting for the store.
     #[must_use]
     pub fn stalled_for(&self, now: Now) -> Duration {
         self.in_flight
             .map_or(Duration::ZERO, |(_, since)| now.at.saturating_sub(since))
     }
 
-    /// Everybody who waits for an answer, for when this owner ends.
+    /// Returns all callers that await a reply, to be answered when this owner ends.
     #[must_use]
     pub fn waiting(&self) -> Vec<Ticket> {
-        let answers = self.deferred.iter().filter_map(|(_, then)| match then {
+        let tickets = self.deferred.iter().filter_map(|(_, then)| match then {
             OnDurable::Answer(ticket, _) => Some(*ticket),
             OnDurable::Acknowledge(..) => None,
         });
-        answers.collect()
+        tickets.collect()
     }
 
-    /// How long answers of workers take, and what follows from it.
+    /// Returns the reply delays of workers and the limits derived from them.
     #[must_use]
     pub fn pressure(&self) -> &Congestion {
         &self.pressure
     }
 
-    /// How long ago ownership was proved.
+    /// Returns the time since ownership was last proved.
     fn proof_age(&self, now: Now) -> Duration {
         now.at.saturating_sub(self.ownership_proved_at)
     }
 
-    /// Whether leases may still be renewed: ownership was proved not long ago.
+    /// Returns whether leases may still be renewed: ownership was proved less than `horizon` ago.
     fn may_renew(&self, now: Now) -> bool {
         self.proof_age(now) < self.terms.horizon
     }
 
-    /// Does what is due and returns what is to be done outside.
+    /// Runs all due work and returns the effects to carry out.
     pub fn poll(&mut self, now: Now) -> Vec<Effect> {
         if now.at >= self.last_sweep + SWEEP {
             self.last_sweep = now.at;
             self.pressure.forget_old(now.at);
-            self.log_pressure();
+            self.log_congestion();
             self.expire_leases(now);
             self.clear_surviving_suspects(now);
             self.forget_absent_workers(now);
             self.drain_leaving_workers(now);
             self.withdraw_starts(now);
-            self.open_rounds(now);
-            self.drive_waves(now);
+            self.open_due_occurrences(now);
+            self.advance_waves(now);
         }
         self.resume_starts(now);
         self.refuse_arrivals(now);
@@ -384,10 +392,10 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Says when answers of most workers begin or cease to wait in a queue.
-    fn log_pressure(&mut self) {
+    /// Logs when replies of most workers begin or cease to queue.
+    fn log_congestion(&mut self) {
         let queued = self.pressure.is_congested();
-        if std::mem::replace(&mut self.workers_queueing, queued) == queued {
+        if std::mem::replace(&mut self.was_congested, queued) == queued {
             return;
         }
         tracing::info!(
@@ -395,11 +403,11 @@
             window = self.pressure.window(),
             under_way = self.pressure.under_way(),
             queued,
-            "delay of most workers has changed"
+            "reply delay of most workers has changed"
         );
     }
 
-    fn open_rounds(&mut self, now: Now) {
+    fn open_due_occurrences(&mut self, now: Now) {
         let wall = now.wall.saturating_sub(self.terms.clock_slack);
         self.needs_planning |= self.log_state.open_due_occurrences(wall);
     }
@@ -418,7 +426,8 @@
     }
 }
 
-/// How runs of a step share their worker, and the processors that they ask for.
+/// Returns how runs of a step share their worker and the processors that they request, in
+/// thousandths.
 fn share_of(interference: &mut Interference, step: &Step) -> (RunSharing, f64) {
     let unnamed = Arc::from("");
     let image = interference.number(step.image.as_ref().unwrap_or(&unnamed));
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that go out to workers, and the answers to them.
+//! Orders to workers and the replies to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use crate::workflow::record::{End, Run};
 use crate::workflow::worker::LATE_MAX;
 
-/// Pause before an unanswered order goes out again.
-const RETRY: Duration = Duration::from_millis(60);
-/// Pause before an order that the worker refused for the moment goes out again.
-const RETRY_BUSY: Duration = Duration::from_millis(250);
-/// Starts that may go unanswered before the run is given up there.
+/// Delay before an unanswered order is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Delay before an order that the worker temporarily refused is sent again.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Unanswered starts after which a run is withdrawn from its worker.
 const UNANSWERED_MAX: u32 = 4;
-/// Part of the time for which a leaving worker takes starts that one order may take at most;
-/// the rest is for news of workers to come.
-const ORDER_SHARE: f64 = 0.4;
+/// Largest fraction of the drain time (for which a departing worker still accepts starts) that one
+/// order may take. The rest is left for the news of the departure to arrive.
+const ORDER_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// What a start that came to nothing speaks against.
+/// What a failed start is counted against.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Blame {
     Run,
@@ -31,7 +31,7 @@
 }
 
 impl Core {
-    /// How workers know a task.
+    /// Returns the name by which workers know a task.
     pub(super) fn task_name(&self, run: Run) -> Option<TaskName> {
         let job = self.log_state.jobs.get(&run.task.job)?;
         Some(TaskName {
@@ -42,13 +42,13 @@
         })
     }
 
-    /// How long an answer to an order is waited for.
+    /// Returns how long to wait for the reply to an order.
     pub(super) fn order_timeout(&self) -> Duration {
-        let most = self.terms.drain.mul_f64(ORDER_SHARE);
-        self.pressure.timeout(ORDER_TIMEOUT_MIN, most)
+        let max = self.terms.drain.mul_f64(ORDER_TIMEOUT_FRACTION);
+        self.pressure.timeout(ORDER_TIMEOUT_MIN, max)
     }
 
-    /// Sends the next order to a worker; whether there was one.
+    /// Sends the next order to a worker. Returns whether there was one.
     pub(super) fn send_next_order(&mut self, id: &Incarnation, now: Now) -> bool {
         if !self
             .workers
@@ -84,9 +84,9 @@
         false
     }
 
-    /// Runs of a worker about which an order may go out, stops first: what is to be stopped
-    /// may run on for a bounded time only. And when the first pause of the others is over:
-    /// until then, or until an event says otherwise, there is nothing to do.
+    /// Returns the runs of a worker about which an order may be sent, stops first because a run to
+    /// be stopped may continue for a bounded time only. Also returns when the earliest retry of the
+    /// others is due: until then, or until an event wakes the worker, there is nothing to send.
     fn collect_due(&self, id: &Incarnation, now: Now) -> (Vec<Run>, Duration) {
         let mut stops = Vec::new();
         let mut others = Vec::new();
@@ -105,7 +105,7 @@
         (stops, next)
     }
 
-    /// The next order about a run, if one is due.
+    /// Returns the next order about a run, if one is due.
     fn next_order(&mut self, run: Run, id: &Incarnation, now: Now) -> Option<Order> {
         let live = self.runs.get_mut(&run)?;
         if live.ordering || now.at < live.retry {
@@ -130,7 +130,7 @@
     }
 
     fn start_order(&mut self, run: Run, id: &Incarnation, now: Now) -> Option<Order> {
-        // What was decided by an older list may be wrong by now, however it was decided.
+        // A placement decided by an outdated list of workers may no longer be right.
         if !self.may_start(now) {
             self.hold_starts(now);
             return None;
@@ -138,10 +138,10 @@
         let name = self.task_name(run)?;
         let (job, task) = self.log_state.task(run.task)?;
         let payload = job.job.payload.clone();
-        let saved = task.checkpoint.clone();
+        let checkpoint = task.checkpoint.clone();
         let ticket = self.runs.get(&run).and_then(|live| live.ticket.clone());
         let list_age = self.list_age(now);
-        // It may have left since the run was placed, or since a start that got no answer.
+        // The worker may have left since the run was placed, or since an unanswered start.
         let worker = self.workers.get(id)?;
         if !self.accepts_starts(worker, now) || self.is_evacuated(worker) {
             return None;
@@ -151,36 +151,36 @@
             FitsWhen::Later => return None,
             FitsWhen::Never => {
                 tracing::info!(task = %run.task, run = run.number, worker = %id,
-                    "start is withdrawn: the worker's room has shrunk");
+                    "start is withdrawn: the worker's capacity has shrunk");
                 self.request_stop(run, StopReason::Shrunk);
                 return None;
             }
         }
         let worker = self.workers.get_mut(id)?;
-        // Its next answer wakes what waits here.
+        // The worker's next reply wakes the runs that wait here.
         if !worker.answers {
             return None;
         }
         let until = worker.lease.grant(now.at, self.terms.lease)?;
         tracing::debug!(task = %run.task, run = run.number, worker = %id,
-            list_age_ms = list_age.as_millis(), "start is ordered");
+            list_age_ms = list_age.as_millis(), "sending start order");
         Some(Order::Start(Start {
             name,
             run: run.number,
             payload,
             until,
-            checkpoint: saved,
+            checkpoint,
             ticket,
         }))
     }
 
-    /// Takes the answer to an order.
+    /// Handles the reply to an order.
     pub fn handle_order_reply(
         &mut self,
         id: &Incarnation,
         run: Run,
         order: &Order,
-        said: Result<OrderReply, Failure>,
+        reply: Result<OrderReply, Failure>,
         now: Now,
     ) {
         if let Some(worker) = self.workers.get_mut(id)
@@ -197,14 +197,14 @@
         } else {
             self.pressure.note_end();
         }
-        if said.is_err() {
+        if reply.is_err() {
             self.raise_fence(id, now);
         }
-        if let Ok(OrderReply::OtherIncarnation) = said {
+        if let Ok(OrderReply::OtherIncarnation) = reply {
             self.note_other_incarnation(id, None, now);
             return;
         }
-        let lags = self.hear_clock(id, &said, now);
+        let lags = self.record_clock(id, &reply, now);
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
@@ -215,25 +215,26 @@
         if lags {
             live.misdelivered = true;
             live.in_doubt = Some(now.at + LATE_MAX);
-            live.retry = now.at + RETRY;
+            live.retry = now.at + RETRY_DELAY;
             return;
         }
         match order {
-            Order::Start(_) => self.take_start(run, said, now),
-            Order::Stop(..) => self.take_stop(run, &said, now),
-            Order::Pace(_, _, percent) => self.take_pace(run, *percent, &said, now),
+            Order::Start(_) => self.handle_start_reply(run, reply, now),
+            Order::Stop(..) => self.handle_stop_reply(run, &reply, now),
+            Order::Pace(_, _, percent) => self.handle_pace_reply(run, *percent, &reply, now),
         }
     }
 
-    /// Takes note of the clock in an answer to an order. One that lags is of another life, or of
-    /// a machine that was suspended; which, a look tells. What was ordered is in doubt.
-    fn hear_clock(
+    /// Records the clock reading in the reply to an order and returns whether it lags. A lagging
+    /// clock belongs to another incarnation or to a machine that was suspended, which the next poll
+    /// tells apart. Whether the order was carried out is then unknown.
+    fn record_clock(
         &mut self,
         id: &Incarnation,
-        said: &Result<OrderReply, Failure>,
+        reply: &Result<OrderReply, Failure>,
         now: Now,
     ) -> bool {
-        let &Ok(OrderReply::Done(clock)) = said else {
+        let &Ok(OrderReply::Done(clock)) = reply else {
             return false;
         };
         let Some(worker) = self.workers.get_mut(id) else {
@@ -246,9 +247,9 @@
         tracing::info!(worker = %id, clock_ms = clock, last_clock_ms = worker.lease.clock(),
             "worker's clock lags");
         let behind = worker.lease.is_behind(clock, worker.ordered);
-        // A life that has carried out an order for the one before holds that lease by its own
-        // clock, which began later. By the old one it would count as over while the task still
-        // runs, and the task would start elsewhere.
+        // An incarnation that carried out an order meant for its predecessor holds that lease by
+        // its own clock, which started later. By the predecessor's clock the lease would count as
+        // expired while the task still runs, and the task would be started elsewhere as well.
         worker.lease.note_lag(clock, now.at, self.terms.hold);
         worker.answers = false;
         worker.next_poll = worker.next_poll.min(now.at);
@@ -259,12 +260,12 @@
         true
     }
 
-    fn take_start(&mut self, run: Run, said: Result<OrderReply, Failure>, now: Now) {
+    fn handle_start_reply(&mut self, run: Run, reply: Result<OrderReply, Failure>, now: Now) {
         let mut refused = None;
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
-        match said {
+        match reply {
             Ok(OrderReply::Done(_)) => {
                 if !matches!(live.stage, Stage::Started(_)) {
                     live.stage = Stage::Started(now.at);
@@ -272,13 +273,13 @@
             }
             Ok(OrderReply::Refused(Refusal::Late)) => live.retry = now.at,
             Ok(OrderReply::Refused(Refusal::Fenced)) => {
-                live.retry = now.at + RETRY;
+                live.retry = now.at + RETRY_DELAY;
                 let worker = live.worker.clone();
                 self.note_fenced_reply(&worker, now);
             }
             Ok(OrderReply::Refused(Refusal::Busy)) => {
                 live.unanswered += 1;
-                live.retry = now.at + RETRY_BUSY;
+                live.retry = now.at + BUSY_RETRY_DELAY;
                 if live.unanswered >= UNANSWERED_MAX {
                     refused = Some(Blame::Worker);
                 }
@@ -304,8 +305,8 @@
                         worker.renewing = worker.renewing.max(until);
                     }
                 }
-                live.retry = now.at + RETRY.max(self.pressure.usual());
-                // Slowness that most workers share says nothing of this one.
+                live.retry = now.at + RETRY_DELAY.max(self.pressure.usual());
+                // A delay that most workers share says nothing about this one.
                 if !self.pressure.is_congested() {
                     live.unanswered += 1;
                 }
@@ -319,23 +320,23 @@
         };
         self.request_stop(run, StopReason::Refused);
         if blame == Blame::Worker {
-            self.note_refusal(run, now);
+            self.count_refused_start(run, now);
         }
     }
 
-    /// Counts a start that failed against its worker: by the same costs the task would be
-    /// placed there again and again, and run nowhere.
-    fn note_refusal(&mut self, run: Run, now: Now) {
+    /// Counts a failed start against its worker. Without this the task would be placed there again
+    /// and again at the same cost, and would run nowhere.
+    fn count_refused_start(&mut self, run: Run, now: Now) {
         let id = self.runs.get(&run).map(|live| live.worker.clone());
         let Some(worker) = id.and_then(|id| self.workers.get_mut(&id)) else {
             return;
         };
         if worker.note_failure(now.at) {
-            tracing::warn!(worker = %worker.incarnation(), "worker put aside: it refuses what it is to start");
+            tracing::warn!(worker = %worker.incarnation(), "worker quarantined: it refuses starts");
         }
     }
 
-    fn take_stop(&mut self, run: Run, said: &Result<OrderReply, Failure>, now: Now) {
+    fn handle_stop_reply(&mut self, run: Run, reply: &Result<OrderReply, Failure>, now: Now) {
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
@@ -343,7 +344,7 @@
             .workers
             .get(&live.worker)
             .is_some_and(|worker| worker.answers);
-        match said {
+        match reply {
             Ok(OrderReply::Done(_) | OrderReply::Refused(Refusal::Old)) => {
                 live.stop = Stop::Confirmed(now.at);
                 let id = live.worker.clone();
@@ -352,65 +353,73 @@
                 }
             }
             Ok(OrderReply::Refused(Refusal::Fenced)) => {
-                live.retry = now.at + RETRY_BUSY;
+                live.retry = now.at + BUSY_RETRY_DELAY;
                 let worker = live.worker.clone();
                 self.note_fenced_reply(&worker, now);
             }
-            Ok(_) => live.retry = now.at + RETRY_BUSY,
+            Ok(_) => live.retry = now.at + BUSY_RETRY_DELAY,
             Err(failure) if answers => {
                 tracing::info!(task = %run.task, run = run.number, worker = %live.worker, %failure, "stop unanswered");
-                live.retry = now.at + RETRY.max(self.pressure.usual());
+                live.retry = now.at + RETRY_DELAY.max(self.pressure.usual());
             }
-            // That the worker is silent was said once; a stop has no better chance than a look.
+            // The worker's silence was logged once, and a stop is no more likely to be answered
+            // than a poll.
             Err(_) => live.retry = now.at + POLL_RETRY[0],
         }
     }
 
-    fn take_pace(&mut self, run: Run, percent: u32, said: &Result<OrderReply, Failure>, now: Now) {
+    fn handle_pace_reply(
+        &mut self,
+        run: Run,
+        percent: u32,
+        reply: &Result<OrderReply, Failure>,
+        now: Now,
+    ) {
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
-        match said {
+        match reply {
             Ok(OrderReply::Done(_)) => {
                 live.set_pace(percent, now.at);
-                // An earlier one that was not answered may still come after this one.
+                // An earlier, unanswered pace order may still arrive after this one.
                 live.retry = if live.pace_doubt > now.at {
-                    now.at + RETRY_BUSY
+                    now.at + BUSY_RETRY_DELAY
                 } else {
                     Duration::ZERO
                 };
             }
             Ok(OrderReply::Refused(Refusal::Fenced)) => {
-                live.retry = now.at + RETRY;
+                live.retry = now.at + RETRY_DELAY;
                 let worker = live.worker.clone();
                 self.note_fenced_reply(&worker, now);
             }
-            Ok(_) => live.retry = now.at + RETRY_BUSY,
+            Ok(_) => live.retry = now.at + BUSY_RETRY_DELAY,
             Err(failure) => {
                 tracing::info!(task = %run.task, run = run.number, worker = %live.worker, %failure, "pace unanswered");
                 live.pace_doubt = now.at + LATE_MAX;
-                live.retry = now.at + RETRY.max(self.pressure.usual());
+                live.retry = now.at + RETRY_DELAY.max(self.pressure.usual());
             }
         }
     }
 
-    /// Ends a run of which the worker says nothing any more.
-    pub(super) fn end_unreported_run(&mut self, run: Run, begun: Duration, now: Now) {
+    /// Ends a run that the worker no longer reports.
+    pub(super) fn end_unreported_run(&mut self, run: Run, polled_at: Duration, now: Now) {
         let Some(live) = self.runs.get(&run) else {
             return;
         };
         let end = match (live.stop, live.stage) {
-            (Stop::Confirmed(at), _) if at < begun => End::Stopped,
-            (Stop::None | Stop::Wanted(_), Stage::Started(at)) if at < begun => End::Lost,
+            (Stop::Confirmed(at), _) if at < polled_at => End::Stopped,
+            (Stop::None | Stop::Wanted(_), Stage::Started(at)) if at < polled_at => End::Lost,
             _ => return,
         };
         if end == End::Lost
             && let Some(worker) = self.workers.get(&live.worker)
         {
             tracing::warn!(task = %run.task, run = run.number, worker = %live.worker,
-                percent = live.percent, told = worker.ends_reported, acknowledged = worker.ends_recorded,
+                percent = live.percent, told = worker.ends_reported,
+                acknowledged = worker.ends_recorded,
                 clock_ms = worker.lease.clock().unwrap_or(0),
-                "worker lists a run neither as going on nor as ended");
+                "worker reports a run neither as active nor as ended");
         }
         self.end_run(run, end, &Arc::from(""), now);
     }
--- a/ashtiller/src/workflow/core/polls.rs
+++ b/ashtiller/src/workflow/core/polls.rs
@@ -1,4 +1,4 @@
-//! Looks at workers: which are due, and what each asks.
+//! Polls of workers: when they are due and what each one requests.
 
 use std::time::Duration;
 
@@ -8,56 +8,57 @@
 use crate::workflow::live_run::Stop;
 use crate::workflow::worker::{PendingPoll, Worker};
 
-/// Time between two searches for looks that are due, each through all workers.
-const LOOKS: Duration = Duration::from_millis(4);
-/// Pause between two looks at a worker that did not answer, growing to the second.
+/// Time between two scans of all workers for due polls.
+const POLL_SCAN_INTERVAL: Duration = Duration::from_millis(4);
+/// Delay between polls of a worker that does not answer: the first is used until the worker has
+/// been silent for `SILENT_AFTER`, then the second.
 pub(super) const POLL_RETRY: [Duration; 2] =
     [Duration::from_millis(150), Duration::from_millis(700)];
-/// Longest time for which an answer to a look is waited for beyond its wait: with the wait
-/// itself it stays below a lease.
+/// Longest timeout of a poll beyond its long-poll wait. Together with that wait it stays below the
+/// length of a lease.
 pub(super) const POLL_TIMEOUT_MAX: Duration = Duration::from_secs(2);
-/// Part of the workers that a new owner looks at for the first time at once. Their answers list
-/// all that runs there; on a thin link those of all workers together come too late, and are asked
-/// for again. A third also bounds what workers that say nothing cost the others: three times the
-/// limit of a look.
-const FIRST_SHARE: usize = 3;
-/// Workers that are always looked at at once.
-const FIRST_MIN: usize = 16;
-/// Silence after which a worker is looked at more rarely.
-const SILENT: Duration = Duration::from_secs(5);
+/// Fraction (one in this many) of the workers that a new owner polls for the first time at once.
+/// Their replies list all runs, and on a slow link the replies of all workers together would time
+/// out and be requested again. A third also bounds the delay that unresponsive workers cause the
+/// others to three poll timeouts.
+const FIRST_POLL_DIVISOR: usize = 3;
+/// Number of workers that may always be polled at once.
+const FIRST_POLLS_MIN: usize = 16;
+/// Silence after which a worker is polled less often.
+const SILENT_AFTER: Duration = Duration::from_secs(5);
 
 impl Core {
-    /// Sends the looks that are due.
+    /// Sends the polls that are due.
     pub(super) fn send_due_polls(&mut self, now: Now) {
-        if now.at < self.last_poll_scan + LOOKS {
+        if now.at < self.last_poll_scan + POLL_SCAN_INTERVAL {
             return;
         }
         self.last_poll_scan = now.at;
         let limit = self.pressure.timeout(POLL_TIMEOUT_MIN, POLL_TIMEOUT_MAX);
-        for life in self.collect_looks(now) {
-            let Some(look) = self.prepare_look(&life, now) else {
+        for incarnation in self.collect_due_polls(now) {
+            let Some(poll) = self.prepare_poll(&incarnation, now) else {
                 continue;
             };
-            let target = self.workers[&life].target(self.fences.of(&life), limit);
+            let target = self.workers[&incarnation].target(self.fences.of(&incarnation), limit);
             self.counts.looks += 1;
-            self.effects.push(Effect::Look(target, look));
+            self.effects.push(Effect::Look(target, poll));
         }
     }
 
-    /// Workers at which a look is due: all that have answered this owner, and of the others as many
-    /// as may be under way, those that have waited longest.
-    fn collect_looks(&self, now: Now) -> Vec<Incarnation> {
+    /// Returns the workers whose poll is due: all that have answered this owner, and those of the
+    /// others that have waited longest, up to the limit of first polls in flight.
+    fn collect_due_polls(&self, now: Now) -> Vec<Incarnation> {
         let due = self.workers.values();
         let due =
             due.filter(|worker| worker.pending_poll.is_none() && now.at >= worker.next_poll_due());
         let mut due: Vec<&Worker> = due.collect();
         let first = due.iter().filter(|worker| !worker.fenced).count();
-        let most = (self.workers.len() / FIRST_SHARE).max(FIRST_MIN);
+        let max = (self.workers.len() / FIRST_POLL_DIVISOR).max(FIRST_POLLS_MIN);
         if first > 0 {
-            let under_way = self.workers.values();
-            let under_way =
-                under_way.filter(|worker| !worker.fenced && worker.pending_poll.is_some());
-            let free = most.saturating_sub(under_way.count());
+            let in_flight = self.workers.values();
+            let in_flight =
+                in_flight.filter(|worker| !worker.fenced && worker.pending_poll.is_some());
+            let free = max.saturating_sub(in_flight.count());
             if first > free {
                 due.sort_by_key(|worker| (!worker.fenced, worker.next_poll_due()));
                 due.truncate(due.len() - first + free);
@@ -68,28 +69,29 @@
             .collect()
     }
 
-    /// Notes that a worker is looked at now; the result is what it is asked.
-    fn prepare_look(&mut self, life: &Incarnation, now: Now) -> Option<Poll> {
+    /// Records that a worker is being polled and returns the request.
+    fn prepare_poll(&mut self, incarnation: &Incarnation, now: Now) -> Option<Poll> {
         let renew = self.may_renew(now);
-        // A service over its target must have relief within 4 s, so reports may be fewer.
+        // A latency-sensitive service over its target must be relieved within 4 s, which leaves
+        // time for fewer reports.
         let watch = if self.pressure.is_congested() {
             self.terms.wait / 2
         } else {
             self.terms.watch
         };
-        let fence = self.fences.of(life);
-        let worker = self.workers.get_mut(life)?;
+        let fence = self.fences.of(incarnation);
+        let worker = self.workers.get_mut(incarnation)?;
         let mixed = worker.serving > 0 && worker.filling > 0;
         let known = worker.fenced && worker.answers && worker.doubted.is_none();
         let wait = match (known, mixed) {
-            // The clock must be known before a lease can be granted.
+            // A lease can be granted only once the worker's clock is known.
             (false, _) => Duration::ZERO,
             (true, true) => watch,
             (true, false) => self.terms.wait,
         };
         let stopping = worker.runs.iter().any(|run| {
-            let placed = self.runs.get(run);
-            placed.is_some_and(|placed| matches!(placed.stop, Stop::Confirmed(_)))
+            let live = self.runs.get(run);
+            live.is_some_and(|live| matches!(live.stop, Stop::Confirmed(_)))
         });
         let wait = if stopping {
             wait.min(Duration::from_millis(100))
@@ -102,10 +104,10 @@
         } else {
             None
         };
-        // An acknowledgement that is not needed could only be taken by a later life, and one to
-        // a worker that was silent, or whose clock lagged, may be: it would forget ends that
-        // nobody has read, and their tasks would be done again.
-        let seen = if worker.answers && worker.ends_recorded > worker.ends_acknowledged {
+        // A needless acknowledgement could only reach a later incarnation. So may one to a worker
+        // that was silent or whose clock lagged: that incarnation would forget ends that nobody has
+        // read, and their tasks would run again.
+        let ends_recorded = if worker.answers && worker.ends_recorded > worker.ends_acknowledged {
             worker.ends_recorded
         } else {
             0
@@ -113,18 +115,18 @@
         worker.pending_poll = Some(PendingPoll {
             sent: now.at,
             wait,
-            ends_recorded: seen,
+            ends_recorded,
             fence,
             renews: until.is_some(),
         });
         Some(Poll {
             until,
-            ends_recorded: seen,
+            ends_recorded,
             wait,
         })
     }
 
-    /// A look was not answered; `broke` when its connection was refused or broke.
+    /// Records an unanswered poll; `broke` is set if its connection was refused or reset.
     pub(super) fn note_missed_poll(&mut self, id: &Incarnation, broke: bool, now: Now) {
         self.raise_fence(id, now);
         let Some(worker) = self.workers.get_mut(id) else {
@@ -135,7 +137,7 @@
         if broke {
             worker.broke.get_or_insert(now.at);
         }
-        let silent = now.at.saturating_sub(worker.heard) > SILENT;
+        let silent = now.at.saturating_sub(worker.heard) > SILENT_AFTER;
         worker.next_poll = now.at + POLL_RETRY[usize::from(silent)];
     }
 }
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -1,4 +1,4 @@
-//! What workers report when they are looked at.
+//! Handling of the reports with which workers answer polls.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
 use crate::workflow::record::{End, LogRecord, Run, Task};
 use crate::workflow::worker::{LATE_MAX, PendingPoll};
 
-/// Time without progress after which a run counts as stalled. The platform's
-/// workers report whole percents, which tasks of up to 5.4 s gain every 54 ms.
-const STALLED: Duration = Duration::from_millis(1100);
-/// The same for a run that fills.
-const STALLED_FILL: Duration = Duration::from_millis(3500);
-/// Pause after a look whose ends are not in the log yet, unless they get there earlier.
-/// Reports of what else runs there are older by as much; a service over its target must
-/// have relief within 4 s.
-const UNNOTED: Duration = Duration::from_millis(300);
-/// Age of a life by which all grants meant for the one before were carried out: the last of them
-/// went out with a look that was under way as the life began.
-const FORMER_GRANT: Duration = POLL_TIMEOUT_MAX.saturating_mul(2).saturating_add(LATE_MAX);
-/// Percent at which a lasting task is at work.
-const AT_WORK: u32 = 100;
+/// Time without progress after which a run counts as stalled. The platform's workers report whole
+/// percents; a task of up to 5.4 s gains one every 54 ms or sooner.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1100);
+/// The same limit for a best-effort fill.
+const STALL_TIMEOUT_FILL: Duration = Duration::from_millis(3500);
+/// Pause after a poll whose ends are not yet durable, unless they become durable earlier. It delays
+/// all other reports of that worker as well, and a latency-sensitive service over its target must
+/// be relieved within 4 s.
+const UNRECORDED_ENDS_PAUSE: Duration = Duration::from_millis(300);
+/// Age by which an incarnation can no longer receive lease grants meant for its predecessor: the
+/// last of them went out with a poll that was in flight when this incarnation began.
+const FORMER_GRANT_AGE_MAX: Duration = POLL_TIMEOUT_MAX.saturating_mul(2).saturating_add(LATE_MAX);
+/// Progress in percent from which a long-running task counts as ready.
+const READY_PERCENT: u32 = 100;
 
 impl Core {
-    /// The run that a worker means.
-    fn run_of(&self, name: &TaskName, number: u32) -> Option<Run> {
+    /// Returns the run that a worker refers to by name and number.
+    fn find_run(&self, name: &TaskName, number: u32) -> Option<Run> {
         let job = self.log_state.find(&name.job)?;
         let task = Task {
             job,
@@ -42,39 +42,41 @@
         Some(Run { task, number })
     }
 
-    /// Takes the answer to a look.
+    /// Handles the reply to a poll.
     pub fn handle_poll_reply(
         &mut self,
         id: &Incarnation,
-        looked: Result<PollReply, Failure>,
+        reply: Result<PollReply, Failure>,
         now: Now,
     ) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let Some(asked) = worker.pending_poll.take() else {
+        let Some(poll) = worker.pending_poll.take() else {
             return;
         };
-        let begun = asked.sent;
-        let took = now.at.saturating_sub(begun);
-        // One that was answered before its wait was over tells nothing of delays, nor does a
-        // worker that was silent before: if most of a fleet were, all others would wait.
-        if let Some(late) = took.checked_sub(asked.wait).filter(|_| worker.answers) {
-            self.pressure.note_delay(worker.incarnation(), late, now.at);
+        let sent_at = poll.sent;
+        let took = now.at.saturating_sub(sent_at);
+        // A reply that came before its wait was over says nothing about delays. Neither does one of
+        // a worker that was silent before: if most of a fleet were silent, calls to all others
+        // would be throttled.
+        if let Some(delay) = took.checked_sub(poll.wait).filter(|_| worker.answers) {
+            self.pressure
+                .note_delay(worker.incarnation(), delay, now.at);
         }
-        match looked {
+        match reply {
             Ok(PollReply::Report {
                 clock,
                 active,
                 finished,
             }) => {
-                worker.ends_acknowledged = worker.ends_acknowledged.max(asked.ends_recorded);
-                if self.is_other_life(id, clock, begun, &active, &finished) {
+                worker.ends_acknowledged = worker.ends_acknowledged.max(poll.ends_recorded);
+                if self.is_other_incarnation(id, clock, sent_at, &active, &finished) {
                     self.restart_in_place(id, now);
                 }
-                self.greet_worker(id, clock, &asked, now);
-                self.take_finished(id, &finished, now);
-                self.take_active(id, &active, begun, now);
+                self.record_poll_reply(id, clock, &poll, now);
+                self.record_ends(id, &finished, now);
+                self.update_active_runs(id, &active, sent_at, now);
                 self.pace_worker(id, now);
                 self.summaries.remove(id);
             }
@@ -90,43 +92,46 @@
                 }
                 let silent = failure.is_timeout();
                 if silent {
-                    worker.note_unanswered(&asked);
+                    worker.note_unanswered(&poll);
                 }
                 self.note_missed_poll(id, !silent, now);
             }
         }
     }
 
-    /// Whether a report is of another life, by its clock. Where no births are told, one that only
-    /// lags may also be of a machine that was suspended: then it still knows of runs.
-    fn is_other_life(
+    /// Returns whether a report comes from another incarnation, judged by its clock. On a platform
+    /// that does not tell incarnations apart, a clock that only lags may also belong to a machine
+    /// that was suspended, whose report then still names known runs.
+    fn is_other_incarnation(
         &self,
         id: &Incarnation,
         clock: u64,
-        begun: Duration,
+        sent_at: Duration,
         active: &[Active],
         finished: &[Finished],
     ) -> bool {
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
-        if worker.lease.is_behind(clock, begun) {
+        if worker.lease.is_behind(clock, sent_at) {
             return true;
         }
-        if id.born().is_some() || !worker.lease.lags(clock, begun) {
+        if id.born().is_some() || !worker.lease.lags(clock, sent_at) {
             return false;
         }
-        let active = active.iter().map(|row| (&row.name, row.run));
+        let active = active
+            .iter()
+            .map(|active_run| (&active_run.name, active_run.run));
         let ended = finished.iter().map(|end| (&end.name, end.run));
-        let mut told = active.chain(ended);
-        !told.any(|(name, number)| {
-            let run = self.run_of(name, number);
+        let mut reported = active.chain(ended);
+        !reported.any(|(name, number)| {
+            let run = self.find_run(name, number);
             let live = run.and_then(|run| self.runs.get(&run));
             live.is_some_and(|live| live.worker == *id && live.began.is_some())
         })
     }
 
-    fn greet_worker(&mut self, id: &Incarnation, clock: u64, asked: &PendingPoll, now: Now) {
+    fn record_poll_reply(&mut self, id: &Incarnation, clock: u64, poll: &PendingPoll, now: Now) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -134,25 +139,25 @@
         if first {
             worker.fenced = true;
             worker.lease.fence(now.at, self.terms.lease);
-            // A young life may have carried out a grant that an earlier owner made to the one
-            // before, by a clock that had gone on for longer.
+            // A recent incarnation may have accepted a grant that an earlier owner made to its
+            // predecessor, whose clock had a higher reading.
             let hold = lease::worst_case_elapsed(self.terms.hold);
-            if Duration::from_millis(clock) < FORMER_GRANT + self.terms.hold {
+            if Duration::from_millis(clock) < FORMER_GRANT_AGE_MAX + self.terms.hold {
                 worker.lease.extend(now.at + hold);
             }
-            // This fence keeps out none of this owner's calls to the life before.
+            // This fence does not reject calls that this owner made to the predecessor.
             if let Some(until) = worker.renewing {
                 worker.lease.extend(until + hold);
             }
             self.needs_planning = true;
         }
-        worker.note_fence(asked.fence);
-        if worker.doubted.is_some_and(|until| until <= asked.sent) {
+        worker.note_fence(poll.fence);
+        if worker.doubted.is_some_and(|until| until <= poll.sent) {
             worker.doubted = None;
             self.needs_planning = true;
         }
-        let again = !worker.answers;
-        if again {
+        let recovered = !worker.answers;
+        if recovered {
             if let Some(last) = worker.lease.clock() {
                 tracing::info!(
                     worker = %id,
@@ -166,18 +171,18 @@
             self.needs_planning = true;
         }
         worker.lease.hear(clock, now.at);
-        if again {
+        if recovered {
             worker.wake();
         }
         worker.answers = true;
         worker.heard = now.at;
         worker.missed = None;
         worker.broke = None;
-        // The first answer tells the clock; the lease comes with the next look.
-        worker.next_poll = if again {
+        // The first reply tells the worker's clock; the lease is granted with the next poll.
+        worker.next_poll = if recovered {
             now.at
         } else {
-            // Of several ends in a queue, one answer tells.
+            // One reply reports several ends that are queued.
             now.at + self.terms.pause.max(self.pressure.usual())
         };
         if first {
@@ -186,11 +191,11 @@
         }
     }
 
-    fn take_finished(&mut self, id: &Incarnation, finished: &[Finished], now: Now) {
+    fn record_ends(&mut self, id: &Incarnation, finished: &[Finished], now: Now) {
         let mut highest = 0;
         for end in finished {
             highest = highest.max(end.number);
-            let Some(run) = self.run_of(&end.name, end.run) else {
+            let Some(run) = self.find_run(&end.name, end.run) else {
                 continue;
             };
             let how = match end.how {
@@ -203,19 +208,19 @@
                 Some(live) if live.worker == *id => {}
                 Some(_) => continue,
                 None => {
-                    self.take_late_end(id, run, how, &end.checkpoint, now);
+                    self.record_late_end(id, run, how, &end.checkpoint, now);
                     continue;
                 }
             }
-            self.note_health(id, run, how, now);
+            self.update_worker_health(id, run, how, now);
             self.end_run(run, how, &end.checkpoint, now);
         }
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         if highest > worker.ends_recorded {
-            // It would list these ends again at once; the next look acknowledges them.
-            worker.next_poll = worker.next_poll.max(now.at + UNNOTED);
+            // The worker would list these ends again at once; the next poll acknowledges them.
+            worker.next_poll = worker.next_poll.max(now.at + UNRECORDED_ENDS_PAUSE);
         }
         if highest > worker.ends_reported {
             worker.ends_reported = highest;
@@ -224,15 +229,22 @@
         }
     }
 
-    /// Takes an end whose run was given up before its worker could tell it. Work that is
-    /// done must not be done again, and the worker forgets the end once it is acknowledged.
-    fn take_late_end(&mut self, id: &Incarnation, run: Run, end: End, saved: &Arc<str>, now: Now) {
+    /// Records an end that was reported after its run had been given up. A completed task must not
+    /// run again, and the worker forgets the end once it is acknowledged.
+    fn record_late_end(
+        &mut self,
+        id: &Incarnation,
+        run: Run,
+        end: End,
+        checkpoint: &Arc<str>,
+        now: Now,
+    ) {
         if !self.log_state.late_end_matters(run, end) {
             return;
         }
         tracing::info!(worker = %id, task = %run.task, run = run.number, ?end,
-            "end is told after its run was given up");
-        self.record(LogRecord::Ended(run, end, saved.clone()), now);
+            "run was reported as ended after it had been given up");
+        self.record(LogRecord::Ended(run, end, checkpoint.clone()), now);
         self.needs_planning = true;
         match end {
             End::Done => self.stop_other_runs(run, StopReason::Copied),
@@ -241,18 +253,18 @@
         }
     }
 
-    /// Learns from an end whether the worker is well.
-    fn note_health(&mut self, id: &Incarnation, run: Run, end: End, now: Now) {
+    /// Updates the worker's health from the end of a run.
+    fn update_worker_health(&mut self, id: &Incarnation, run: Run, end: End, now: Now) {
         let first = self
             .log_state
             .task(run.task)
             .is_some_and(|(_, task)| task.failed.is_empty());
-        // A lasting task that was at work has failed by itself.
-        let earned = self
+        // A long-running task that had become ready failed for reasons of its own.
+        let was_ready = self
             .runs
             .get(&run)
-            .is_some_and(|live| live.percent >= AT_WORK);
-        let first = first && !earned;
+            .is_some_and(|live| live.percent >= READY_PERCENT);
+        let first = first && !was_ready;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -263,24 +275,31 @@
                     worker = %id,
                     until_ms = worker.quarantined_until.map_or(0, |it| it.as_millis()),
                     now_ms = now.at.as_millis(),
-                    "worker put aside: it fails what it starts"
+                    "worker quarantined: runs fail on it"
                 );
             }
             _ => {}
         }
     }
 
-    fn take_active(&mut self, id: &Incarnation, active: &[Active], begun: Duration, now: Now) {
+    fn update_active_runs(
+        &mut self,
+        id: &Incarnation,
+        active: &[Active],
+        sent_at: Duration,
+        now: Now,
+    ) {
         let mut present = BTreeSet::new();
-        for row in active {
-            let run = self.run_of(&row.name, row.run);
-            let ours = run.filter(|run| self.runs.get(run).is_some_and(|live| live.worker == *id));
-            match ours {
+        for active_run in active {
+            let run = self.find_run(&active_run.name, active_run.run);
+            let known_run =
+                run.filter(|run| self.runs.get(run).is_some_and(|live| live.worker == *id));
+            match known_run {
                 Some(run) => {
                     present.insert(run);
-                    self.note_progress(run, row, now);
+                    self.note_progress(run, active_run, now);
                 }
-                None => self.stop_stray(id, row),
+                None => self.stop_unknown_run(id, active_run),
             }
         }
         let Some(worker) = self.workers.get(id) else {
@@ -288,32 +307,33 @@
         };
         let missing: Vec<Run> = worker.runs.difference(&present).copied().collect();
         for run in missing {
-            self.end_unreported_run(run, begun, now);
+            self.end_unreported_run(run, sent_at, now);
         }
     }
 
-    /// A run that the log does not place here is stopped.
-    fn stop_stray(&mut self, id: &Incarnation, row: &Active) {
+    /// Stops a run that the log does not place on this worker.
+    fn stop_unknown_run(&mut self, id: &Incarnation, active_run: &Active) {
         let (limit, fence) = (self.order_timeout(), self.fences.of(id));
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        tracing::warn!(worker = %id, job = %row.name.job, run = row.run, "stray run is stopped");
+        tracing::warn!(worker = %id, job = %active_run.name.job, run = active_run.run,
+            "stopping a run that the log does not place on this worker");
         let run = Run {
             task: Task {
                 job: u32::MAX,
-                occurrence: row.name.occurrence,
-                step: row.name.step,
-                index: row.name.index,
+                occurrence: active_run.name.occurrence,
+                step: active_run.name.step,
+                index: active_run.name.index,
             },
-            number: row.run,
+            number: active_run.run,
         };
-        let order = Order::Stop(row.name.clone(), row.run);
+        let order = Order::Stop(active_run.name.clone(), active_run.run);
         self.effects
             .push(Effect::Order(worker.target(fence, limit), run, order));
     }
 
-    fn note_progress(&mut self, run: Run, row: &Active, now: Now) {
+    fn note_progress(&mut self, run: Run, active_run: &Active, now: Now) {
         let Some(step) = self
             .log_state
             .task(run.task)
@@ -322,35 +342,40 @@
             return;
         };
         let (serves, fills) = (step.target().is_some(), step.fills());
-        let lasting = step.long_running;
+        let long_running = step.long_running;
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
         if !matches!(live.stage, Stage::Started(_)) {
             live.stage = Stage::Started(now.at);
         }
-        if !row.checkpoint.is_empty() {
-            live.checkpoint = row.checkpoint.clone();
+        if !active_run.checkpoint.is_empty() {
+            live.checkpoint = active_run.checkpoint.clone();
         }
         if serves {
-            live.tail = row.figure;
+            live.tail = active_run.figure;
         } else {
-            live.used = row.figure;
+            live.used = active_run.figure;
         }
-        if live.began.is_none() || row.percent > live.percent {
+        if live.began.is_none() || active_run.percent > live.percent {
             live.moved = now.at;
         }
-        let begins = lasting && live.percent < AT_WORK && row.percent >= AT_WORK;
-        live.percent = row.percent;
-        live.began.get_or_insert((now.at, row.percent));
+        let becomes_ready =
+            long_running && live.percent < READY_PERCENT && active_run.percent >= READY_PERCENT;
+        live.percent = active_run.percent;
+        live.began.get_or_insert((now.at, active_run.percent));
         if live.pace < 100 || live.pace_goal < 100 {
-            // Slow by order: its clock begins when it may work in full.
+            // A throttled run is not stalled; its timer starts when it may run at full speed.
             live.moved = now.at;
         }
-        // What fills may find no processors unused for a while.
-        let limit = if fills { STALLED_FILL } else { STALLED };
+        // A best-effort fill may find no idle processors for a while.
+        let limit = if fills {
+            STALL_TIMEOUT_FILL
+        } else {
+            STALL_TIMEOUT
+        };
         let stalled = now.at.saturating_sub(live.moved) > limit;
-        if begins {
+        if becomes_ready {
             let id = live.worker.clone();
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.note_success();
@@ -358,9 +383,11 @@
             }
             return;
         }
-        if stalled && !lasting && live.stop == Stop::None && row.percent < 100 {
-            tracing::info!(task = %run.task, run = run.number, worker = %live.worker, percent = row.percent,
-                since_ms = now.at.saturating_sub(live.moved).as_millis(), "run stalls");
+        if stalled && !long_running && live.stop == Stop::None && active_run.percent < 100 {
+            tracing::info!(task = %run.task, run = run.number, worker = %live.worker,
+                percent = active_run.percent,
+                since_ms = now.at.saturating_sub(live.moved).as_millis(),
+                "run makes no progress");
             let id = live.worker.clone();
             self.request_stop(run, StopReason::Stalled);
             if let Some(worker) = self.workers.get_mut(&id)
--- a/ashtiller/src/workflow/core/runs.rs
+++ b/ashtiller/src/workflow/core/runs.rs
@@ -1,4 +1,4 @@
-//! Ends and stops of runs.
+//! Requests for stops of runs, and the handling of their ends.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::workflow::state::TaskState;
 
 impl Core {
-    /// Runs of a job that may be going on.
+    /// Returns the runs of a job that may still be executing.
     pub(super) fn runs_of(&self, number: u32) -> Vec<Run> {
         let from = Run {
             task: Task {
@@ -27,12 +27,12 @@
         runs.map(|(run, _)| *run).collect()
     }
 
-    /// Runs of a step that may be going on.
+    /// Returns the runs of a step that may still be executing.
     pub(super) fn runs_of_step(&self, step: StepKey) -> impl Iterator<Item = (&Run, &LiveRun)> {
-        let (job, time, step) = step;
+        let (job, occurrence, step) = step;
         let first = Task {
             job,
-            occurrence: time,
+            occurrence,
             step,
             index: 0,
         };
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Asks for the stop of a run.
+    /// Requests the stop of a run, unless one was requested before.
     pub(super) fn request_stop(&mut self, run: Run, reason: StopReason) {
         let Some(live) = self.runs.get_mut(&run) else {
             return;
@@ -61,8 +61,8 @@
         }
     }
 
-    /// A run has ended.
-    pub(super) fn end_run(&mut self, run: Run, end: End, saved: &Arc<str>, now: Now) {
+    /// Records the end of a run and acts on it.
+    pub(super) fn end_run(&mut self, run: Run, end: End, checkpoint: &Arc<str>, now: Now) {
         let Some(live) = self.runs.remove(&run) else {
             return;
         };
@@ -76,10 +76,10 @@
             End::Stopped => self.counts.stopped += 1,
             End::Lost => self.counts.lost += 1,
         }
-        let saved = if saved.is_empty() {
+        let checkpoint = if checkpoint.is_empty() {
             &live.checkpoint
         } else {
-            saved
+            checkpoint
         };
         let age = now.at.saturating_sub(live.placed).as_millis();
         if end != End::Done
@@ -88,7 +88,7 @@
             tracing::info!(job = %job.job.id, task = %run.task, run = run.number,
                 worker = %live.worker, ?end, age_ms = age, stop = ?live.stop, percent = live.percent, "run ended");
         }
-        self.record(LogRecord::Ended(run, end, saved.clone()), now);
+        self.record(LogRecord::Ended(run, end, checkpoint.clone()), now);
         self.needs_planning = true;
         if end == End::Failed {
             self.check_failure_limit(run, now);
@@ -104,22 +104,23 @@
         }
     }
 
-    /// Gives a job up when one of its tasks has failed too often.
+    /// Fails a job when one of its tasks, or one of its gangs, has reached the failure limit.
     pub(super) fn check_failure_limit(&mut self, run: Run, now: Now) {
         let Some((job, task)) = self.log_state.task(run.task) else {
             return;
         };
         let gang = job.step(run.task).is_some_and(|step| step.gang);
         let failures = if gang {
-            let round = &job.occurrences[&run.task.occurrence];
-            let tasks = &round.steps[usize::from(run.task.step)].tasks;
+            let occurrence = &job.occurrences[&run.task.occurrence];
+            let tasks = &occurrence.steps[usize::from(run.task.step)].tasks;
             tasks.iter().map(TaskState::failures).sum()
         } else {
             task.failures()
         };
-        let lasting = job.step(run.task).is_some_and(|step| step.long_running);
-        if failures >= job.policy.attempts && !lasting && job.outcome.is_none() {
-            tracing::info!(job = %job.job.id, task = %run.task, failures, "job given up");
+        let long_running = job.step(run.task).is_some_and(|step| step.long_running);
+        if failures >= job.policy.attempts && !long_running && job.outcome.is_none() {
+            tracing::info!(job = %job.job.id, task = %run.task, failures,
+                "job failed: failure limit reached");
             self.record(LogRecord::Failed(run.task.job), now);
         }
     }
@@ -139,9 +140,9 @@
     }
 
     pub(super) fn stop_gang(&mut self, run: Run) {
-        let step = |run: Run| (run.task.occurrence, run.task.step, run.number);
+        let gang_of = |run: Run| (run.task.occurrence, run.task.step, run.number);
         for other in self.runs_of(run.task.job) {
-            if step(other) == step(run) {
+            if gang_of(other) == gang_of(run) {
                 self.request_stop(other, StopReason::Over);
             }
         }
--- a/ashtiller/src/workflow/core/start_hold.rs
+++ b/ashtiller/src/workflow/core/start_hold.rs
@@ -1,52 +1,55 @@
-//! Starts wait while the owner's list of workers or of evacuated zones is old, as one of them
-//! may have changed meanwhile, and while its ownership is in doubt.
+//! Holds all starts while the list of workers or of evacuated zones is outdated, as either may have
+//! changed since, and while ownership is in doubt.
 
 use std::time::Duration;
 
 use crate::workflow::core::wait_report::WAIT_LOG_INTERVAL;
 use crate::workflow::core::{Core, Now};
 
-/// Starts that wait.
+/// An active hold on starts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StartHold {
     since: Duration,
-    told: Duration,
+    logged_at: Duration,
 }
 
 impl Core {
-    /// The list of workers is whole as of then: it holds all that the store took earlier.
+    /// Records that the list of workers is complete as of then: it contains every entry that the
+    /// store accepted earlier.
     pub fn note_complete_listing(&mut self, as_of: Duration) {
         self.listed_at = self.listed_at.max(as_of);
     }
 
-    /// How long ago the list of workers was last known to be whole.
+    /// Returns the time since the list of workers was last known to be complete.
     pub(super) fn list_age(&self, now: Now) -> Duration {
         now.at.saturating_sub(self.listed_at)
     }
 
-    /// Whether runs may start.
+    /// Returns whether runs may start.
     pub(super) fn may_start(&self, now: Now) -> bool {
-        self.may_renew(now) && self.is_list_new(now) && self.is_evacuation_known(now)
+        self.may_renew(now) && self.is_list_current(now) && self.is_evacuation_known(now)
     }
 
-    /// Whether a worker that said right after the list that it leaves still takes starts,
-    /// which it does for `drain`, when an order of now has reached its time limit.
-    fn is_list_new(&self, now: Now) -> bool {
+    /// Returns whether a worker that announced its departure right after the list was read would
+    /// still accept starts when an order sent now times out. A departing worker accepts them for
+    /// `drain`.
+    fn is_list_current(&self, now: Now) -> bool {
         self.list_age(now) + self.order_timeout() < self.terms.drain
     }
 
-    /// Notes that something waits because nothing may start.
+    /// Begins a hold on starts unless one is active.
     pub(super) fn hold_starts(&mut self, now: Now) {
         if self.start_hold.is_some() {
             return;
         }
-        let (since, told) = (now.at, now.at);
-        self.start_hold = Some(StartHold { since, told });
-        self.tell_hold(since, now);
+        let (since, logged_at) = (now.at, now.at);
+        self.start_hold = Some(StartHold { since, logged_at });
+        self.log_hold(since, now);
     }
 
-    /// Nothing is planned meanwhile, so no other line tells what waits.
-    fn tell_hold(&self, since: Duration, now: Now) {
+    /// Logs the hold and what waits. No placement takes place meanwhile, so nothing else logs the
+    /// waiting steps.
+    fn log_hold(&self, since: Duration, now: Now) {
         let [(_, lasting), (_, short)] = self.summarize_waits(now);
         tracing::info!(
             list_age_ms = self.list_age(now).as_millis(),
@@ -56,27 +59,27 @@
             lasting = lasting.tasks,
             short = short.tasks,
             waited_ms = lasting.longest.max(short.longest).as_millis(),
-            "starts wait: the list of workers or of evacuations is old, or ownership in doubt"
+            "starts wait: the list of workers or of evacuations is outdated, or ownership in doubt"
         );
     }
 
-    /// Says again that starts wait, when that was said long ago.
-    fn tell_long_hold(&mut self, now: Now) {
+    /// Logs a long hold again after `WAIT_LOG_INTERVAL`.
+    fn log_long_hold(&mut self, now: Now) {
         let Some(hold) = &mut self.start_hold else {
             return;
         };
-        if now.at < hold.told + WAIT_LOG_INTERVAL {
+        if now.at < hold.logged_at + WAIT_LOG_INTERVAL {
             return;
         }
-        hold.told = now.at;
+        hold.logged_at = now.at;
         let since = hold.since;
-        self.tell_hold(since, now);
+        self.log_hold(since, now);
     }
 
-    /// Goes on with what was held, which no other event would wake.
+    /// Ends the hold once runs may start, and wakes the workers, which no other event would do.
     pub(super) fn resume_starts(&mut self, now: Now) {
         if !self.may_start(now) {
-            self.tell_long_hold(now);
+            self.log_long_hold(now);
             return;
         }
         let Some(hold) = self.start_hold.take() else {
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of tasks that are suspected of crashing workers, apart from others.
+//! Isolated trials of tasks that are suspected of crashing workers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,78 +11,81 @@
 use crate::workflow::record::{Run, Task};
 use crate::workflow::worker::Worker;
 
-/// Longest time for which nothing is started beside a task that is tried: most are cleared or
-/// convicted within 3 s, and in a small fleet others wait.
-const TRIED_MAX: Duration = Duration::from_secs(4);
-/// Age up to which a run is too young to have a suspect beside it: a crash would be
-/// either's doing.
-const SETTLED: Duration = Duration::from_millis(500);
-/// Time after which a step has waited long for a trial of its tasks. The platform asks for
+/// Longest time for which nothing is started beside a task on trial. Most are cleared or found
+/// guilty within 3 s, and in a small fleet other tasks wait meanwhile.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Age below which a run must not have a suspect beside it, as either could have caused a crash.
+const SETTLED_AGE: Duration = Duration::from_millis(500);
+/// Time that a step waits before more of its tasks may be on trial at once. The platform requires
 /// something of a job to run within 3 s.
 const TRIAL_PATIENCE: Duration = Duration::from_millis(1500);
-/// Part of a service's workers on which tasks are tried at the same time, at least one.
-const TRIED_SHARE: usize = 4;
-/// The same part for steps that have waited long.
-const IMPATIENT_SHARE: usize = 2;
-/// Tasks of one job that are tried at the same time: one may take each worker down.
-const TRIED_OF_JOB: usize = 4;
+/// Fraction (one in this many) of a service's workers that may hold trials at the same time; at
+/// least one may.
+const TRIAL_WORKER_DIVISOR: usize = 4;
+/// The same fraction for steps that have waited for `TRIAL_PATIENCE`.
+const OVERDUE_TRIAL_WORKER_DIVISOR: usize = 2;
+/// Limit of concurrent trials per job, since each may crash its worker.
+const TRIALS_PER_JOB_MAX: usize = 4;
 /// Cost of each run that would be lost in a trial, in shares of a worker.
 const LOSS_COST: f64 = 1.0;
-/// Cost of each crash of a worker's machine that no task explains: a further one would tell
-/// nothing. More than what may be lost on another.
-const CRASHED_COST: f64 = 1000.0;
+/// Cost of each unexplained crash of a worker's machine, since another one would prove nothing. It
+/// exceeds the cost of all runs that could be lost on another worker.
+const CRASH_COST: f64 = 1000.0;
 
-/// What becomes of a task that may be tried.
+/// The outcome of an attempt to place a task as a trial.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum TrialResult {
-    /// It is placed like any other.
+    /// The task needs no trial and is placed normally.
     None,
-    /// It has got a worker.
+    /// The task was placed on a worker.
     Placed,
-    /// It waits.
+    /// The task has to wait.
     Waits,
 }
 
-/// Trials that are going on in a round of placing.
+/// The active trials during a placement round.
 #[derive(Default)]
 pub(super) struct ActiveTrials {
-    /// Workers by service, those on which tasks are tried among them.
-    workers: BTreeMap<Arc<str>, usize>,
-    /// Tasks that are tried, by service and by job.
-    tried: BTreeMap<Arc<str>, usize>,
-    jobs: BTreeMap<u32, usize>,
-    /// Workers for the trials of one step that are left, best first.
+    /// Workers by service, including those that hold trials.
+    workers_by_service: BTreeMap<Arc<str>, usize>,
+    /// Tasks on trial, by service.
+    trials_by_service: BTreeMap<Arc<str>, usize>,
+    trials_by_job: BTreeMap<u32, usize>,
+    /// The remaining workers for trials of one step, best first.
     ranked: Option<(StepKey, CandidateRanking)>,
 }
 
 impl ActiveTrials {
     fn add(&mut self, service: &Arc<str>, job: u32) {
-        *self.tried.entry(service.clone()).or_insert(0) += 1;
-        *self.jobs.entry(job).or_insert(0) += 1;
+        *self.trials_by_service.entry(service.clone()).or_insert(0) += 1;
+        *self.trials_by_job.entry(job).or_insert(0) += 1;
     }
 }
 
 impl Core {
-    /// Whether a task is tried on a worker, so that nothing is started beside it.
+    /// Returns whether a task is on trial on a worker, so that nothing may be started beside it.
     pub(super) fn has_trial(&self, worker: &Worker, now: Now) -> bool {
-        let is_tried = |run: &Run| self.is_tried_run(*run, now);
+        let is_tried = |run: &Run| self.is_on_trial(*run, now);
         !self.log_state.suspects().is_empty() && worker.runs.iter().any(is_tried)
     }
 
-    /// Whether a step has waited for too long for its tasks to be tried one by one.
-    fn is_impatient(&self, key: StepKey, now: Now) -> bool {
+    /// Returns whether a step has waited too long for its tasks to be tried a few at a time.
+    fn is_trial_overdue(&self, key: StepKey, now: Now) -> bool {
         let since = self.ledger.ready_since(key);
         since.is_some_and(|since| now.at >= since + TRIAL_PATIENCE)
     }
 
-    /// Counts the trials that are going on, once for each round of placing.
+    /// Counts the active trials, once per placement round.
     pub(super) fn count_trials(&self, fleet: &[Candidate], now: Now) -> ActiveTrials {
         let mut trials = ActiveTrials::default();
         if self.log_state.suspects().is_empty() {
             return trials;
         }
         for candidate in fleet {
-            *trials.workers.entry(candidate.service.clone()).or_insert(0) += 1;
+            *trials
+                .workers_by_service
+                .entry(candidate.service.clone())
+                .or_insert(0) += 1;
         }
         for task in self.log_state.suspects().keys() {
             let live = self.log_state.task(*task).into_iter();
@@ -91,12 +94,15 @@
                     task: *task,
                     number: live.number,
                 };
-                if self.is_tried_run(run, now)
+                if self.is_on_trial(run, now)
                     && let Some(worker) = self.runs.get(&run).map(|live| &live.worker)
                     && let Some(worker) = self.workers.get(worker)
                 {
                     let service = &worker.listed.service;
-                    *trials.workers.entry(service.clone()).or_insert(0) += 1;
+                    *trials
+                        .workers_by_service
+                        .entry(service.clone())
+                        .or_insert(0) += 1;
                     trials.add(service, task.job);
                 }
             }
@@ -104,7 +110,8 @@
         trials
     }
 
-    /// Whether another task of a job may be tried now; more may when its step has waited long.
+    /// Returns whether another task of a job may go on trial now. The limits are wider for a step
+    /// that has waited long.
     pub(super) fn may_begin_trial(
         &self,
         task: Task,
@@ -112,112 +119,114 @@
         trials: &ActiveTrials,
         now: Now,
     ) -> bool {
-        let impatient = self.is_impatient((task.job, task.occurrence, task.step), now);
-        let share = if impatient {
-            IMPATIENT_SHARE
+        let overdue = self.is_trial_overdue((task.job, task.occurrence, task.step), now);
+        let divisor = if overdue {
+            OVERDUE_TRIAL_WORKER_DIVISOR
         } else {
-            TRIED_SHARE
+            TRIAL_WORKER_DIVISOR
         };
         let count = |counts: &BTreeMap<Arc<str>, usize>| counts.get(service).copied().unwrap_or(0);
-        let most = (count(&trials.workers) / share).max(1);
-        let of_job = trials.jobs.get(&task.job).copied().unwrap_or(0);
-        (impatient || of_job < TRIED_OF_JOB) && count(&trials.tried) < most
+        let max = (count(&trials.workers_by_service) / divisor).max(1);
+        let of_job = trials.trials_by_job.get(&task.job).copied().unwrap_or(0);
+        (overdue || of_job < TRIALS_PER_JOB_MAX) && count(&trials.trials_by_service) < max
     }
 
-    /// Whether a run is tried now.
-    fn is_tried_run(&self, run: Run, now: Now) -> bool {
+    /// Returns whether a run is on trial now.
+    fn is_on_trial(&self, run: Run, now: Now) -> bool {
         let live = self.runs.get(&run);
-        let tried = live.is_some_and(|live| live.isolated && now.at < live.placed + TRIED_MAX);
+        let tried = live.is_some_and(|live| live.isolated && now.at < live.placed + TRIAL_TIMEOUT);
         tried && self.is_strong_suspect(run.task)
     }
 
-    /// Ranks workers by what the trial of a task of a step costs there.
+    /// Ranks workers by the cost of a trial of a step's task there.
     pub(super) fn rank_trials(
         &self,
         fleet: &[Candidate],
-        wish: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         now: Now,
     ) -> CandidateRanking {
-        candidates::rank_by(fleet, |candidate| self.weigh_trial(candidate, wish, now))
+        candidates::rank_by(fleet, |candidate| self.trial_cost(candidate, request, now))
     }
 
-    /// What the trial of a task costs at a worker, where all runs began a while ago.
-    fn weigh_trial(
+    /// Returns the cost of a trial on a worker, or `None` if it does not fit or a run there is too
+    /// recent.
+    fn trial_cost(
         &self,
         candidate: &Candidate,
-        wish: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         now: Now,
     ) -> Option<f64> {
-        if !candidate.is_settled(SETTLED, now.at) {
+        if !candidate.is_settled(SETTLED_AGE, now.at) {
             return None;
         }
-        let cost = self.placement_cost(candidate, wish)?;
+        let cost = self.placement_cost(candidate, request)?;
         let lost = LOSS_COST * f64::from(candidate.runs);
-        Some(cost + lost + CRASHED_COST * f64::from(candidate.crashes))
+        Some(cost + lost + CRASH_COST * f64::from(candidate.crashes))
     }
 
-    /// The best worker for a trial: one that has got something since may take it no more.
-    fn choose_trial(
+    /// Returns the best worker for a trial. The ranking may be outdated, as a worker may have
+    /// received a run since.
+    fn choose_trial_worker(
         &self,
-        placing: &mut PlacementRound,
-        wish: &PlacementRequest<'_>,
+        round: &mut PlacementRound,
+        request: &PlacementRequest<'_>,
         step: StepKey,
         now: Now,
     ) -> Option<usize> {
-        let ranked = placing.trials.ranked.take();
+        let ranked = round.trials.ranked.take();
         let mut ranked = match ranked {
             Some((of, ranked)) if of == step => ranked,
-            _ => self.rank_trials(&placing.fleet, wish, now),
+            _ => self.rank_trials(&round.fleet, request, now),
         };
         let mut chosen = None;
         while chosen.is_none()
-            && let Some(place) = ranked.pop_best(&placing.fleet)
+            && let Some(place) = ranked.pop_best(&round.fleet)
         {
-            let cost = self.weigh_trial(&placing.fleet[place], wish, now);
+            let cost = self.trial_cost(&round.fleet[place], request, now);
             chosen = cost.map(|_| place);
         }
-        placing.trials.ranked = Some((step, ranked));
+        round.trials.ranked = Some((step, ranked));
         chosen
     }
 
-    /// Tries a task if it is strongly suspected.
+    /// Places a task as a trial if it is strongly suspected.
     pub(super) fn try_suspect(
         &mut self,
         task: Task,
-        wish: &PlacementRequest<'_>,
-        placing: &mut PlacementRound,
+        request: &PlacementRequest<'_>,
+        round: &mut PlacementRound,
         now: Now,
     ) -> TrialResult {
         match () {
             () if self.has_reached_crash_limit(task) => TrialResult::Waits,
             () if !self.is_strong_suspect(task) => TrialResult::None,
-            () if self.place_suspect(task, wish, placing, now) => TrialResult::Placed,
+            () if self.place_suspect(task, request, round, now) => TrialResult::Placed,
             () => TrialResult::Waits,
         }
     }
 
-    /// Places a task that is strongly suspected, alone among its like.
+    /// Places a strongly suspected task where nothing else is started beside it.
     pub(super) fn place_suspect(
         &mut self,
         task: Task,
-        wish: &PlacementRequest<'_>,
-        placing: &mut PlacementRound,
+        request: &PlacementRequest<'_>,
+        round: &mut PlacementRound,
         now: Now,
     ) -> bool {
-        if !self.may_begin_trial(task, wish.service, &placing.trials, now) {
+        if !self.may_begin_trial(task, request.service, &round.trials, now) {
             return false;
         }
         let key = (task.job, task.occurrence, task.step);
-        let Some(place) = self.choose_trial(placing, wish, key, now) else {
+        let Some(place) = self.choose_trial_worker(round, request, key, now) else {
             return false;
         };
-        let candidate = &mut placing.fleet[place];
+        let candidate = &mut round.fleet[place];
         candidate.close();
         let id = candidate.id.clone();
-        placing.trials.add(wish.service, task.job);
-        let ticket = wish.advised.and_then(|it| it.get(&id).cloned());
+        round.trials.add(request.service, task.job);
+        let ticket = request.advised.and_then(|it| it.get(&id).cloned());
         let number = self.next_run_number(task);
-        tracing::info!(%task, run = number, worker = %id, "suspected task is tried apart");
+        tracing::info!(%task, run = number, worker = %id, "suspected task is tried in isolation");
         let run = Run { task, number };
         self.place_run(run, &id, ticket, now);
         if let Some(live) = self.runs.get_mut(&run) {
--- a/ashtiller/src/workflow/core/worker_list.rs
+++ b/ashtiller/src/workflow/core/worker_list.rs
@@ -1,4 +1,4 @@
-//! Which workers there are, and what becomes of runs whose worker goes.
+//! The list of workers, and the handling of runs whose worker leaves or disappears.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 use crate::workflow::record::{End, LogRecord, Run};
 use crate::workflow::worker::{LATE_MAX, Worker};
 
-/// How long a worker that is not listed and runs nothing is remembered.
-const FORGET: Duration = Duration::from_secs(10);
-/// Time before the end of a draining worker by which its runs should be stopped,
-/// so that the last checkpoint is reported: a stop may take most of a second.
+/// How long an unlisted worker without runs is remembered.
+const FORGET_AFTER: Duration = Duration::from_secs(10);
+/// Time before the end of a draining worker by which its runs should be stopped, so that the last
+/// checkpoint is reported; a stop may take most of a second.
 const DRAIN_MARGIN: Duration = Duration::from_millis(1200);
-/// Time for which a worker must be missing in the platform's list before it counts as
-/// about to leave: an outage of the store is noticed within it.
+/// How long a worker must be missing from the platform's list before it counts as leaving. An
+/// outage of the store is noticed within that time.
 const UNLISTED_MIN: Duration = Duration::from_millis(500);
 
-/// A worker that is about to leave.
-struct Leaving {
+/// The pending departure of a worker.
+struct Departure {
     since: Duration,
-    /// Time that was left then, at least.
+    /// Time that was left at `since`, at least.
     left: Duration,
-    /// Whether it said so.
+    /// Whether the worker announced its departure.
     told: bool,
 }
 
 impl Core {
-    /// The platform lists a worker.
+    /// Adds or updates a worker from its entry in the platform's list.
     pub fn list_worker(&mut self, mut listed: ListedWorker, now: Now) {
         listed.service = self.intern_service(&listed.service);
-        if self.is_known(&listed) {
+        if self.is_unchanged(&listed) {
             return;
         }
         if self.lacks_incarnation(&listed) || self.is_stale_entry(&listed, now) {
@@ -42,47 +42,47 @@
         }
         self.needs_planning = true;
         self.poll_former_incarnations(&listed, now);
-        let life = listed.incarnation.clone();
+        let incarnation = listed.incarnation.clone();
         let bound = self.earlier_leases_end();
         let draining = listed.draining;
-        self.summaries.remove(&life);
+        self.summaries.remove(&incarnation);
         self.add_former_incarnations(&listed, now);
-        if let Some(known) = self.workers.get(&life) {
+        if let Some(known) = self.workers.get(&incarnation) {
             self.places.forget(&known.listed);
         }
         self.places.note(&listed);
-        let worker = self.workers.entry(life.clone()).or_insert_with(|| {
-            tracing::info!(worker = %life, service = %listed.service, address = %listed.address, "worker listed");
+        let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| {
+            tracing::info!(worker = %incarnation, service = %listed.service, address = %listed.address, "worker listed");
             Worker::new(listed.clone(), bound)
         });
         worker.resize(listed.capacity);
         worker.listed = listed;
         worker.entered = true;
         worker.absent = None;
-        // Starts may have waited for it to be listed again.
+        // Starts may have waited for the worker to be listed again.
         worker.wake();
         if draining && worker.draining.is_none() {
-            tracing::info!(worker = %life, left = ?worker.listed.remaining, "worker drains");
+            tracing::info!(worker = %incarnation, left = ?worker.listed.remaining, "worker is draining");
             worker.draining = Some(now.at);
         }
         if !draining && worker.former_drains {
-            // Its next life has written this entry.
+            // This entry was written by the next incarnation.
             worker.draining = None;
             worker.former_drains = false;
         }
-        self.seat_adopted(&life);
+        self.allocate_adopted_runs(&incarnation);
     }
 
-    /// Whether a list says of a worker what was known before. Lists of all workers come
-    /// several times a second, and to look for former lives of each among all others took a
-    /// quarter of the processor time of an owner of 890 workers.
-    fn is_known(&self, listed: &ListedWorker) -> bool {
+    /// Returns whether an entry says nothing new. Lists of all workers arrive several times a
+    /// second, and searching all other workers for former incarnations of each took a quarter of an
+    /// owner's processor time with 890 workers.
+    fn is_unchanged(&self, listed: &ListedWorker) -> bool {
         self.workers.get(&listed.incarnation).is_some_and(|worker| {
             worker.absent.is_none() && !listed.draining && worker.listed == *listed
         })
     }
 
-    /// Leases that earlier owners granted end by this time.
+    /// Returns when all leases granted by earlier owners have ended.
     pub(super) fn earlier_leases_end(&self) -> Duration {
         let granted = self
             .former_owner_ended_at
@@ -90,16 +90,16 @@
         granted + lease::worst_case_elapsed(self.terms.lease)
     }
 
-    /// The owner at this epoch, which this one replaced, has ended; 0 when there was none.
-    /// What it granted before ends within a lease from now, and what was granted by owners
-    /// before it does if it knew so much of them. Without that proof the new owner waits
-    /// for the longest time that one without the store may have gone on: 17 s, in which
-    /// tasks on workers that are gone run nowhere.
+    /// Records that the preceding owner, whose epoch was `former` (0 if there was none), has ended.
+    /// Its grants end within one lease from now, and so do those of owners before it if it knew
+    /// that they had ended. Without this proof the new owner has to wait 17 s, the longest time for
+    /// which an owner without the store may have continued, and tasks of lost workers run nowhere
+    /// meanwhile.
     pub fn note_former_owner_ended(&mut self, former: u64, now: Now) {
         if self.former_owner_ended_at.is_some() || self.log_state.cleared < former {
             return;
         }
-        self.note_cleared(now);
+        self.record_predecessor_ended(now);
         let bound = self.earlier_leases_end();
         tracing::info!(
             former,
@@ -111,13 +111,13 @@
         }
     }
 
-    fn note_cleared(&mut self, now: Now) {
+    fn record_predecessor_ended(&mut self, now: Now) {
         self.former_owner_ended_at = Some(now.at);
         self.record(LogRecord::Cleared(self.epoch), now);
     }
 
-    /// Counts the runs of earlier owners in a worker's room.
-    pub(super) fn seat_adopted(&mut self, id: &Incarnation) {
+    /// Charges the runs of earlier owners against the capacity of their worker.
+    pub(super) fn allocate_adopted_runs(&mut self, id: &Incarnation) {
         for run in self.adopted.take(id) {
             let here = self.runs.get(&run).is_some_and(|live| live.worker == *id);
             let worker = self.workers.get(id);
@@ -127,23 +127,23 @@
         }
     }
 
-    /// The platform does not list a worker any more.
+    /// Records that the platform no longer lists a worker.
     pub fn unlist_worker(&mut self, id: &Incarnation, now: Now) {
         if let Some(worker) = self.workers.get_mut(id)
             && worker.absent.is_none()
         {
-            tracing::info!(worker = %id, runs = worker.runs.len(), "worker not listed");
+            tracing::info!(worker = %id, runs = worker.runs.len(), "worker is no longer listed");
             worker.absent = Some(now.at);
         }
     }
 
-    /// The platform lists exactly these workers.
+    /// Replaces the list of workers.
     pub fn list_all(&mut self, listed: Vec<ListedWorker>, now: Now) {
         self.list_all_except_unreadable(listed, &[], now);
     }
 
-    /// The platform lists exactly these workers, and some whose entries cannot be read: of
-    /// them nothing new is known.
+    /// Replaces the list of workers, except for those whose entries cannot be read: about these
+    /// nothing new is known.
     pub fn list_all_except_unreadable(
         &mut self,
         listed: Vec<ListedWorker>,
@@ -153,14 +153,16 @@
         let named: BTreeSet<&Incarnation> =
             listed.iter().map(|worker| &worker.incarnation).collect();
         let unread: BTreeSet<&str> = unread.iter().map(|id| &**id).collect();
-        // An entry without a birth says nothing new of a worker that has one.
+        // An entry without an incarnation number says nothing new about a worker that has one.
         let lacking = listed
             .iter()
             .filter(|worker| self.lacks_incarnation(worker));
         let lacking: BTreeSet<&str> = lacking.map(|worker| worker.incarnation.id()).collect();
-        let silent = |life: &Incarnation| unread.contains(life.id()) || lacking.contains(life.id());
+        let silent = |incarnation: &Incarnation| {
+            unread.contains(incarnation.id()) || lacking.contains(incarnation.id())
+        };
         let gone = self.workers.keys();
-        let gone = gone.filter(|life| !named.contains(life) && !silent(life));
+        let gone = gone.filter(|incarnation| !named.contains(incarnation) && !silent(incarnation));
         let gone: Vec<Incarnation> = gone.cloned().collect();
         for id in gone {
             self.unlist_worker(&id, now);
@@ -170,9 +172,9 @@
         }
     }
 
-    /// Runs of an earlier owner on workers that were never listed since waited for the
-    /// longest lease that the owner may have granted.
-    fn lose_ghosts(&mut self, now: Now) {
+    /// Ends the runs of earlier owners on workers that were never listed, after the longest lease
+    /// that these owners may have granted.
+    fn lose_runs_of_unlisted_workers(&mut self, now: Now) {
         let lost: Vec<Run> = self
             .runs
             .iter()
@@ -186,7 +188,7 @@
         }
     }
 
-    /// One string for each name of a service.
+    /// Returns the shared string of a service's name.
     pub(super) fn intern_service(&mut self, name: &Arc<str>) -> Arc<str> {
         if let Some(known) = self.services.get(name) {
             return known.clone();
@@ -195,13 +197,13 @@
         name.clone()
     }
 
-    /// Runs on a worker whose lease is over for certain are lost.
+    /// Ends runs on workers whose lease has certainly expired.
     pub(super) fn expire_leases(&mut self, now: Now) {
         if self.awaits_unlisted_workers && now.at >= self.earlier_leases_end() {
             self.awaits_unlisted_workers = false;
-            self.lose_ghosts(now);
+            self.lose_runs_of_unlisted_workers(now);
             if self.former_owner_ended_at.is_none() {
-                self.note_cleared(now);
+                self.record_predecessor_ended(now);
             }
         }
         let over = self.workers.values().filter(|worker| {
@@ -219,9 +221,10 @@
         }
     }
 
-    /// Whether a run may go on at its worker's next life although the lease of this one is over:
-    /// that life may have carried out a start that was not answered, and holds a lease by its own
-    /// clock then. Which starts of earlier owners were answered is not known.
+    /// Returns whether a run may continue on its worker's next incarnation although the lease of
+    /// this one has expired. That incarnation may have carried out an unanswered start, and then
+    /// holds a lease by its own clock. For starts of earlier owners it is unknown whether they were
+    /// answered.
     fn may_outlast(&self, run: Run, now: Now) -> bool {
         let Some(live) = self.runs.get(&run) else {
             return false;
@@ -231,11 +234,11 @@
         doubt.is_some_and(|until| now.at < until + lease::worst_case_elapsed(self.terms.hold))
     }
 
-    /// Forgets workers that are gone and run nothing.
+    /// Removes workers that have been unlisted for a while and have no runs.
     pub(super) fn forget_absent_workers(&mut self, now: Now) {
         let gone = self.workers.values().filter(|worker| {
             let absent = worker.absent;
-            worker.runs.is_empty() && absent.is_some_and(|since| now.at > since + FORGET)
+            worker.runs.is_empty() && absent.is_some_and(|since| now.at > since + FORGET_AFTER)
         });
         let gone: Vec<Incarnation> = gone.map(|worker| worker.incarnation().clone()).collect();
         for id in gone {
@@ -243,36 +246,37 @@
         }
     }
 
-    /// Moves off workers that are about to leave what would not end in time.
+    /// Moves runs that would not end in time off workers that are about to leave.
     pub(super) fn drain_leaving_workers(&mut self, now: Now) {
         let mut moved = Vec::new();
         for worker in self.workers.values() {
-            let Some(Leaving { since, left, told }) = self.leaving(worker, now) else {
+            let Some(Departure { since, left, told }) = self.pending_departure(worker, now) else {
                 continue;
             };
             let left = left.saturating_sub(now.at.saturating_sub(since));
             moved.extend(worker.runs.iter().map(|run| (*run, left, told)));
         }
         for (run, left, told) in moved {
-            // One that says nothing may be cut off and well, so its services go one by one.
+            // An unlisted worker that announced nothing may be healthy but partitioned, so its
+            // long-running tasks move within their limit of unavailable tasks.
             if self.is_stopping(run) || !self.outlives(run, left, now) {
                 continue;
             }
-            // One that never began is missed already, and does not begin here any more.
+            // A run that never began is unavailable already, and no longer begins here.
             if told || !self.has_begun(run) || self.may_be_unavailable(run, now) {
                 tracing::info!(task = %run.task, run = run.number, told, left_ms = left.as_millis(),
-                    "run moves off a worker that leaves");
+                    "moving run off a leaving worker");
                 self.request_stop(run, StopReason::Draining);
             }
         }
     }
 
-    /// Whether a worker is about to leave. Some say that they drain; some just take
-    /// their entry back, and go on for as long.
-    fn leaving(&self, worker: &Worker, now: Now) -> Option<Leaving> {
+    /// Returns the pending departure of a worker. Some workers announce that they drain; some only
+    /// withdraw their entry and continue for as long.
+    fn pending_departure(&self, worker: &Worker, now: Now) -> Option<Departure> {
         if let Some(since) = worker.draining {
             let left = worker.listed.remaining.unwrap_or(Duration::ZERO);
-            return Some(Leaving {
+            return Some(Departure {
                 since,
                 left,
                 told: true,
@@ -280,7 +284,7 @@
         }
         let since = worker.absent?;
         let known = now.at >= since + UNLISTED_MIN && !self.is_stalled(now);
-        (known && worker.answers && !self.may_be_relisted(since, now)).then_some(Leaving {
+        (known && worker.answers && !self.may_be_relisted(since, now)).then_some(Departure {
             since,
             left: self.terms.drain,
             told: false,
@@ -297,7 +301,7 @@
         live.is_some_and(|live| matches!(live.stage, Stage::Started(_)))
     }
 
-    /// Whether a run will not end within `left`.
+    /// Returns whether a run will not end within `left`.
     fn outlives(&self, run: Run, left: Duration, now: Now) -> bool {
         let Some((job, _)) = self.log_state.task(run.task) else {
             return false;
@@ -311,13 +315,14 @@
         if left > DRAIN_MARGIN * 2 && step.checkpoints {
             return false;
         }
-        let Some(rest) = self.remaining_time(run, now) else {
+        let Some(remaining) = self.remaining_time(run, now) else {
             return left < step.estimate;
         };
-        rest > left && (left < DRAIN_MARGIN || !step.checkpoints)
+        remaining > left && (left < DRAIN_MARGIN || !step.checkpoints)
     }
 
-    /// Time that a run still needs at the speed that it has shown.
+    /// Returns the estimated remaining time of a run at its observed speed, or `None` before it has
+    /// progressed by 5 percent.
     pub(super) fn remaining_time(&self, run: Run, now: Now) -> Option<Duration> {
         let live = self.runs.get(&run)?;
         let (began, first) = live.began?;
@@ -326,7 +331,7 @@
             return None;
         }
         let spent = live.moved.saturating_sub(began);
-        let rest = spent * (100 - live.percent.min(100)) / gained;
-        Some(rest.saturating_sub(now.at.saturating_sub(live.moved)))
+        let remaining = spent * (100 - live.percent.min(100)) / gained;
+        Some(remaining.saturating_sub(now.at.saturating_sub(live.moved)))
     }
 }
