--- a/ashtiller/src/workflow/blame.rs
+++ b/ashtiller/src/workflow/blame.rs
@@ -1,13 +1,13 @@
-//! Which task is to blame when workers crash.
+//! Attribution of worker crashes to tasks.
 //!
-//! A task may crash each worker that starts it, and all that runs beside it is lost with it.
-//! One crash speaks against everything that was there, most against what had only just begun.
-//! So the suspects are kept apart: one that is strongly suspected starts where no other such
-//! task is, nothing is started beside it while it is tried, and a crash then convicts it. To
-//! live longer there than at any crash before, or to be done, clears it. A task that saw
-//! [`CRASHES_MAX`] crashes gets [`STARTS_AFTER`] starts more, whatever is known.
+//! A task may crash each worker that starts it, and everything that runs beside it is lost with it.
+//! One crash is evidence against every task on the worker, mostly against those that had only just
+//! begun. So suspects are separated: a strongly suspected task starts where no other such task is,
+//! nothing is started beside it during that isolated run, and a crash then convicts it. A run that
+//! outlives the age of all earlier crashes, or finishes, clears its task. A task that saw
+//! [`CRASHES_MAX`] crashes gets [`STARTS_AFTER`] more starts, whatever the evidence.
 //!
-//! Nothing here has a clock, or knows of workers beyond what it is told.
+//! This module has no clock and knows about workers only what callers pass in.
 
 use std::time::Duration;
 
@@ -15,81 +15,81 @@
 
 use crate::workflow::record::{Run, Task};
 
-/// Crashes after which starts are counted: the platform's bound.
+/// Number of crashes after which further starts are limited; given by the platform.
 pub const CRASHES_MAX: usize = 3;
-/// Crashes that must be certain before a task is blamed: the platform lets tasks be given up
-/// under which two workers have crashed.
-const SURE_MIN: u32 = 2;
-/// Starts after that many crashes. The platform's bound is three; one crash may go unseen
-/// behind a cut when the owner that knew of the run ends.
+/// Crashes under runs certainly active that are needed to convict a task: the platform lets tasks
+/// be given up once two workers have crashed under them.
+const CERTAIN_CRASHES_MIN: u32 = 2;
+/// Starts allowed after [`CRASHES_MAX`] crashes. The platform's limit is three; one crash may go
+/// unseen behind a network partition when the owner that knew of the run ends.
 pub const STARTS_AFTER: u32 = 1;
-/// Age up to which a run counts as just begun: tasks that crash their workers do so
-/// within moments of their start, and a worker begins some two runs a second.
+/// Age up to which a run counts as just begun. Tasks that crash their workers do so within moments
+/// of their start, and a worker begins about two runs a second.
 const JUST_BEGUN: Duration = Duration::from_secs(1);
 /// Weight of a crash for a run that had just begun.
-const HEAVY: u32 = 2;
-/// Weight of a crash for others, and where it is doubtful.
+const HEAVY_WEIGHT: u32 = 2;
+/// Weight of a crash for other runs, and in doubtful cases.
 pub const LIGHT: u32 = 1;
-/// Weight from which a task is strongly suspected, and tried.
-const STRONG: u32 = 2;
-/// Time by which a run must outlive the oldest age at a crash, doubled, to be cleared.
+/// Weight from which a task is strongly suspected and runs isolated.
+const STRONG_WEIGHT: u32 = 2;
+/// Margin by which a run must exceed twice the oldest age at a crash to clear its task.
 const CLEAR_MARGIN: Duration = Duration::from_secs(1);
-/// Time by which ages at two crashes of one cause may differ, besides a part of them: entries
-/// of the log and answers of workers take a tenth of a second.
+/// Tolerance for the ages at two crashes of the same cause, in addition to a part of the age: log
+/// entries and answers of workers take a tenth of a second.
 const ALIKE_MARGIN: Duration = Duration::from_millis(200);
-/// The part of the age.
-const ALIKE_SHARE: u32 = 4;
+/// Divisor of the age that gives the relative part of the tolerance.
+const ALIKE_DIVISOR: u32 = 4;
 
-/// One run that was lost when its worker crashed.
+/// A run that was lost when its worker crashed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LostRun {
-    /// Run.
+    /// Run that was lost.
     pub run: Run,
-    /// How old it was at most, in milliseconds.
+    /// Upper bound of its age in milliseconds.
     pub age: u32,
-    /// How much the crash speaks against its task.
+    /// Weight of the crash as evidence against the task.
     pub weight: u32,
-    /// Whether it was going on for certain.
+    /// Whether the run was certainly active.
     pub begun: bool,
 }
 
-/// What is known against a task under which workers crashed.
+/// Evidence against a task that ran on crashed workers.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Suspect {
-    /// Numbers of its first runs under which workers crashed, at most [`CRASHES_MAX`], in order.
+    /// Numbers of the first runs lost to crashes, in ascending order, at most [`CRASHES_MAX`].
     pub crashed: Vec<u32>,
-    /// Crashes in all.
+    /// Number of crashes.
     pub crashes: u32,
-    /// Crashes under runs that were going on for certain.
+    /// Number of crashes under runs that were certainly active.
     pub sure: u32,
-    /// Greatest age of a run at a crash, in milliseconds.
+    /// Highest age of a run at a crash, in milliseconds.
     pub oldest: u32,
-    /// Sum of what speaks against it.
+    /// Sum of the weights of the crashes.
     pub weight: u32,
 }
 
-/// What a crash that is judged looks like.
+/// Circumstances of a crash for one of the runs on the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashContext {
-    /// How old the run was when its worker went; nothing if it was never seen at work.
+    /// Age of the run when the worker was lost; zero if the run was never seen active.
     pub age: Duration,
-    /// Whether it was going on: the worker had said that it began, else the crash may have
-    /// come first, and it was not nearly done.
+    /// Whether the run was active: the worker had confirmed its start, else the crash may have come
+    /// first; and it was not nearly done.
     pub begun: bool,
-    /// Whether the cause may lie outside: many workers went at that moment, or this one only
-    /// fell silent.
+    /// Whether the cause may be external: many workers were lost at the same time, or this one only
+    /// stopped answering.
     pub many: bool,
-    /// Whether tasks of the same step had just begun on several of these.
+    /// Whether tasks of the same step had just begun on several of the lost workers.
     pub alike: bool,
 }
 
 impl CrashContext {
-    /// How much the crash speaks against a task that was there.
+    /// Returns the weight of the crash as evidence against the task.
     #[must_use]
     pub fn weight(&self) -> u32 {
         let young = self.age <= JUST_BEGUN;
         if young && self.begun && (self.alike || !self.many) {
-            HEAVY
+            HEAVY_WEIGHT
         } else {
             LIGHT
         }
@@ -97,63 +97,64 @@
 }
 
 impl Suspect {
-    /// Notes a crash under a run; a crash that was noted before changes nothing.
-    pub fn note(&mut self, victim: &LostRun) {
-        // What is told late may have come first.
-        let Err(place) = self.crashed.binary_search(&victim.run.number) else {
+    /// Adds a crash under a run; one that was added before changes nothing.
+    pub fn note(&mut self, lost: &LostRun) {
+        // Crashes may be reported out of order.
+        let Err(place) = self.crashed.binary_search(&lost.run.number) else {
             return;
         };
-        self.crashed.insert(place, victim.run.number);
+        self.crashed.insert(place, lost.run.number);
         self.crashed.truncate(CRASHES_MAX);
         self.crashes += 1;
-        self.sure += u32::from(victim.begun);
-        self.oldest = self.oldest.max(victim.age);
-        self.weight += victim.weight;
+        self.sure += u32::from(lost.begun);
+        self.oldest = self.oldest.max(lost.age);
+        self.weight += lost.weight;
     }
 
-    /// Whether it is to be tried apart from others.
+    /// Reports whether the task has to run isolated.
     #[must_use]
     pub fn is_strong(&self) -> bool {
-        self.weight >= STRONG
+        self.weight >= STRONG_WEIGHT
     }
 
-    /// Age at which a run clears its task.
+    /// Returns the age at which a run clears its task.
     #[must_use]
     pub fn clears_at(&self) -> Duration {
         Duration::from_millis(u64::from(self.oldest)) * 2 + CLEAR_MARGIN
     }
 
-    /// Whether no start is left, where the newest run has this number.
+    /// Reports whether no start is left, given the number of the newest run.
     #[must_use]
     pub fn has_no_starts_left(&self, last: u32) -> bool {
         let third = self.crashed.get(CRASHES_MAX - 1);
         third.is_some_and(|third| last >= third + STARTS_AFTER)
     }
 
-    /// Whether a crash while it was tried alone convicts it: two are certain, and it came as the
-    /// earlier ones did or there were enough of them.
+    /// Reports whether a crash during an isolated run convicts the task. Two crashes must be
+    /// certain; and either this one came at a similar age as the earlier ones, or there were at
+    /// least [`CRASHES_MAX`] in all.
     #[must_use]
-    fn is_convicted(&self, victim: &LostRun) -> bool {
+    fn is_convicted(&self, lost: &LostRun) -> bool {
         let oldest = Duration::from_millis(u64::from(self.oldest));
-        let age = Duration::from_millis(u64::from(victim.age));
-        let alike = age.abs_diff(oldest) <= oldest / ALIKE_SHARE + ALIKE_MARGIN;
-        let sure = self.sure + u32::from(victim.begun) >= SURE_MIN;
+        let age = Duration::from_millis(u64::from(lost.age));
+        let alike = age.abs_diff(oldest) <= oldest / ALIKE_DIVISOR + ALIKE_MARGIN;
+        let sure = self.sure + u32::from(lost.begun) >= CERTAIN_CRASHES_MIN;
         sure && (alike || self.crashes as usize + 1 >= CRASHES_MAX)
     }
 }
 
-/// The task that is to blame for a crash that has no cause outside of the tasks, if that is
-/// known: the only one there that was strongly suspected before.
+/// Returns the task to blame for a crash without an external cause: the only one on the worker that
+/// was strongly suspected before. `known` returns the evidence against a task.
 pub fn find_culprit<'a>(
-    victims: &[LostRun],
+    lost_runs: &[LostRun],
     known: impl Fn(Task) -> Option<&'a Suspect>,
 ) -> Option<Task> {
-    let strong = victims
+    let strong = lost_runs
         .iter()
-        .filter_map(|victim| Some((victim, known(victim.run.task).filter(|it| it.is_strong())?)));
+        .filter_map(|lost| Some((lost, known(lost.run.task).filter(|it| it.is_strong())?)));
     let strong: Vec<(&LostRun, &Suspect)> = strong.collect();
-    let [(victim, suspect)] = strong[..] else {
+    let [(lost, suspect)] = strong[..] else {
         return None;
     };
-    suspect.is_convicted(victim).then_some(victim.run.task)
+    suspect.is_convicted(lost).then_some(lost.run.task)
 }
--- a/ashtiller/src/workflow/congestion.rs
+++ b/ashtiller/src/workflow/congestion.rs
@@ -1,42 +1,42 @@
-//! How much the owner of a log may have under way at workers, and how long it waits for
-//! their answers, by how long answers take.
+//! Congestion control for the orders of a log owner: limits the orders in flight and adapts
+//! timeouts to the delays of workers' answers.
 //!
-//! An owner that sends more than its link or processor carries queues its own orders. If it
-//! took that for silence of the workers it would drop good connections and send again, which
-//! keeps the queue full: more work for less. So what waits, waits in the program
-//! ([`Pressure::free`]), and slowness that most workers share is the owner's own: it is
-//! waited out ([`Pressure::patience`]).
+//! An owner that sends more than its link or processor carries builds up a queue of its own orders.
+//! If it mistook that for unresponsive workers, it would drop good connections and send again,
+//! which keeps the queue full and makes useful work slower. So orders wait in the program
+//! ([`Congestion::available_slots`]), and a delay that most workers share is attributed to the
+//! owner itself: it waits longer ([`Congestion::timeout`]).
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::workflow::incarnation::Incarnation;
 
-/// Workers whose last answers are compared; a few that are slow do not move the middle.
-const SAMPLES: usize = 33;
-/// Time for which an answer says how long others take; a queue lasts for less or shows again.
-const FRESH: Duration = Duration::from_secs(2);
-/// How many times the usual delay an answer may take: queues vary by less within a second.
-const PATIENCE: u32 = 4;
-/// Delay that counts as a queue, above the least seen lately. The way to another zone and
-/// back takes some 3 ms, a busy instance up to 100 ms. At 60 ms an owner short of processor
-/// held back what it could carry: it served 0.46 in place of 0.89 of a calm day.
-const QUEUED: Duration = Duration::from_millis(150);
-/// Time after which the least delay is measured anew.
-const MEMORY: Duration = Duration::from_secs(10);
-/// Orders that may always be under way: enough for 200 a second at 150 ms each, and a
-/// queue of 0.6 s on a link that carries 50 a second.
+/// Number of workers whose latest answers are compared; a few slow ones do not move the median.
+const SAMPLES_MAX: usize = 33;
+/// Time for which an answer predicts the delay of others; a queue lasts for less or shows again.
+const SAMPLE_LIFETIME: Duration = Duration::from_secs(2);
+/// Multiple of the median delay that an answer may take; queues vary by less within a second.
+const TIMEOUT_FACTOR: u32 = 4;
+/// Delay above the recent minimum that counts as a queue. A round trip to another zone takes about
+/// 3 ms, and one of a busy instance up to 100 ms. With 60 ms, an owner short of processor time held
+/// back orders that it could carry: it reached 0.46 instead of 0.89 of the work of a calm day.
+const QUEUE_DELAY: Duration = Duration::from_millis(150);
+/// Time after which the minimum delay is measured anew.
+const MINIMUM_LIFETIME: Duration = Duration::from_secs(10);
+/// Orders that may always be in flight: enough for 200 a second at 150 ms each, and a queue of
+/// 0.6 s on a link that carries 50 a second.
 const WINDOW_MIN: f64 = 32.0;
-/// Orders that may be under way before anything was measured.
+/// Initial window, before anything was measured.
 const WINDOW_FIRST: f64 = 64.0;
-/// More are never under way: one for each of some thousand workers.
+/// Largest window: one order for each of some thousand workers.
 const WINDOW_MAX: f64 = 4096.0;
-/// By how much the window grows while as many orders are answered as it holds.
-const GROWTH: f64 = 2.0;
-/// What is left of the window when there is a queue.
-const SHRINK: f64 = 0.7;
+/// Growth of the window while as many orders are answered as it holds.
+const WINDOW_GROWTH: f64 = 2.0;
+/// Factor that shrinks the window when there is a queue.
+const WINDOW_SHRINK: f64 = 0.7;
 
-/// One answer.
+/// Delay of one answer.
 #[derive(Clone, Debug)]
 struct Sample {
     worker: Incarnation,
@@ -44,21 +44,21 @@
     at: Duration,
 }
 
-/// Delays of the answers to one owner, and what follows from them.
+/// Delays of the answers to one owner, and the window and timeouts derived from them.
 #[derive(Clone, Debug)]
 pub struct Congestion {
-    /// Last answers of some workers, oldest first.
+    /// Latest answers of some workers, oldest first.
     samples: VecDeque<Sample>,
-    /// The middle of them.
+    /// Median delay of the samples.
     usual: Duration,
-    /// Least `usual` of the spell under way, and of the one before it.
-    least: [Duration; 2],
-    spell: Duration,
+    /// Minimum of the median in the current measuring period, and in the one before.
+    minimum: [Duration; 2],
+    period_start: Duration,
     window: f64,
-    shrunk: Duration,
+    shrunk_at: Duration,
     under_way: usize,
-    /// When something last had to wait for the window.
-    limited: Option<Duration>,
+    /// Last time at which an order had to wait for the window.
+    limited_at: Option<Duration>,
 }
 
 impl Default for Congestion {
@@ -66,59 +66,59 @@
         Self {
             samples: VecDeque::new(),
             usual: Duration::ZERO,
-            least: [Duration::MAX; 2],
-            spell: Duration::ZERO,
+            minimum: [Duration::MAX; 2],
+            period_start: Duration::ZERO,
             window: WINDOW_FIRST,
-            shrunk: Duration::ZERO,
+            shrunk_at: Duration::ZERO,
             under_way: 0,
-            limited: None,
+            limited_at: None,
         }
     }
 }
 
 impl Congestion {
-    /// An order goes out.
+    /// Counts an order that is sent.
     pub fn note_sent(&mut self) {
         self.under_way += 1;
     }
 
-    /// An order was answered, or given up, after this delay.
+    /// Records that an order was answered, or abandoned, after this delay.
     pub fn note_order(&mut self, worker: &Incarnation, took: Duration, now: Duration) {
-        let used = self.under_way * 2 >= self.open();
+        let used = self.under_way * 2 >= self.window_slots();
         self.under_way = self.under_way.saturating_sub(1);
         self.note_delay(worker, took, now);
         if self.is_congested() {
-            self.shrink(now);
+            self.shrink_window(now);
         } else if used {
-            // A window that nothing fills says nothing of what could be carried.
-            self.window = (self.window + GROWTH / self.window).min(WINDOW_MAX);
+            // A window that is not used tells nothing about the capacity.
+            self.window = (self.window + WINDOW_GROWTH / self.window).min(WINDOW_MAX);
         }
     }
 
-    /// An order to a worker that is gone by now has ended.
+    /// Records the end of an order to a worker that is gone.
     pub fn note_end(&mut self) {
         self.under_way = self.under_way.saturating_sub(1);
     }
 
-    /// A worker took this long for an answer, beyond what it was asked to wait.
+    /// Records the delay of a worker's answer, without the time that it was asked to wait.
     pub fn note_delay(&mut self, worker: &Incarnation, took: Duration, now: Duration) {
         if let Some(place) = self.samples.iter().position(|it| it.worker == *worker) {
             self.samples.remove(place);
-        } else if self.samples.len() >= SAMPLES {
+        } else if self.samples.len() >= SAMPLES_MAX {
             self.samples.pop_front();
         }
         let worker = worker.clone();
         let at = now;
         self.samples.push_back(Sample { worker, took, at });
-        self.measure();
-        if now >= self.spell + MEMORY {
-            self.spell = now;
-            self.least = [Duration::MAX, self.least[0]];
+        self.update_median();
+        if now >= self.period_start + MINIMUM_LIFETIME {
+            self.period_start = now;
+            self.minimum = [Duration::MAX, self.minimum[0]];
         }
-        self.least[0] = self.least[0].min(self.usual);
+        self.minimum[0] = self.minimum[0].min(self.usual);
     }
 
-    fn measure(&mut self) {
+    fn update_median(&mut self) {
         let mut delays: Vec<Duration> = self.samples.iter().map(|it| it.took).collect();
         let middle = delays.len() / 2;
         self.usual = if delays.is_empty() {
@@ -128,79 +128,82 @@
         };
     }
 
-    /// Forgets answers of long ago.
+    /// Drops samples that are too old.
     pub fn forget_old(&mut self, now: Duration) {
-        let old = self.samples.iter().take_while(|it| it.at + FRESH < now);
+        let old = self
+            .samples
+            .iter()
+            .take_while(|it| it.at + SAMPLE_LIFETIME < now);
         let old = old.count();
         if old > 0 {
             self.samples.drain(..old);
-            self.measure();
+            self.update_median();
         }
     }
 
-    fn shrink(&mut self, now: Duration) {
-        // What was sent before the last cut tells nothing of it.
-        if now < self.shrunk + self.usual {
+    fn shrink_window(&mut self, now: Duration) {
+        // Orders sent before the last reduction tell nothing about its effect.
+        if now < self.shrunk_at + self.usual {
             return;
         }
-        self.shrunk = now;
-        self.window = (self.window * SHRINK).max(WINDOW_MIN);
+        self.shrunk_at = now;
+        self.window = (self.window * WINDOW_SHRINK).max(WINDOW_MIN);
     }
 
-    /// What most workers take for an answer.
+    /// Returns the median delay of an answer.
     #[must_use]
     pub fn usual(&self) -> Duration {
         self.usual
     }
 
-    /// Whether answers wait in a queue that most workers share.
+    /// Reports whether answers are delayed by a queue that most workers share.
     #[must_use]
     pub fn is_congested(&self) -> bool {
-        let least = self.least[0].min(self.least[1]);
-        self.usual > least.saturating_add(QUEUED)
+        let least = self.minimum[0].min(self.minimum[1]);
+        self.usual > least.saturating_add(QUEUE_DELAY)
     }
 
-    /// How long to wait for an answer: `least`, or longer when most take long.
+    /// Returns the timeout for an answer: `least`, or up to `most` when the median delay is high.
     #[must_use]
     pub fn timeout(&self, least: Duration, most: Duration) -> Duration {
-        (self.usual * PATIENCE).clamp(least, most.max(least))
+        (self.usual * TIMEOUT_FACTOR).clamp(least, most.max(least))
     }
 
-    /// How many more orders may go out.
+    /// Returns the number of further orders that may be sent.
     #[must_use]
     pub fn available_slots(&self) -> usize {
-        self.open().saturating_sub(self.under_way)
+        self.window_slots().saturating_sub(self.under_way)
     }
 
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "between its least and its most"
+        reason = "bounded by WINDOW_MIN and WINDOW_MAX"
     )]
-    fn open(&self) -> usize {
+    fn window_slots(&self) -> usize {
         self.window as usize
     }
 
-    /// Orders that may be under way.
+    /// Returns the window: the number of orders that may be in flight.
     #[must_use]
     pub fn window(&self) -> f64 {
         self.window
     }
 
-    /// Orders under way.
+    /// Returns the number of orders in flight.
     #[must_use]
     pub fn under_way(&self) -> usize {
         self.under_way
     }
 
-    /// Something has to wait.
+    /// Records that an order has to wait for the window.
     pub fn note_limit(&mut self, now: Duration) {
-        self.limited = Some(now);
+        self.limited_at = Some(now);
     }
 
-    /// Whether something had to wait within `span`.
+    /// Reports whether an order had to wait within `span`.
     #[must_use]
     pub fn was_limited(&self, span: Duration, now: Duration) -> bool {
-        self.limited.is_some_and(|at| now < at + span)
+        self.limited_at.is_some_and(|at| now < at + span)
     }
 }
--- a/ashtiller/src/workflow/incarnation.rs
+++ b/ashtiller/src/workflow/incarnation.rs
@@ -1,8 +1,8 @@
-//! One life of a worker.
+//! Incarnations of workers.
 //!
-//! A worker may start again under the id that it had, and then knows nothing of before. So
-//! everything that is about what runs there, what it has told and what it was told hangs on
-//! its life: its id and when it was born. What belongs to the machine outlives a life.
+//! A worker may restart under the same id and then knows nothing of its earlier state. So
+//! everything about its runs, its reports and the calls sent to it is keyed by the incarnation: the
+//! id and the start time. What belongs to the machine outlives an incarnation.
 
 use std::borrow::Borrow;
 use std::cmp::Ordering;
@@ -12,24 +12,24 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Stands between a worker's id and its birth in the log, in messages and in dumps.
+/// Separates a worker's id from its start time in the log, in messages and in dumps.
 const MARK: char = '@';
 
-/// One life of a worker.
+/// One incarnation of a worker.
 ///
-/// A birth is a time of day, which may be lower for a later life: another birth is another
-/// life, and which of them is the newer one only an answer tells. Where a platform's messages
-/// have no births, the id alone names a life.
+/// The start time is a time of day, which may be lower for a later incarnation: start times only
+/// tell incarnations apart, and which one is newer is known only from an answer. On platforms that
+/// report no start times, the id alone identifies an incarnation.
 #[derive(Clone)]
 pub struct Incarnation {
-    /// The id, and the birth behind a mark if there is one.
+    /// Id, followed by the separator and the start time if that is known.
     text: Arc<str>,
     /// Length of the id in bytes.
     id: usize,
 }
 
 impl Incarnation {
-    /// The life of a worker that was born at this millisecond since the Unix epoch, if that is
+    /// Creates the incarnation that started at `born` milliseconds since the Unix epoch, if that is
     /// known.
     #[must_use]
     pub fn new(id: &str, born: Option<u64>) -> Self {
@@ -40,25 +40,25 @@
         Self { text, id: id.len() }
     }
 
-    /// The worker's id.
+    /// Returns the worker's id.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.text[..self.id]
     }
 
-    /// When it was born, in milliseconds since the Unix epoch, where that is known.
+    /// Returns the start time in milliseconds since the Unix epoch, if that is known.
     #[must_use]
     pub fn born(&self) -> Option<u64> {
         self.text.get(self.id + MARK.len_utf8()..)?.parse().ok()
     }
 
-    /// Whether both are lives of one worker.
+    /// Reports whether both are incarnations of the same worker.
     #[must_use]
     pub fn is_same_worker(&self, other: &Self) -> bool {
         self.id() == other.id()
     }
 
-    /// Its text, as in the log.
+    /// Returns the text form that the log uses.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.text
@@ -66,7 +66,7 @@
 }
 
 impl From<&str> for Incarnation {
-    /// Reads a life's text; one without a birth is an id.
+    /// Parses the text form; text without a start time is an id.
     fn from(text: &str) -> Self {
         let id = match text.rsplit_once(MARK) {
             Some((id, born)) if !id.is_empty() && born.parse::<u64>().is_ok() => id.len(),
--- a/ashtiller/src/workflow/job.rs
+++ b/ashtiller/src/workflow/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: steps of like tasks that depend on each other.
+//! Jobs: steps of identical tasks with dependencies between the steps.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 
 use crate::resources::Resources;
 
-/// Steps of one job.
+/// Largest number of steps of one job.
 pub const STEPS_MAX: usize = 64;
-/// Tasks of one job, over all of its steps.
+/// Largest number of tasks of one job, over all steps.
 pub const TASKS_MAX: u32 = 10_000;
-/// Bytes of the text that a job hands to its tasks.
+/// Size limit of a job's payload in bytes.
 pub const PAYLOAD_MAX: usize = 4_000;
 
-/// What a task does to others on its worker, and they to it.
+/// How a task shares the processors of its worker.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Sharing {
-    /// It keeps to what it asked for.
+    /// Uses only the resources that it requested.
     #[default]
     Apart,
-    /// It answers requests of its own, whose tail latency is to stay below this.
+    /// Latency-sensitive: serves requests of its own, whose tail latency is to stay below this.
     Serves(Duration),
-    /// It takes processors that others leave unused, and may disturb them.
+    /// Best-effort: uses processors that others leave idle, and may disturb them.
     Fills,
 }
 
-/// Some like tasks of a job.
+/// A group of identical tasks of a job.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is a choice of the client's"
@@ -35,44 +35,44 @@
 pub struct Step {
     /// Number of tasks.
     pub count: u32,
-    /// What one task needs.
+    /// Resources that one task requests.
     pub needs: Resources,
-    /// The client's rough guess of a task's run time.
+    /// Rough run time of a task, as estimated by the client.
     pub estimate: Duration,
-    /// Earlier steps that must have ended first.
+    /// Earlier steps that must be done first.
     pub after: Vec<u16>,
     /// Whether its tasks write checkpoints.
     pub checkpoints: bool,
-    /// Whether its tasks run only all together.
+    /// Whether its tasks only run all together.
     pub gang: bool,
-    /// Whether a gang is slow when spread over racks.
+    /// Whether a gang is slow when its tasks are on several racks.
     pub one_rack: bool,
     /// Label that a worker must have.
     pub label: Option<Arc<str>>,
     /// Rack that holds the data.
     pub rack: Option<Arc<str>>,
-    /// Most tasks of the step on one worker; 0 for no bound.
+    /// Largest number of tasks of the step on one worker; 0 for no bound.
     pub spread: u32,
-    /// Whether copies of a task may run side by side.
+    /// Whether speculative copies of a task may run.
     pub speculative: bool,
     /// Whether its tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What its tasks run; tasks of one image behave alike.
+    /// Image that its tasks run; tasks of one image behave alike.
     pub image: Option<Arc<str>>,
     /// How its tasks share a worker.
     pub sharing: Sharing,
-    /// Tasks that may be away at once by this system's doing.
+    /// Largest number of tasks that this system may make unavailable at once.
     pub away_max: Option<u32>,
 }
 
 impl Step {
-    /// Whether its tasks run in what others leave unused.
+    /// Reports whether its tasks are best-effort.
     #[must_use]
     pub fn fills(&self) -> bool {
         self.sharing == Sharing::Fills
     }
 
-    /// Latency target of a step that serves.
+    /// Returns the latency target of a latency-sensitive step.
     #[must_use]
     pub fn target(&self) -> Option<Duration> {
         match self.sharing {
@@ -81,7 +81,8 @@
         }
     }
 
-    /// What a task takes of its worker's room.
+    /// Returns the resources that a task reserves on its worker. A best-effort task reserves no
+    /// processors.
     #[must_use]
     pub fn room(&self) -> Resources {
         if self.fills() {
@@ -95,19 +96,19 @@
     }
 }
 
-/// When a job runs more than once.
+/// Schedule of a repeated job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Schedule {
-    /// First time, in milliseconds since the Unix epoch.
+    /// Time of the first occurrence, in milliseconds since the Unix epoch.
     pub first: u64,
-    /// Milliseconds between two times.
+    /// Milliseconds between two occurrences.
     pub interval: u64,
-    /// Number of times.
+    /// Number of occurrences.
     pub times: u32,
 }
 
 impl Schedule {
-    /// When time `number` is due, in milliseconds since the Unix epoch.
+    /// Returns the time at which occurrence `number` is due, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn due(&self, number: u32) -> u64 {
         self.first
@@ -115,32 +116,32 @@
     }
 }
 
-/// A job as a client submits it.
+/// A job as submitted by a client.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Job {
-    /// Id chosen by the client; the same id is the same job.
+    /// Id chosen by the client; submissions with the same id are the same job.
     pub id: Arc<str>,
-    /// Queue.
+    /// Name of the queue.
     pub queue: Arc<str>,
-    /// Text that its tasks get.
+    /// Text that is passed to its tasks.
     pub payload: Arc<str>,
-    /// Steps.
+    /// Steps in topological order: a step depends only on earlier ones.
     pub steps: Vec<Step>,
-    /// Times, for a job that is repeated.
+    /// Schedule of a repeated job.
     pub schedule: Option<Schedule>,
 }
 
 impl Job {
-    /// Number of times that it runs.
+    /// Returns the number of occurrences.
     #[must_use]
     pub fn times(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// Finds the first fault that makes a job impossible to carry out.
+    /// Validates the job.
     ///
     /// # Errors
-    /// What is wrong with it, in words for the client.
+    /// Describes the first defect that makes the job impossible to run, in words for the client.
     pub fn check(&self) -> Result<(), &'static str> {
         if self.steps.is_empty() || self.steps.len() > STEPS_MAX {
             return Err("a job has 1 to 64 steps");
@@ -170,47 +171,48 @@
         Ok(())
     }
 
-    /// Longest chain of estimates from the start of each step to the end of the job.
+    /// Returns, for each step, the longest chain of estimated run times from its start to the end
+    /// of the job.
     #[must_use]
     pub fn chains(&self) -> Vec<Duration> {
         let mut left = vec![Duration::ZERO; self.steps.len()];
         for (number, step) in self.steps.iter().enumerate().rev() {
             left[number] += step.estimate;
-            let behind = left[number];
+            let remaining = left[number];
             for earlier in &step.after {
                 let chain = &mut left[usize::from(*earlier)];
-                // Holds the longest chain behind the step until its own turn comes.
-                *chain = (*chain).max(behind);
+                // Holds the longest chain after the step until the loop reaches it.
+                *chain = (*chain).max(remaining);
             }
         }
         left
     }
 }
 
-/// How a queue's jobs are treated; taken from the configuration at acceptance.
+/// How jobs of a queue are treated; taken from the configuration when a job is accepted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Policy {
-    /// Service whose workers run them.
+    /// Service whose workers run the jobs.
     pub service: Arc<str>,
-    /// Priority; 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Runs of a task that may fail.
+    /// Number of failed runs of a task after which the job fails.
     pub attempts: u32,
-    /// Factor on the longest chain within which a job is on time.
+    /// Factor on the longest chain of estimates within which a job is on time.
     pub extension: f64,
-    /// Time beyond that within which it is on time.
+    /// Additional time within which a job is on time.
     pub target: Duration,
-    /// Limits on which workers may run a step, known to the advisor only.
+    /// Cost of asking the advisor, for queues whose steps may run only on workers that it names.
     pub advice: Option<Advice>,
 }
 
-/// What asking the advisor costs and yields.
+/// Cost of a call to the advisor, and the validity of its tickets.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Advice {
     /// Time of one call.
     pub decide: Duration,
-    /// Further time for each worker named.
+    /// Additional time for each worker that is named.
     pub each: Duration,
-    /// How long a ticket holds.
+    /// Time for which a ticket is valid.
     pub valid: Duration,
 }
--- a/ashtiller/src/workflow/live_run.rs
+++ b/ashtiller/src/workflow/live_run.rs
@@ -1,4 +1,4 @@
-//! One run that may be going on, as the owner of a log sees it.
+//! State that the log owner tracks for one run that may be active.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,127 +6,129 @@
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::interference::Image;
 
-/// How far the start of a run has come.
+/// Progress of the start of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
-    /// Waits for its record at this position to be durable.
+    /// The placement is recorded at this log position and is not durable yet.
     Recorded(u64),
     /// The worker has not confirmed the start.
     Starting,
-    /// The worker confirmed at this time, or lists it.
+    /// The worker confirmed the start at this time, or reports the run as active.
     Started(Duration),
 }
 
-/// How far the stop of a run has come.
+/// Progress of the stop of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stop {
-    /// It is to go on.
+    /// No stop is requested.
     None,
-    /// It is to be stopped, for this reason.
+    /// A stop is requested for this reason.
     Wanted(StopReason),
     /// The worker confirmed the stop at this time.
     Confirmed(Duration),
 }
 
-/// Why a run is stopped.
+/// Reason for stopping a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopReason {
-    /// Its job is over.
+    /// The job has ended.
     Over,
-    /// A copy of it has done the work.
+    /// A speculative copy has finished the work.
     Copied,
-    /// Its worker is about to leave.
+    /// The worker is draining.
     Draining,
-    /// Its availability zone is evacuated, and it has not begun.
+    /// The availability zone is being evacuated, and the run has not begun.
     Evacuated,
-    /// Its machine is to have its upkeep.
+    /// The machine is due for maintenance.
     Upkeep,
-    /// It makes no progress there.
+    /// The run makes no progress.
     Stalled,
-    /// The worker did not take the start.
+    /// The worker refused the start.
     Refused,
-    /// The worker has started again, and may carry out a start of before.
+    /// The worker has restarted and may still carry out a start sent before.
     Restarted,
-    /// The worker's room has shrunk since it was placed there.
+    /// The worker's capacity has shrunk since the run was placed.
     Shrunk,
-    /// It stands still for the services there, and would work elsewhere.
+    /// The run is throttled to a standstill for the services on its worker, and could make progress
+    /// elsewhere.
     Crowded,
 }
 
-/// How a run shares its worker.
+/// How a run shares its worker with other runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunSharing {
-    /// It keeps to what it asked for.
+    /// Uses only the resources that it requested.
     Apart,
-    /// It serves, with this latency target in milliseconds.
+    /// Latency-sensitive run of this image, with its latency target in milliseconds.
     Serves(Image, f64),
-    /// It fills.
+    /// Best-effort run of this image.
     Fills(Image),
 }
 
-/// One run.
+/// State of one run.
 #[derive(Clone, Debug)]
 pub struct LiveRun {
-    /// Worker.
+    /// Worker that has the run.
     pub worker: Incarnation,
-    /// How it shares its worker.
+    /// How it shares the worker.
     pub share: RunSharing,
-    /// How far its start has come.
+    /// Progress of the start.
     pub stage: Stage,
-    /// How far its stop has come.
+    /// Progress of the stop.
     pub stop: Stop,
-    /// Whether an order about it is under way.
+    /// Whether an order about the run is in flight.
     pub ordering: bool,
-    /// Whether it is tried: nothing is started beside it while its task is strongly suspected.
+    /// Whether it runs isolated: nothing else is started beside it while its task is strongly
+    /// suspected of crashing workers.
     pub isolated: bool,
-    /// When the next order about it may go out.
+    /// Earliest time of the next order about the run.
     pub retry: Duration,
-    /// Starts that were not answered.
+    /// Number of unanswered starts.
     pub unanswered: u32,
-    /// Until when a start that was not answered may still be carried out.
+    /// Time until which an unanswered start may still be carried out.
     pub in_doubt: Option<Duration>,
-    /// Whether another life than the one that was meant answered a start.
+    /// Whether a start was answered by another incarnation than the intended one.
     pub misdelivered: bool,
-    /// Starts that were sent, less those that certainly did not come to the worker; an
-    /// earlier owner's counts as one.
+    /// Number of starts sent, without those that certainly did not reach the worker. The starts of
+    /// an earlier owner count as one.
     pub sent: u32,
-    /// When it was placed.
+    /// Time of placement.
     pub placed: Duration,
-    /// When it was first seen at work, with its progress then.
+    /// Time at which the run was first seen active, and its progress then.
     pub began: Option<(Duration, u32)>,
-    /// Progress in percent, and when it last rose.
+    /// Progress in percent.
     pub percent: u32,
-    /// When the progress last rose.
+    /// Time of the last increase of the progress.
     pub moved: Duration,
-    /// Newest checkpoint that the worker told.
+    /// Newest checkpoint that the worker reported.
     pub checkpoint: Arc<str>,
-    /// Tail latency of a run that serves, in milliseconds.
+    /// Tail latency of a latency-sensitive run in milliseconds.
     pub tail: Option<u64>,
-    /// Processors in use by a run that does not serve, as last reported.
+    /// Processors used by a run that is not latency-sensitive, as last reported.
     pub used: Option<u64>,
-    /// Its headroom without fills, as a share of its image's usual one, for a run that
-    /// serves.
+    /// Estimated headroom of a latency-sensitive run without best-effort runs beside it, as a share
+    /// of its image's usual headroom.
     pub headroom: Option<f64>,
-    /// Ticket of the advisor, where one is asked.
+    /// Ticket of the advisor, for steps that need one.
     pub ticket: Option<Arc<str>>,
-    /// Share at which it was told to work.
+    /// Pace that the worker was last told, in percent.
     pub pace: u32,
-    /// Share at which it is to work.
+    /// Desired pace in percent.
     pub pace_goal: u32,
-    /// Since when it is to work at a small share only.
+    /// Time since which the desired pace is low.
     pub slow: Option<Duration>,
-    /// When its pace was last set.
+    /// Time of the last change of the pace.
     pub paced_at: Duration,
-    /// Time that the paces before that took from it.
+    /// Working time lost to throttling under earlier paces.
     pub paced: Duration,
-    /// Processors that it asked for, in thousandths.
+    /// Processors requested, in thousandths.
     pub asked: f64,
-    /// Until when an unanswered pace may still be carried out.
+    /// Time until which an unanswered pace order may still be carried out.
     pub pace_doubt: Duration,
 }
 
 impl LiveRun {
-    /// A run that was just placed.
+    /// Creates the state of a run that was just placed.
     #[must_use]
     pub fn new(
         worker: Incarnation,
@@ -166,20 +168,20 @@
         }
     }
 
-    /// Time that its pace took from it since it was last set.
+    /// Returns the working time lost to throttling since the last change of the pace.
     #[must_use]
     pub fn paced_since(&self, now: Duration) -> Duration {
         now.saturating_sub(self.paced_at) * (100 - self.pace.min(100)) / 100
     }
 
-    /// Notes that it works at another share from now on.
+    /// Records that the run works at another pace from now on.
     pub fn set_pace(&mut self, percent: u32, now: Duration) {
         self.paced += self.paced_since(now);
         self.paced_at = now;
         self.pace = percent;
     }
 
-    /// Asks for its stop, unless that was asked before.
+    /// Requests a stop; the first reason wins.
     pub fn want_stop(&mut self, reason: StopReason) {
         if self.stop == Stop::None {
             self.stop = Stop::Wanted(reason);
--- a/ashtiller/src/workflow/log_state.rs
+++ b/ashtiller/src/workflow/log_state.rs
@@ -1,7 +1,7 @@
-//! Every job of one log, rebuilt by replay.
+//! State of one log, rebuilt by replay.
 //!
-//! [`Book::apply`] is the only way to change what lasts, and it is deterministic:
-//! a snapshot and the facts after it give the same book to every owner.
+//! [`LogState::apply`] is the only way to change the persistent state, and it is deterministic: a
+//! snapshot and the records after it yield the same state for every owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,35 +16,35 @@
 use crate::workflow::record::{End, LogRecord, Outcome, Run, Task};
 use crate::workflow::state::{JobState, PlacedRun, StepState, TaskState};
 
-/// What a fact changed beyond the book's own numbers.
+/// Change by a record that the caller has to act on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Nothing more.
+    /// None.
     None,
-    /// The job ended in this way.
+    /// The job ended with this outcome.
     Ended(u32, Outcome),
 }
 
-/// Every job of one log.
+/// State of one log: all its jobs, and what was learned about workers and images.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct LogState {
     /// Number of the next job.
     pub next: u32,
     /// Jobs by number.
     pub jobs: BTreeMap<u32, JobState>,
-    /// What was learned about images that disturb each other.
+    /// Learned interference factors of images.
     pub lessons: Vec<LearnedFactor>,
-    /// Machines that have had their upkeep, by wave.
+    /// Machines that finished their maintenance, by wave.
     pub upkept: BTreeSet<(u64, Arc<str>)>,
-    /// Waves of upkeep that are over.
+    /// Maintenance waves that have ended.
     pub waves_over: BTreeSet<u64>,
-    /// No owner before this epoch grants leases any more.
+    /// All leases granted by owners before this epoch have ended.
     pub cleared: u64,
-    /// Tasks under which workers crashed; a section of its own in a snapshot.
+    /// Tasks suspected of crashing workers; they have a section of their own in a snapshot.
     #[serde(skip)]
     suspects: BTreeMap<Task, Suspect>,
     #[serde(skip)]
-    names: BTreeMap<Arc<str>, u32>,
+    by_id: BTreeMap<Arc<str>, u32>,
     #[serde(skip)]
     open: BTreeSet<u32>,
     #[serde(skip)]
@@ -54,10 +54,10 @@
 }
 
 impl LogState {
-    /// Rebuilds what a snapshot leaves out.
+    /// Rebuilds the indexes that a snapshot omits.
     pub fn index(&mut self, now: Duration) {
         for (number, job) in &self.jobs {
-            self.names.insert(job.job.id.clone(), *number);
+            self.by_id.insert(job.job.id.clone(), *number);
             if job.outcome.is_none() || job.live > 0 {
                 self.open.insert(*number);
             }
@@ -69,20 +69,20 @@
         }
     }
 
-    /// Number of the job with this id.
+    /// Returns the number of the job with this id.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<u32> {
-        self.names.get(id).copied()
+        self.by_id.get(id).copied()
     }
 
-    /// Jobs that are not over, or of which something may still run.
+    /// Returns the jobs that have not ended or may still have active runs.
     #[must_use]
     pub fn open(&self) -> &BTreeSet<u32> {
         &self.open
     }
 
-    /// Opens the times of jobs that are due at `wall` milliseconds since the Unix epoch;
-    /// true when there were any.
+    /// Opens the job occurrences that are due at `wall` milliseconds since the Unix epoch; returns
+    /// true if there were any.
     pub fn open_due_occurrences(&mut self, wall: u64) -> bool {
         let mut opened = false;
         for number in &self.scheduled {
@@ -93,52 +93,52 @@
         opened
     }
 
-    /// Jobs that ended before `limit`, on this owner's clock.
+    /// Returns the jobs that ended before `limit`, on this owner's clock.
     #[must_use]
     pub fn ended_before(&self, limit: Duration) -> Vec<u32> {
-        let old = self.ended.iter().filter(|(_, at)| **at < limit);
-        old.map(|(number, _)| *number).collect()
+        let expired = self.ended.iter().filter(|(_, at)| **at < limit);
+        expired.map(|(number, _)| *number).collect()
     }
 
-    /// One task and its job.
+    /// Returns the state of a task and its job.
     #[must_use]
     pub fn task(&self, task: Task) -> Option<(&JobState, &TaskState)> {
         let job = self.jobs.get(&task.job)?;
         Some((job, job.task(task)?))
     }
 
-    /// Whether a run may be going on.
+    /// Reports whether a run may be active.
     #[must_use]
     pub fn is_live(&self, run: Run) -> bool {
         self.task(run.task)
             .is_some_and(|(_, task)| task.live.iter().any(|live| live.number == run.number))
     }
 
-    /// Whether the end of a run that is not going on any more changes something: a worker
-    /// may tell it after the run was given up as lost.
+    /// Reports whether the end of an inactive run still changes the state: a worker may report it
+    /// after the run was given up as lost.
     #[must_use]
     pub fn late_end_matters(&self, run: Run, end: End) -> bool {
         let Some((job, task)) = self.task(run.task) else {
             return false;
         };
-        let lasting = job.step(run.task).is_none_or(|step| step.long_running);
+        let long_running = job.step(run.task).is_none_or(|step| step.long_running);
         let placed = run.number <= task.last && !self.is_live(run);
-        let news = match end {
+        let matters = match end {
             End::Done => !task.done,
             End::Failed => !task.failed.contains(&run.number),
             End::Stopped | End::Lost => false,
         };
-        !lasting && placed && news && job.outcome.is_none()
+        !long_running && placed && matters && job.outcome.is_none()
     }
 
-    /// Applies one fact.
-    pub fn apply(&mut self, fact: &LogRecord, now: Duration) -> Effect {
-        match fact {
+    /// Applies one record.
+    pub fn apply(&mut self, record: &LogRecord, now: Duration) -> Effect {
+        match record {
             LogRecord::Accepted(job, policy, wall) => self.accept(job, policy, *wall),
             LogRecord::Cancelled(number) => return self.close(*number, Outcome::Cancelled, now),
             LogRecord::Failed(number) => return self.close(*number, Outcome::Failed, now),
-            LogRecord::Placed(run, worker, saved) => self.place(*run, worker, saved),
-            LogRecord::Ended(run, end, saved) => return self.end(*run, *end, saved, now),
+            LogRecord::Placed(run, worker, checkpoint) => self.place(*run, worker, checkpoint),
+            LogRecord::Ended(run, end, checkpoint) => return self.end(*run, *end, checkpoint, now),
             LogRecord::Forgotten(number) => self.forget(*number),
             LogRecord::Upkept(wave, machine) => {
                 self.upkept.insert((*wave, machine.clone()));
@@ -149,9 +149,9 @@
             }
             LogRecord::Learned(lessons) => self.lessons.clone_from(lessons),
             LogRecord::Cleared(epoch) => self.cleared = self.cleared.max(*epoch),
-            LogRecord::Crashed(_, victims) => {
-                for victim in victims {
-                    self.suspect_task(victim);
+            LogRecord::Crashed(_, lost_runs) => {
+                for lost in lost_runs {
+                    self.add_suspect(lost);
                 }
             }
             LogRecord::Absolved(task) => {
@@ -161,27 +161,27 @@
         Effect::None
     }
 
-    /// Tasks under which workers crashed.
+    /// Returns the tasks suspected of crashing workers.
     #[must_use]
     pub fn suspects(&self) -> &BTreeMap<Task, Suspect> {
         &self.suspects
     }
 
-    /// Puts back what a snapshot keeps apart.
+    /// Sets the suspects, which a snapshot stores separately.
     pub fn set_suspects(&mut self, suspects: BTreeMap<Task, Suspect>) {
         self.suspects = suspects;
     }
 
-    /// A worker crashed under a run of a task that may be started again.
-    fn suspect_task(&mut self, victim: &LostRun) {
-        let task = victim.run.task;
+    /// Adds a crash to a task that may be started again.
+    fn add_suspect(&mut self, lost: &LostRun) {
+        let task = lost.run.task;
         let open = |(job, state): (&JobState, &TaskState)| job.outcome.is_none() && !state.done;
         if self.task(task).is_some_and(open) {
-            self.suspects.entry(task).or_default().note(victim);
+            self.suspects.entry(task).or_default().note(lost);
         }
     }
 
-    fn forget_suspects(&mut self, number: u32) {
+    fn remove_suspects(&mut self, number: u32) {
         self.suspects.retain(|task, _| task.job != number);
     }
 
@@ -199,31 +199,31 @@
             outcome: None,
         };
         if job.schedule.is_none() {
-            state.open_round(0);
+            state.open_occurrence(0);
         } else {
             self.scheduled.insert(number);
         }
-        self.names.insert(job.id.clone(), number);
+        self.by_id.insert(job.id.clone(), number);
         self.open.insert(number);
         self.jobs.insert(number, state);
     }
 
-    fn place(&mut self, run: Run, worker: &Incarnation, saved: &Arc<str>) {
+    fn place(&mut self, run: Run, worker: &Incarnation, checkpoint: &Arc<str>) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else {
             return;
         };
         if job.next_occurrence <= run.task.occurrence {
-            job.open_round(run.task.occurrence);
+            job.open_occurrence(run.task.occurrence);
         }
-        let Some(round) = job.occurrences.get_mut(&run.task.occurrence) else {
+        let Some(occurrence) = job.occurrences.get_mut(&run.task.occurrence) else {
             return;
         };
-        let step = &mut round.steps[usize::from(run.task.step)];
+        let step = &mut occurrence.steps[usize::from(run.task.step)];
         let task = &mut step.tasks[usize::from(run.task.index)];
         step.waiting -= u32::from(task.waits());
         task.last = task.last.max(run.number);
-        if !saved.is_empty() {
-            task.checkpoint = saved.clone();
+        if !checkpoint.is_empty() {
+            task.checkpoint = checkpoint.clone();
         }
         task.live.push(PlacedRun {
             number: run.number,
@@ -233,7 +233,7 @@
         job.live += 1;
     }
 
-    fn end(&mut self, run: Run, end: End, saved: &Arc<str>, now: Duration) -> Effect {
+    fn end(&mut self, run: Run, end: End, checkpoint: &Arc<str>, now: Duration) -> Effect {
         let number = run.task.job;
         if !self.is_live(run) && !self.late_end_matters(run, end) {
             return Effect::None;
@@ -242,10 +242,10 @@
             return Effect::None;
         };
         let gang = job.step(run.task).is_some_and(|step| step.gang);
-        let Some(round) = job.occurrences.get_mut(&run.task.occurrence) else {
+        let Some(occurrence) = job.occurrences.get_mut(&run.task.occurrence) else {
             return Effect::None;
         };
-        let step = &mut round.steps[usize::from(run.task.step)];
+        let step = &mut occurrence.steps[usize::from(run.task.step)];
         let task = &mut step.tasks[usize::from(run.task.index)];
         step.waiting -= u32::from(task.waits());
         let worker = match task.live.iter().position(|live| live.number == run.number) {
@@ -255,8 +255,8 @@
             }
             None => None,
         };
-        if !saved.is_empty() {
-            task.checkpoint = saved.clone();
+        if !checkpoint.is_empty() {
+            task.checkpoint = checkpoint.clone();
         }
         match end {
             End::Done if !task.done => {
@@ -272,31 +272,34 @@
         }
         step.waiting += u32::from(task.waits());
         if gang {
-            share_end(step, end, saved);
+            apply_gang_end(step, end, checkpoint);
         }
         if gang && end == End::Done {
-            let of_gang = |task: &Task| {
+            let in_gang = |task: &Task| {
                 Task { index: 0, ..*task }
                     == Task {
                         index: 0,
                         ..run.task
                     }
             };
-            self.suspects.retain(|task, _| !of_gang(task));
+            self.suspects.retain(|task, _| !in_gang(task));
         }
         let over = job.outcome.is_some();
-        if round.is_done() {
-            let live = round.steps.iter().flat_map(|step| &step.tasks);
-            let quiet = live.into_iter().all(|task| task.live.is_empty());
-            if quiet {
+        if occurrence.is_done() {
+            let live = occurrence.steps.iter().flat_map(|step| &step.tasks);
+            let inactive = live.into_iter().all(|task| task.live.is_empty());
+            if inactive {
                 job.occurrences.remove(&run.task.occurrence);
             }
         }
-        let open = job.occurrences.values().any(|round| !round.is_done());
+        let open = job
+            .occurrences
+            .values()
+            .any(|occurrence| !occurrence.is_done());
         if !over && !open && job.next_occurrence >= job.job.times() {
             return self.close(number, Outcome::Complete, now);
         }
-        self.settle(number);
+        self.compact_ended(number);
         Effect::None
     }
 
@@ -310,13 +313,13 @@
         job.outcome = Some(outcome);
         self.scheduled.remove(&number);
         self.ended.insert(number, now);
-        self.forget_suspects(number);
-        self.settle(number);
+        self.remove_suspects(number);
+        self.compact_ended(number);
         Effect::Ended(number, outcome)
     }
 
-    /// A job that is over and runs nothing keeps only its name and outcome.
-    fn settle(&mut self, number: u32) {
+    /// Drops everything but the id, queue and outcome of an ended job without active runs.
+    fn compact_ended(&mut self, number: u32) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
@@ -337,24 +340,24 @@
 
     fn forget(&mut self, number: u32) {
         if let Some(job) = self.jobs.remove(&number) {
-            self.names.remove(&job.job.id);
+            self.by_id.remove(&job.job.id);
         }
         self.open.remove(&number);
         self.ended.remove(&number);
     }
 }
 
-/// The end of one member of a gang counts for all: work that is done is done for
-/// each, and each begins again from the same checkpoint.
-fn share_end(step: &mut StepState, end: End, saved: &Arc<str>) {
+/// Applies the end of one gang member to all members: when one is done all are done, and all resume
+/// from the same checkpoint.
+fn apply_gang_end(step: &mut StepState, end: End, checkpoint: &Arc<str>) {
     for task in &mut step.tasks {
         if end == End::Done && !task.done {
             step.waiting -= u32::from(task.waits());
             task.done = true;
             step.left -= 1;
         }
-        if !saved.is_empty() {
-            task.checkpoint = saved.clone();
+        if !checkpoint.is_empty() {
+            task.checkpoint = checkpoint.clone();
         }
     }
 }
--- a/ashtiller/src/workflow/message.rs
+++ b/ashtiller/src/workflow/message.rs
@@ -1,4 +1,4 @@
-//! What entry instances ask of each other.
+//! Requests and replies between entry instances.
 
 use std::sync::Arc;
 
@@ -10,49 +10,49 @@
 use crate::workflow::record::{LogOwner, Outcome, PreviousOwner};
 use crate::workflow::relay::{CallBatch, ResultBatch};
 
-/// A heartbeat.
+/// A heartbeat of a follower.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
     /// Sender.
     pub member: Member,
-    /// Version of its configuration.
+    /// Version of the sender's configuration.
     pub config: u64,
-    /// As of when it knows the members.
+    /// Version of the sender's membership list.
     pub members: Version,
 }
 
-/// A question.
+/// A request to another entry instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerRequest {
-    /// A follower's heartbeat.
+    /// Heartbeat of a follower.
     Heartbeat(Heartbeat),
-    /// Who owns the log?
+    /// Asks which process owns the log.
     Lead,
-    /// The sender owns the log, or was told who does.
+    /// Tells the owner of the log: the sender, or the one that it knows.
     OwnerIs(LogOwner),
-    /// Take over the log; the sender cannot go on.
+    /// Asks the receiver to take over the log, because the sender cannot continue.
     TakeOver(LogOwner),
-    /// Has the owner at this epoch, in the process with this life, ended? The sender has
-    /// replaced it.
+    /// Asks the process of this incarnation whether its ownership at this epoch has ended. The
+    /// sender has replaced it.
     HasEnded(PreviousOwner),
-    /// The sender has a newer configuration.
+    /// Sends a newer configuration.
     Config(Box<Config>),
-    /// Accept a job.
+    /// Submits a job.
     Submit(Box<Job>),
-    /// What became of a job?
+    /// Asks for the state of a job.
     State(Arc<str>),
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel(Arc<str>),
-    /// How many jobs of a queue have not begun?
+    /// Asks how many jobs of a queue have not begun.
     Pending(Arc<str>),
-    /// Make these calls to workers.
+    /// Asks the receiver to relay these calls to workers.
     RelayCalls(Box<CallBatch>),
-    /// What came of calls that the sender was given.
+    /// Returns the results of relayed calls.
     RelayResults(Box<ResultBatch>),
 }
 
 impl PeerRequest {
-    /// What it is for, in metrics.
+    /// Returns the label of the request in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -69,61 +69,61 @@
     }
 }
 
-/// An answer to [`Ask::Hello`].
+/// Reply to [`PeerRequest::Heartbeat`].
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HeartbeatReply {
-    /// Whether the answering process owns the log at this epoch; 0 if it does not.
+    /// Epoch at which the replying process owns the log; 0 if it does not.
     pub epoch: u64,
-    /// Life of the answering process.
+    /// Incarnation of the replying process.
     pub incarnation: u64,
-    /// Configuration, where the asker's is older.
+    /// Configuration, if the sender's is older.
     pub config: Option<Box<Config>>,
-    /// Version of the answering process's configuration.
+    /// Version of the replying process's configuration.
     pub version: u64,
-    /// What the asker does not know of the members.
+    /// Changes of the membership that the sender lacks.
     pub members: Option<MembershipUpdate>,
-    /// As of when it knows them then.
+    /// Version of the membership list that the sender has with these changes.
     pub list: Version,
-    /// Position of the newest durable entry, where the process owns the log.
+    /// Position of the newest durable log entry, if the process owns the log.
     pub position: u64,
 }
 
-/// How a job stands.
+/// State of a job, as told to clients.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum State {
     /// No task has begun.
     Queued,
     /// A task has begun.
     Running,
-    /// It ended.
+    /// The job has ended.
     Over(Outcome),
 }
 
-/// An answer.
+/// Reply to a request of another instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Reply {
-    /// To a heartbeat.
+    /// Reply to a heartbeat.
     Welcome(Box<HeartbeatReply>),
-    /// Who owns the log, as far as the process knows.
+    /// Owner of the log, as far as the process knows.
     Lead(Option<LogOwner>),
-    /// Taken note of.
+    /// Acknowledgement without content.
     Noted,
-    /// Whether the owner has ended and never comes back.
+    /// Whether the ownership has ended for good.
     Ended(bool),
     /// The job is recorded.
     Accepted,
-    /// How the job stands.
+    /// State of the job.
     State(State),
-    /// Jobs that have not begun.
+    /// Number of jobs that have not begun.
     Pending(u64),
     /// There is no such job or queue.
     Missing,
-    /// Not done and never will be; come back after this many milliseconds.
+    /// Not done, and never will be; retry after this many milliseconds.
     Refused(u32),
-    /// It cannot be done, for this reason.
+    /// The request is invalid for this reason.
     Invalid(Arc<str>),
     /// The process does not own the log; nothing was done.
     NotOwner,
-    /// It may or may not have been recorded.
+    /// The request may or may not have been recorded.
     Unknown,
 }
--- a/ashtiller/src/workflow/record.rs
+++ b/ashtiller/src/workflow/record.rs
@@ -1,4 +1,4 @@
-//! What the log records.
+//! Records of the replicated log.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 use crate::workflow::interference::LearnedFactor;
 use crate::workflow::job::{Job, Policy};
 
-/// One task of a job.
+/// Id of one task of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Task {
     /// Number of the job in its log.
     pub job: u32,
-    /// Which time of a repeated job.
+    /// Occurrence of a repeated job.
     pub occurrence: u32,
-    /// Step.
+    /// Index of the step.
     pub step: u16,
-    /// Number within the step.
+    /// Index within the step.
     pub index: u16,
 }
 
@@ -35,19 +35,19 @@
     }
 }
 
-/// One run of a task; numbers rise from 1 for each task.
+/// Id of one run of a task; numbers increase from 1 for each task.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Run {
-    /// Task.
+    /// Task that is run.
     pub task: Task,
-    /// Number.
+    /// Number of the run.
     pub number: u32,
 }
 
-/// How a run ended.
+/// Way in which a run ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum End {
-    /// Its work is done.
+    /// It finished its work.
     Done,
     /// It failed.
     Failed,
@@ -57,7 +57,7 @@
     Lost,
 }
 
-/// How a job ended.
+/// Way in which a job ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
     /// All tasks are done.
@@ -68,66 +68,68 @@
     Cancelled,
 }
 
-/// One recorded event.
+/// One record of the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum LogRecord {
-    /// A job was accepted; it gets the next number.
+    /// A job was accepted under the next job number, with its queue's policy and the acceptance
+    /// time in milliseconds since the Unix epoch.
     Accepted(Box<Job>, Policy, u64),
     /// A job was cancelled.
     Cancelled(u32),
-    /// A run was given to a worker, to begin from a checkpoint.
+    /// A run was placed on a worker, to begin from a checkpoint.
     Placed(Run, Incarnation, Arc<str>),
     /// A run ended, with its newest checkpoint.
     Ended(Run, End, Arc<str>),
-    /// A job is given up.
+    /// A job failed.
     Failed(u32),
-    /// An ended job is forgotten.
+    /// An ended job was removed.
     Forgotten(u32),
-    /// A machine has had its upkeep in a wave.
+    /// A machine finished its maintenance in a wave.
     Upkept(u64, Arc<str>),
-    /// All machines of a wave have had theirs.
+    /// All machines of a wave finished their maintenance.
     WaveOver(u64),
-    /// What was learned about images that disturb each other.
+    /// Interference factors of images were learned.
     Learned(Vec<LearnedFactor>),
-    /// No owner before this epoch grants leases any more.
+    /// All leases granted by owners before this epoch have ended.
     Cleared(u64),
-    /// A worker crashed under these runs.
+    /// A worker crashed while these runs were active.
     Crashed(Incarnation, Vec<LostRun>),
-    /// A task that was suspected of crashing workers is not any more.
+    /// A task is no longer suspected of crashing workers.
     Absolved(Task),
 }
 
-/// An owner that another replaced.
+/// An owner that was replaced by another.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PreviousOwner {
-    /// Where its peers reached it.
+    /// Address that its peers used.
     pub address: std::net::SocketAddr,
-    /// Random number of the process's life.
+    /// Random number that identifies the process incarnation.
     pub incarnation: u64,
-    /// Its epoch.
+    /// Epoch of its ownership.
     pub epoch: u64,
 }
 
-/// The process that owns a log, as its lead key says.
+/// Owner of a log, as stored under the lead key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LogOwner {
     /// Name of the instance.
     pub name: Arc<str>,
-    /// Where its peers reach it.
+    /// Address for its peers.
     pub address: std::net::SocketAddr,
-    /// Random number of the process's life.
+    /// Random number that identifies the process incarnation.
     pub incarnation: u64,
     /// Processors of the largest instance that it knew, in thousandths.
     pub largest: u64,
-    /// The owner that it replaced; none for the first owner of a log.
+    /// Owner that it replaced; none for the first owner of a log.
     pub former: Option<PreviousOwner>,
-    /// Revision of the lead key, which fences earlier owners; 0 until it is known.
+    /// Revision of the lead key, which serves as the fencing token against earlier owners; 0 until
+    /// it is known.
     #[serde(default)]
     pub epoch: u64,
 }
 
 impl LogOwner {
-    /// This owner as the one that another replaces.
+    /// Returns this owner in the form that its successor records.
     #[must_use]
     pub fn as_former(&self) -> PreviousOwner {
         PreviousOwner {
--- a/ashtiller/src/workflow/snapshot.rs
+++ b/ashtiller/src/workflow/snapshot.rs
@@ -1,7 +1,7 @@
-//! Snapshots of a book, as bytes.
+//! Binary encoding of log state snapshots.
 //!
-//! The format names no fields, so what a book gained later stands behind what it had first,
-//! in a section of its own. A snapshot without it reads as one in which there is nothing.
+//! The format (postcard) has no field names. So state that was added later is appended in a section
+//! of its own; a snapshot without that section decodes as one in which it is empty.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,23 @@
 
 type Suspects = BTreeMap<Task, Suspect>;
 
-/// Encodes a book.
+/// Encodes the state of a log.
 ///
 /// # Errors
-/// It cannot be encoded.
-pub fn encode(book: &LogState) -> Result<Vec<u8>, postcard::Error> {
-    let bytes = postcard::to_stdvec(book)?;
-    postcard::to_extend(book.suspects(), bytes)
+/// Fails if the state cannot be encoded.
+pub fn encode(state: &LogState) -> Result<Vec<u8>, postcard::Error> {
+    let bytes = postcard::to_stdvec(state)?;
+    postcard::to_extend(state.suspects(), bytes)
 }
 
-/// Decodes a book, also one that was encoded before there were suspects.
+/// Decodes a snapshot, including one from before suspects were added.
 ///
 /// # Errors
-/// The bytes are no snapshot.
+/// Fails if the bytes are no valid snapshot.
 pub fn decode(bytes: &[u8]) -> Result<LogState, postcard::Error> {
-    let (mut book, rest) = postcard::take_from_bytes::<LogState>(bytes)?;
+    let (mut state, rest) = postcard::take_from_bytes::<LogState>(bytes)?;
     if !rest.is_empty() {
-        book.set_suspects(postcard::from_bytes::<Suspects>(rest)?);
+        state.set_suspects(postcard::from_bytes::<Suspects>(rest)?);
     }
-    Ok(book)
+    Ok(state)
 }
--- a/ashtiller/src/workflow/state.rs
+++ b/ashtiller/src/workflow/state.rs
@@ -1,4 +1,4 @@
-//! Where the tasks, steps and times of one job stand.
+//! State of the tasks, steps and occurrences of one job.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,23 +9,23 @@
 use crate::workflow::job::{Job, Policy, Step};
 use crate::workflow::record::{Outcome, Task};
 
-/// A run that has been placed and has not ended.
+/// A run that was placed and has not ended.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PlacedRun {
     /// Number of the run.
     pub number: u32,
-    /// Worker that has it.
+    /// Worker on which it was placed.
     pub worker: Incarnation,
 }
 
-/// One task.
+/// State of one task.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct TaskState {
-    /// Runs that may be going on.
+    /// Runs that may be active.
     pub live: Vec<PlacedRun>,
     /// Number of the newest run.
     pub last: u32,
-    /// Numbers of the runs that failed.
+    /// Numbers of the failed runs.
     pub failed: BTreeSet<u32>,
     /// Whether its work is done.
     pub done: bool,
@@ -36,34 +36,34 @@
 }
 
 impl TaskState {
-    /// How many runs failed.
+    /// Returns the number of failed runs.
     #[must_use]
     pub fn failures(&self) -> u32 {
         u32::try_from(self.failed.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether it waits for a worker.
+    /// Reports whether it waits for a worker.
     #[must_use]
     pub fn waits(&self) -> bool {
         !self.done && self.live.is_empty()
     }
 }
 
-/// The tasks of one step, for one time of the job.
+/// State of one step in one occurrence of a job.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct StepState {
-    /// Tasks.
+    /// States of the tasks, by index.
     pub tasks: Vec<TaskState>,
-    /// Tasks that are not done.
+    /// Number of tasks that are not done.
     pub left: u32,
-    /// Tasks that wait for a worker.
+    /// Number of tasks that wait for a worker.
     pub waiting: u32,
 }
 
-/// One time of a job.
+/// State of one occurrence of a job.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Occurrence {
-    /// Steps.
+    /// States of the steps, by index.
     pub steps: Vec<StepState>,
 }
 
@@ -83,7 +83,7 @@
         self.steps.iter().all(|step| step.left == 0)
     }
 
-    /// Whether all steps that a step depends on are done.
+    /// Reports whether all dependencies of a step are done.
     #[must_use]
     pub fn may_begin(&self, step: &Step) -> bool {
         step.after
@@ -92,43 +92,44 @@
     }
 }
 
-/// One job.
+/// State of one job.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct JobState {
-    /// What was submitted.
+    /// Job as submitted.
     pub job: Arc<Job>,
-    /// How its queue treats it.
+    /// Policy of its queue at acceptance.
     pub policy: Policy,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// Time of acceptance in milliseconds since the Unix epoch.
     pub accepted: u64,
-    /// Times that have begun or may begin, and are not done.
+    /// Occurrences that were opened and are not done.
     pub occurrences: BTreeMap<u32, Occurrence>,
-    /// Times not in `rounds`: the next that was not opened yet.
+    /// Next occurrence to open.
     pub next_occurrence: u32,
     /// Whether a task has begun.
     pub begun: bool,
-    /// Runs that may be going on.
+    /// Number of runs that may be active.
     pub live: u32,
-    /// How it ended.
+    /// Outcome, once the job has ended.
     pub outcome: Option<Outcome>,
 }
 
 impl JobState {
-    /// One task.
+    /// Returns the state of a task.
     #[must_use]
     pub fn task(&self, task: Task) -> Option<&TaskState> {
-        let round = self.occurrences.get(&task.occurrence)?;
-        let step = round.steps.get(usize::from(task.step))?;
+        let occurrence = self.occurrences.get(&task.occurrence)?;
+        let step = occurrence.steps.get(usize::from(task.step))?;
         step.tasks.get(usize::from(task.index))
     }
 
-    /// The step of a task as it was submitted.
+    /// Returns the submitted step of a task.
     #[must_use]
     pub fn step(&self, task: Task) -> Option<&Step> {
         self.job.steps.get(usize::from(task.step))
     }
 
-    /// Opens the times that are due at `wall` milliseconds since the Unix epoch.
+    /// Opens the occurrences that are due at `wall` milliseconds since the Unix epoch; returns true
+    /// if there were any.
     pub fn open_due_occurrences(&mut self, wall: u64) -> bool {
         let mut opened = false;
         while self.next_occurrence < self.job.times() && self.outcome.is_none() {
@@ -139,13 +140,13 @@
             if due > wall {
                 break;
             }
-            self.open_round(self.next_occurrence);
+            self.open_occurrence(self.next_occurrence);
             opened = true;
         }
         opened
     }
 
-    pub(super) fn open_round(&mut self, number: u32) {
+    pub(super) fn open_occurrence(&mut self, number: u32) {
         while self.next_occurrence <= number {
             self.occurrences
                 .insert(self.next_occurrence, Occurrence::new(&self.job));
--- a/ashtiller/src/workflow/store_latency.rs
+++ b/ashtiller/src/workflow/store_latency.rs
@@ -1,80 +1,81 @@
-//! How long the store's answers take, and how often it has to be asked for that.
+//! Latency of the store's answers, and the interval of lists that follows from it.
 
 use std::time::Duration;
 
 use crate::workflow::agents::ORDER_TIMEOUT_MIN;
 
-/// Time without an answer after which a call is not relied on any more: above the
-/// store's slow answers of some 0.35 s.
+/// Time without an answer after which a call no longer counts as reliable: above the store's slow
+/// answers of about 0.35 s.
 pub const OVERDUE: Duration = Duration::from_millis(400);
-/// Least time between two lists, and between a call that failed and the next one.
+/// Shortest time between two lists, and between a failed call and the next one.
 pub const PAUSE: Duration = Duration::from_millis(250);
-/// Part of a watch's wait for which a list is waited for alone, at least. Where news also
-/// comes another way, that is longer than a list's limit, so lists do not overlap there.
-const FEW: u32 = 4;
-/// Time from an answer to decisions that rest on it, which come every few milliseconds.
-const MARGIN: Duration = Duration::from_millis(50);
+/// Divisor of a watch's wait that gives the shortest time before a list is overlapped by the next.
+/// For watches with a long wait (news also comes another way) that exceeds the timeout of a list,
+/// so lists do not overlap there.
+const LIST_INTERVAL_DIVISOR: u32 = 4;
+/// Time from an answer to decisions that rely on it, which are made every few milliseconds.
+const DECISION_MARGIN: Duration = Duration::from_millis(50);
 
-/// How long answers took lately. What takes longer counts at once, what takes less by
-/// and by.
+/// Recent latency of the store. Rising latency counts at once, falling latency is smoothed.
 #[derive(Debug, Default)]
 pub struct StoreLatency {
-    /// Time of one call.
+    /// Latency of one call.
     call: Duration,
-    /// Time of a whole list, which may have several pages.
+    /// Latency of a whole list, which may have several pages.
     list: Duration,
 }
 
 impl StoreLatency {
-    /// A list of so many pages took this long.
+    /// Records the latency of a list with `pages` pages.
     pub fn note_list(&mut self, took: Duration, pages: u32) {
-        ease(&mut self.call, took / pages.max(1));
-        ease(&mut self.list, took);
+        smooth(&mut self.call, took / pages.max(1));
+        smooth(&mut self.list, took);
     }
 
-    /// A watch was answered this long after its wait.
+    /// Records how late a watch was answered after its wait.
     pub fn note_watch(&mut self, late: Duration) {
-        ease(&mut self.call, late);
+        smooth(&mut self.call, late);
     }
 
-    /// A list failed after this time; a refusal at once tells nothing.
+    /// Records a list that failed after `took`; an immediate refusal tells nothing.
     pub fn note_failure(&mut self, took: Duration) {
         self.call = self.call.max(took);
         self.list = self.list.max(took);
     }
 
-    /// Time of a whole list.
+    /// Returns the latency of a whole list.
     #[must_use]
     pub fn list(&self) -> Duration {
         self.list
     }
 
-    /// Whether a watch that waits for `longest` would be given up, and the list that is
-    /// then asked for come too late.
+    /// Reports whether a watch that waits for `longest` would time out and the list that follows it
+    /// would come too late.
     #[must_use]
     pub fn is_slow(&self, longest: Duration) -> bool {
-        self.call > OVERDUE && longest + OVERDUE + self.list > keep_time(longest)
+        self.call > OVERDUE && longest + OVERDUE + self.list > max_age(longest)
     }
 
-    /// Time from asking for a list until asking for the next one, whether or not the
-    /// first was answered. While the store is slow they overlap, so that an answer comes
-    /// before the one before it is too old.
+    /// Returns the time from requesting a list until requesting the next one, whether or not the
+    /// first was answered. While the store is slow, lists overlap so that an answer arrives before
+    /// the previous one is too old.
     #[must_use]
     pub fn pace(&self, longest: Duration) -> Duration {
         if !self.is_slow(longest) {
-            return OVERDUE.max(longest / FEW);
+            return OVERDUE.max(longest / LIST_INTERVAL_DIVISOR);
         }
-        let left = keep_time(longest).saturating_sub(self.list + MARGIN);
+        let left = max_age(longest).saturating_sub(self.list + DECISION_MARGIN);
         left.clamp(PAUSE, longest.max(PAUSE))
     }
 }
 
-/// How old news may be when it is used, where watches wait for `longest`: half of the time
-/// for which workers go on, of which an order needs a part as well.
-fn keep_time(longest: Duration) -> Duration {
+/// Returns the highest age at which news is used. Watches wait for `longest`, half of the time for
+/// which workers continue after they were told to leave; an order needs a part of that time as
+/// well.
+fn max_age(longest: Duration) -> Duration {
     (2 * longest).saturating_sub(ORDER_TIMEOUT_MIN)
 }
 
-fn ease(usual: &mut Duration, took: Duration) {
+fn smooth(usual: &mut Duration, took: Duration) {
     *usual = took.max((*usual * 3 + took) / 4);
 }
--- a/ashtiller/src/workflow/tuning.rs
+++ b/ashtiller/src/workflow/tuning.rs
@@ -1,4 +1,4 @@
-//! Times and limits of the owner of a log.
+//! Time limits and other parameters of the log owner.
 
 use std::time::Duration;
 
@@ -7,66 +7,66 @@
 use crate::workflow::relay::MAX_QUEUE_DELAY;
 use crate::workflow::switches::Switches;
 
-/// Longest lease that is of use: a service whose worker has gone without a word starts
-/// elsewhere when the lease is over, which the platform wants within some 9 s.
+/// Longest useful lease. A service on a worker that vanished silently starts elsewhere when the
+/// lease has ended, which the platform requires within about 9 s.
 pub const LEASE_MAX: Duration = Duration::from_secs(6);
 
-/// Time for which a start is under way at most while workers answer as usual.
+/// Longest time for which a start is in flight while workers answer normally.
 pub const START_MAX: Duration = MAX_QUEUE_DELAY.saturating_add(ORDER_TIMEOUT_MIN);
 
-/// Times and limits. The platform's bounds come from the settings; what is ours is
-/// explained where [`Terms::default`] sets it.
+/// Parameters of the log owner. The platform's bounds come from the settings; [`Tuning::default`]
+/// explains the values chosen here.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// Longest lease that is asked for.
+    /// Length of the leases that are requested.
     pub lease: Duration,
     /// Longest lease that a worker grants.
     pub hold: Duration,
-    /// How long leases are renewed past the last proof of ownership.
+    /// Time after the last proof of ownership for which leases are still renewed.
     pub horizon: Duration,
-    /// How long a look may wait for an end.
+    /// Longest time for which a poll may wait for the end of a run.
     pub wait: Duration,
-    /// The same at a worker where runs that fill are beside runs that serve.
+    /// Same limit for workers with both best-effort and latency-sensitive runs.
     pub watch: Duration,
-    /// Pause between two looks at a worker, so that ends are reported together.
+    /// Pause between two polls of a worker, so that several ends are reported together.
     pub pause: Duration,
-    /// Least time between two entries.
+    /// Shortest time between two log entries.
     pub commit: Duration,
-    /// Time after which an entry is written although nothing happened.
+    /// Time after which an entry is written even if nothing happened, to prove ownership.
     pub proof: Duration,
-    /// Time after which an entry under way counts as a sign that the store is away.
+    /// Time after which an uncommitted entry indicates that the store is unavailable.
     pub stall: Duration,
-    /// Time to come back that a client is told while the store is away.
+    /// Time after which a client is told to retry while the store is unavailable.
     pub retry: Duration,
-    /// How long an ended job is known.
+    /// Time for which an ended job can still be queried.
     pub keep: Duration,
-    /// Slack between clocks before a job that has a time is started, milliseconds.
+    /// Allowance for clock differences before a scheduled job is started, in milliseconds.
     pub clock_slack: u64,
-    /// Factor on run time away from the data's rack.
+    /// Factor on the run time away from the data's rack.
     pub far: f64,
-    /// Jobs that are not over, at most.
+    /// Largest number of jobs that have not ended.
     pub jobs: usize,
-    /// How long a worker may miss in the platform's list after the store was away.
+    /// Time for which a worker may be missing from the platform's list after a store outage.
     pub relist: Duration,
-    /// Time between a pace and its effect.
+    /// Time between a pace order and its effect.
     pub pace_delay: Duration,
-    /// Time over which workers average what they report.
+    /// Time over which workers average the values that they report.
     pub report: Duration,
-    /// How often what was learned is kept.
+    /// Interval at which learned factors are recorded.
     pub teach: Duration,
-    /// Least time for which a worker goes on after it was told to leave.
+    /// Shortest time for which a worker continues after it was told to leave.
     pub drain: Duration,
-    /// Time after an availability zone's evacuation was asked for by which its workers must get
-    /// their last start; nothing where zones are not evacuated.
+    /// Time after a request to evacuate an availability zone by which its workers must get their
+    /// last start; none if zones are not evacuated.
     pub evacuation: Option<Duration>,
-    /// Time between orders of two owners to one machine.
+    /// Time between the orders of two owners to one machine.
     pub turn: Duration,
-    /// Mechanisms of the policy that are on.
+    /// Optional policy mechanisms that are enabled.
     pub switches: Switches,
 }
 
 impl Tuning {
-    /// Wait of one watch of the store on whose news the next start depends.
+    /// Returns the wait of one watch on data that decides the next start.
     #[must_use]
     pub fn watch_wait(&self) -> Duration {
         let wait = follow::short_wait(self.drain);
@@ -79,32 +79,32 @@
     fn default() -> Self {
         Self {
             lease: LEASE_MAX,
-            // What the platform's sheets name for most sites.
+            // The platform's specifications name this value for most sites.
             hold: Duration::from_secs(10),
-            // Longer than the outages that operators report, which last 4 to 9 s.
+            // Longer than the store outages that operators report, which last 4 to 9 s.
             horizon: Duration::from_secs(11),
-            // The longest that workers allow; a look is priced by the call.
+            // The longest wait that workers allow; each poll is charged per call.
             wait: Duration::from_secs(2),
             // Reports are averages over half a second.
             watch: Duration::from_millis(500),
             pause: Duration::from_millis(40),
-            // Half of it is added to a job's time, and each entry is priced.
+            // Half of it is added to a job's time, and each entry is charged.
             commit: Duration::from_millis(30),
             proof: Duration::from_millis(500),
-            // A hundred times the store's usual answer.
+            // A hundred times the usual latency of the store.
             stall: Duration::from_millis(450),
             retry: Duration::from_secs(1),
             keep: Duration::from_secs(150),
             clock_slack: 50,
             far: 2.0,
-            // Some 2 KB each, against 260 MB an instance.
+            // About 2 KB each, of 260 MB per instance.
             jobs: 20_000,
             relist: Duration::from_millis(2500),
             pace_delay: Duration::from_millis(100),
             report: Duration::from_millis(500),
-            // Some 3 KB each time; pairs are learned within tens of seconds.
+            // About 3 KB each time; pairs are learned within tens of seconds.
             teach: Duration::from_secs(3),
-            // What the platform's sheets name for both sites.
+            // The platform's specifications name this value for both sites.
             drain: Duration::from_secs(2),
             evacuation: None,
             turn: Duration::from_secs(4),
--- a/ashtiller/src/workflow/worker.rs
+++ b/ashtiller/src/workflow/worker.rs
@@ -1,4 +1,4 @@
-//! One worker's life, as the owner of a log sees it.
+//! State that the log owner tracks for one worker incarnation.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,161 +11,164 @@
 use crate::workflow::lease::{self, Lease};
 use crate::workflow::record::Run;
 
-/// First time for which a worker that fails what it starts gets nothing; doubles.
-/// Short against the spells of some seconds that workers show.
-const QUARANTINE_FIRST: Duration = Duration::from_millis(1500);
-/// Longest such time.
+/// Duration of the first quarantine of a worker whose runs fail; it doubles each time. It is short
+/// compared with the bad spells of some seconds that workers show.
+const QUARANTINE_MIN: Duration = Duration::from_millis(1500);
+/// Upper bound of a quarantine.
 const QUARANTINE_MAX: Duration = Duration::from_secs(12);
-/// Time by which a run on trial has said what it can: one that neither ends nor fails for
-/// as long as a worker is ever put aside must not keep it shut.
-const TRIAL_MAX: Duration = QUARANTINE_MAX;
-/// The same for one that makes progress, without which it would count as stalled within
-/// 1.1 s: lasting tasks that wait for its worker are to start within 3 s.
-const TRIAL_WORKS: Duration = Duration::from_secs(2);
-/// How much later than its sending an unanswered call may be carried out.
+/// Time after placement for which a run can be the probation run of a worker, the first one after
+/// its quarantine. A run that neither ends nor fails for the longest quarantine must not keep the
+/// worker closed.
+const PROBATION_MAX: Duration = QUARANTINE_MAX;
+/// Same limit for a run that makes progress; without progress it would count as stalled within
+/// 1.1 s. Long-running tasks that wait for the worker are to start within 3 s.
+const PROBATION_PROGRESS_MAX: Duration = Duration::from_secs(2);
+/// Longest delay after sending at which an unanswered call may still be carried out.
 pub const LATE_MAX: Duration = Duration::from_secs(13);
-/// Failures without a success between them that put a worker aside.
-const FAILURES: u32 = 2;
+/// Consecutive failures after which a worker is quarantined.
+const QUARANTINE_FAILURES: u32 = 2;
 
-/// A run that was given up while a start of it may still be carried out.
+/// A run that was given up although an earlier start of it may still be carried out.
 #[derive(Debug)]
 pub struct LateRun {
-    /// Run.
+    /// Run that was given up.
     pub run: Run,
-    /// Its task, as the worker knows it.
+    /// Name of the task, as used in calls to workers.
     pub name: TaskName,
-    /// Until when.
+    /// Time after which the start can no longer be carried out.
     pub until: Duration,
 }
 
-/// What an order protects, in the order in which it goes when not all may: room and work
-/// that nobody needs any more, services, relief for them, other work, and fills that may
-/// work more than before.
+/// Class of an order, in descending priority when not all orders may be sent: stops free capacity
+/// and end work that is no longer needed, then come starts of services, relief for services, other
+/// starts, and paces that let best-effort runs use more.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum OrderClass {
-    /// Stop a run.
+    /// Stops a run.
     Stop,
-    /// Start a run that lasts.
+    /// Starts a long-running run.
     StartLongRunning,
-    /// Let a run work less.
+    /// Lowers the pace of a run.
     Relieve,
-    /// Start any other run.
+    /// Starts any other run.
     Start,
-    /// Let a run work more.
+    /// Raises the pace of a run.
     Pace,
-    /// There is none.
+    /// No order is pending.
     Nothing,
 }
 
-/// Class of the next order to a worker, and since when it waits.
+/// Class of the next order to a worker, and the time since which it has been waiting.
 pub type Rank = (OrderClass, Duration);
 
-/// A look that is under way.
+/// A poll that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingPoll {
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Duration,
-    /// For how long it may wait for an end.
+    /// Longest time for which the worker may delay the answer until a run ends.
     pub wait: Duration,
     /// Number up to which it acknowledges ends.
     pub ends_recorded: u64,
-    /// Its fence.
+    /// Fencing token that it carries.
     pub fence: u64,
     /// Whether it extends the lease.
     pub renews: bool,
 }
 
-/// One worker's life.
+/// State of one worker incarnation.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a state of its own")]
 pub struct Worker {
-    /// What the platform says of it.
+    /// Entry of the worker in the platform's list.
     pub listed: ListedWorker,
-    /// Whether an entry of its own was read; until then it is known by an answer only.
+    /// Whether its own entry was read; until then the worker is known only from an answer.
     pub entered: bool,
-    /// Since when the platform does not list it.
+    /// Time since which the platform does not list it.
     pub absent: Option<Duration>,
-    /// Since when it is about to leave.
+    /// Time since which it is draining.
     pub draining: Option<Duration>,
-    /// Whether another life of it is listed.
+    /// Whether another incarnation of the worker is listed.
     pub replaced: bool,
-    /// Whether that was said by the life before, of a worker without births.
+    /// Whether the draining flag came from the previous incarnation, on a platform that reports no
+    /// start times.
     pub former_drains: bool,
-    /// Its lease.
+    /// Lease granted to the worker.
     pub lease: Lease,
-    /// Whether it has answered under this owner's fence.
+    /// Whether it has answered a call with this owner's fencing token.
     pub fenced: bool,
-    /// Highest fence of the looks that were not answered, by this life or one before, and may
-    /// still acknowledge ends.
-    outdated: u64,
-    /// Whether the last look at it was answered.
+    /// Highest fencing token of unanswered polls, sent to this incarnation or an earlier one, that
+    /// may still acknowledge ends.
+    unanswered_fence: u64,
+    /// Whether the last poll was answered.
     pub answers: bool,
-    /// When it last answered a look.
+    /// Time of the last answer to a poll.
     pub heard: Duration,
-    /// Since when it does not.
+    /// Time since which polls are not answered.
     pub missed: Option<Duration>,
-    /// When a connection to it was first refused or broke since then: its process has ended, or
-    /// the network says so.
+    /// Time since then at which a connection to it was first refused or broken: either its process
+    /// has ended or the network reports so.
     pub broke: Option<Duration>,
-    /// The look that is under way.
+    /// Poll in flight.
     pub pending_poll: Option<PendingPoll>,
-    /// When the next look is due.
+    /// Time at which the next poll is due.
     pub next_poll: Duration,
-    /// Orders under way.
+    /// Number of orders in flight.
     pub ordering: u32,
-    /// When the last order went out.
+    /// Time at which the last order was sent.
     pub ordered: Duration,
-    /// When there may be an order for it.
-    work: Duration,
-    /// What its next order protects, and until when that holds if nothing happens.
+    /// Earliest time at which an order for it may be pending.
+    order_due: Duration,
+    /// Priority of its next order, and the time until which it is valid if nothing changes.
     rank: Option<(Rank, Duration)>,
-    /// Room that runs take.
+    /// Capacity and the reservations of its runs.
     pub pool: Pool,
-    /// Runs that may be going on there.
+    /// Runs that may be active on the worker.
     pub runs: BTreeSet<Run>,
-    /// Ends up to this number were reported.
+    /// Highest number of an end that the worker has reported.
     pub ends_reported: u64,
-    /// Ends up to this number are recorded.
+    /// Highest number of an end that is recorded in the log.
     pub ends_recorded: u64,
-    /// The worker has heard that ends up to this number are recorded.
+    /// Highest number of an end that the worker knows to be recorded.
     pub ends_acknowledged: u64,
-    /// Until when a call that was not answered may still extend its lease.
+    /// Time until which an unanswered call may still extend its lease.
     pub renewing: Option<Duration>,
-    /// Until when a look that was not answered, by this life or one before, may still acknowledge
-    /// ends.
+    /// Time until which an unanswered poll, sent to this incarnation or an earlier one, may still
+    /// acknowledge ends.
     pub acknowledging: Option<Duration>,
-    /// Until when a look meant for the life before may acknowledge ends of this one.
+    /// Time until which a poll meant for the previous incarnation may acknowledge ends of this one.
     pub forgetful: Option<Duration>,
-    /// Runs that were given up here, or at the life before, and may begin after all.
+    /// Runs given up on this incarnation or the previous one that may still begin.
     pub late: Vec<LateRun>,
-    /// Runs there that serve.
+    /// Number of latency-sensitive runs on the worker.
     pub serving: u32,
-    /// Runs there that fill.
+    /// Number of best-effort runs on the worker.
     pub filling: u32,
-    /// Processors asked for by the runs that fill, in thousandths.
+    /// Processors requested by the best-effort runs, in thousandths.
     pub filled: u64,
-    /// Runs that filled and have ended not long ago: their image, the share of the worker's
-    /// processors that they used, and when they ended.
+    /// Best-effort runs that ended recently: their image, the share of the worker's processors that
+    /// they used, and the time of their end.
     pub left: Vec<(Image, f64, Duration)>,
-    /// Since when a run there that serves is over its target.
+    /// Time since which a latency-sensitive run on the worker exceeds its target.
     pub over: Option<Duration>,
-    /// When a report last showed no run there over its target.
+    /// Time of the last report in which no run on the worker exceeded its target.
     pub calm: Duration,
-    /// When reports show the paces that were last set.
+    /// Time from which reports reflect the paces that were last set.
     pub settled: Duration,
-    /// Its machine was told to end it: only an answer to a look that begins at this time or
-    /// later shows that it lives on.
+    /// Set when the worker's machine was told to end it: only the answer to a poll sent at this
+    /// time or later shows that the worker still runs.
     pub doubted: Option<Duration>,
-    /// Until when it gets no runs because it fails, stalls or is slow.
+    /// End of the quarantine; the worker gets no runs until then because it fails, stalls or is
+    /// slow.
     pub quarantined_until: Option<Duration>,
     failures: u32,
     quarantines: u32,
-    /// When it was last put aside.
-    shut: Duration,
+    /// Time at which the last quarantine began.
+    quarantined_at: Duration,
 }
 
 impl Worker {
-    /// A worker whose earlier leases end by `bound`.
+    /// Creates a worker whose earlier leases have all ended by `bound`.
     #[must_use]
     pub fn new(listed: ListedWorker, bound: Duration) -> Self {
         Self {
@@ -178,7 +181,7 @@
             absent: None,
             lease: Lease::new(bound),
             fenced: false,
-            outdated: 0,
+            unanswered_fence: 0,
             answers: false,
             heard: Duration::ZERO,
             missed: None,
@@ -187,7 +190,7 @@
             next_poll: Duration::ZERO,
             ordering: 0,
             ordered: Duration::ZERO,
-            work: Duration::ZERO,
+            order_due: Duration::ZERO,
             rank: None,
             runs: BTreeSet::new(),
             ends_reported: 0,
@@ -208,163 +211,173 @@
             quarantined_until: None,
             failures: 0,
             quarantines: 0,
-            shut: Duration::ZERO,
+            quarantined_at: Duration::ZERO,
         }
     }
 
-    /// It has answered a call with this fence.
+    /// Records an answer to a call that carried this fencing token.
     pub fn note_fence(&mut self, fence: u64) {
-        if fence > self.outdated {
+        if fence > self.unanswered_fence {
             self.forgetful = None;
         }
     }
 
-    /// How to address it, under this fence.
+    /// Returns the address of this incarnation for calls with this fencing token.
     #[must_use]
-    pub fn target(&self, fence: u64, patience: Duration) -> Target {
+    pub fn target(&self, fence: u64, timeout: Duration) -> Target {
         Target {
             incarnation: self.listed.incarnation.clone(),
             address: self.listed.address,
             fence,
-            timeout: patience,
+            timeout,
             zone: self.listed.zone.clone(),
         }
     }
 
-    /// There may be an order for it.
+    /// Marks that an order may be pending.
     pub fn wake(&mut self) {
-        self.work = Duration::ZERO;
+        self.order_due = Duration::ZERO;
         self.rank = None;
     }
 
-    /// There is no order for it before this time, unless something happens.
+    /// Records that no order is pending before `next` unless something changes.
     pub fn rest_until(&mut self, next: Duration) {
-        self.work = next;
+        self.order_due = next;
         self.rank = None;
     }
 
-    /// Whether there may be an order for it.
+    /// Reports whether an order may be pending.
     #[must_use]
     pub fn has_work(&self, now: Duration) -> bool {
-        self.work <= now
+        self.order_due <= now
     }
 
-    /// What its next order protects, if that is known.
+    /// Returns the priority of its next order while that is still valid.
     #[must_use]
     pub fn rank(&self, now: Duration) -> Option<Rank> {
         let (rank, until) = self.rank?;
         (now < until).then_some(rank)
     }
 
-    /// Notes what its next order protects, which holds until then if nothing happens.
+    /// Records the priority of its next order, valid until `until` if nothing changes.
     pub fn set_rank(&mut self, rank: Rank, until: Duration) {
         self.rank = Some((rank, until));
     }
 
-    /// When the next look at it is due.
+    /// Returns the time at which the next poll is due.
     #[must_use]
     pub fn next_poll_due(&self) -> Duration {
         self.next_poll.max(self.doubted.unwrap_or_default())
     }
 
-    /// Whether it has this label.
+    /// Reports whether the worker has this label.
     #[must_use]
     pub fn has_label(&self, label: &str) -> bool {
         self.listed.labels.iter().any(|have| **have == *label)
     }
 
-    /// Processors that no run asked for, in thousandths.
+    /// Returns the processors that no run has requested, in thousandths.
     #[must_use]
     pub fn unused(&self) -> u64 {
         self.pool.free().processors
     }
 
-    /// Takes over from the life before, which is over, what belongs to the machine and what was
-    /// sent to that life and may come here; a worker grants leases of at most `hold`.
+    /// Takes over the state of `former`, the ended previous incarnation: what belongs to the
+    /// machine, and calls sent to `former` that may reach this incarnation. A worker grants leases
+    /// of at most `hold`.
     pub fn take_over_from(&mut self, former: &mut Self, hold: Duration) {
         self.failures = self.failures.max(former.failures);
         self.quarantines = self.quarantines.max(former.quarantines);
         self.quarantined_until = self.quarantined_until.max(former.quarantined_until);
-        self.shut = self.shut.max(former.shut);
-        if let Some(look) = former.pending_poll {
-            former.note_unanswered(&look);
+        self.quarantined_at = self.quarantined_at.max(former.quarantined_at);
+        if let Some(poll) = former.pending_poll {
+            former.note_unanswered(&poll);
         }
         self.late.append(&mut former.late);
-        // An old entry may list the life before once more, of which nothing is known then.
+        // A stale entry may list the previous incarnation again, with no knowledge of its calls; so
+        // they are kept here.
         self.acknowledging = self.acknowledging.max(former.acknowledging);
         self.forgetful = self.forgetful.max(self.acknowledging);
-        self.outdated = self.outdated.max(former.outdated);
+        self.unanswered_fence = self.unanswered_fence.max(former.unanswered_fence);
         self.renewing = self.renewing.max(former.renewing);
         if let Some(until) = former.renewing {
             self.lease.extend(until + lease::worst_case_elapsed(hold));
         }
     }
 
-    /// A look at it was not answered in time, and may still be carried out.
-    pub fn note_unanswered(&mut self, look: &PendingPoll) {
-        let until = look.sent + LATE_MAX;
-        if look.renews {
+    /// Records that a poll was not answered in time; it may still be carried out.
+    pub fn note_unanswered(&mut self, poll: &PendingPoll) {
+        let until = poll.sent + LATE_MAX;
+        if poll.renews {
             self.renewing = self.renewing.max(Some(until));
         }
-        if look.ends_recorded > 0 {
+        if poll.ends_recorded > 0 {
             self.acknowledging = self.acknowledging.max(Some(until));
-            self.outdated = self.outdated.max(look.fence);
+            self.unanswered_fence = self.unanswered_fence.max(poll.fence);
         }
     }
 
-    /// Changes what it has.
+    /// Sets the capacity of the worker.
     pub fn resize(&mut self, capacity: Resources) {
         self.pool.resize(capacity);
     }
 
-    /// Counts a run that failed; true when the worker is put aside for it.
+    /// Counts a failed run; returns true when the worker is quarantined for it.
     pub fn note_failure(&mut self, now: Duration) -> bool {
         self.failures += 1;
-        if self.failures < FAILURES || self.quarantined_until.is_some_and(|until| until > now) {
+        if self.failures < QUARANTINE_FAILURES
+            || self.quarantined_until.is_some_and(|until| until > now)
+        {
             return false;
         }
         self.quarantine(now);
         true
     }
 
-    /// Gives it nothing for a while, longer each time until something succeeds there.
+    /// Quarantines the worker, for longer each time until a run succeeds there.
     pub fn quarantine(&mut self, now: Duration) {
-        let doubled = QUARANTINE_FIRST * 2u32.pow(self.quarantines.min(4));
+        let doubled = QUARANTINE_MIN * 2u32.pow(self.quarantines.min(4));
         self.quarantined_until = Some(now + doubled.min(QUARANTINE_MAX));
         self.quarantines += 1;
-        self.shut = now;
+        self.quarantined_at = now;
     }
 
-    /// Counts a run that succeeded.
+    /// Counts a successful run and ends the quarantine.
     pub fn note_success(&mut self) {
         self.failures = 0;
         self.quarantines = 0;
         self.quarantined_until = None;
     }
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     #[must_use]
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether it is on trial: it was put aside and nothing has succeeded since.
+    /// Reports whether the worker is on probation: it was quarantined and no run has succeeded
+    /// there since.
     #[must_use]
     pub fn on_trial(&self) -> bool {
         self.quarantines > 0
     }
 
-    /// Whether a run that was placed there at this time is its trial, and not over; `works`
-    /// when the run makes progress.
+    /// Reports whether a run placed at `placed` is the worker's current probation run after a
+    /// quarantine; `works` tells that the run makes progress.
     ///
-    /// What ran there before says nothing new, and lasting runs among it never end.
+    /// Runs placed before the quarantine tell nothing about the present state, and long-running
+    /// ones among them never end.
     #[must_use]
     pub fn is_trial(&self, placed: Duration, works: bool, now: Duration) -> bool {
-        let limit = if works { TRIAL_WORKS } else { TRIAL_MAX };
-        self.on_trial() && placed >= self.shut && now < placed + limit
+        let limit = if works {
+            PROBATION_PROGRESS_MAX
+        } else {
+            PROBATION_MAX
+        };
+        self.on_trial() && placed >= self.quarantined_at && now < placed + limit
     }
 
-    /// Its life.
+    /// Returns the incarnation.
     #[must_use]
     pub fn incarnation(&self) -> &Incarnation {
         &self.listed.incarnation
