--- a/ashtiller/src/workflow/advisor.rs
+++ b/ashtiller/src/workflow/advisor.rs
@@ -1,4 +1,4 @@
-//! The service that knows which workers may run a step.
+//! Advisor: the service that decides which workers may run a step.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use crate::store::Called;
 use crate::workflow::incarnation::Incarnation;
 
-/// Rows of a worker's life and the ticket to start the step there.
+/// Worker incarnations that may run a step, each with the ticket to start it there.
 pub type Tickets = Vec<(Incarnation, Arc<str>)>;
 
-/// Questions to the advisor.
+/// Calls to the advisor.
 pub trait Advisor: Send + Sync {
-    /// Asks which of these workers may run a step of one time of a job; the answer may
-    /// take `limit`.
+    /// Asks which of these workers may run a step of one occurrence of a job; the answer may take
+    /// `limit`.
     fn advise<'a>(
         &'a self,
         job: &'a str,
-        time: u32,
+        occurrence: u32,
         step: u16,
         workers: &'a [Incarnation],
         limit: Duration,
--- a/ashtiller/src/workflow/agents.rs
+++ b/ashtiller/src/workflow/agents.rs
@@ -1,4 +1,4 @@
-//! Workers as the owner of a log speaks with them.
+//! Calls of a log owner to workers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,70 +9,70 @@
 use crate::store::Called;
 use crate::workflow::incarnation::Incarnation;
 
-/// Least time limit of an order, a hundred times the way to another zone. By then it was
-/// carried out, or its caller was told that it may not have been.
+/// Shortest timeout of an order: a hundred times the one-way delay to another zone. By then the
+/// order was carried out, or its caller was told that it may not have been.
 pub const ORDER_TIMEOUT_MIN: Duration = Duration::from_millis(350);
-/// Least time for a look to be answered beyond its own wait.
+/// Shortest timeout of a poll, in addition to the poll's own wait.
 pub const POLL_TIMEOUT_MIN: Duration = Duration::from_millis(600);
 
-/// Which life of which worker a call is meant for.
+/// Worker incarnation that a call is meant for.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
-    /// The worker's life.
+    /// Incarnation of the worker.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// The caller's fence: a worker ignores callers with a lower one.
+    /// Fencing token of the caller: a worker ignores callers with a lower one.
     pub fence: u64,
-    /// How long its answer may take, beyond what it is asked to wait.
+    /// Time that the answer may take, in addition to the wait that the call asks for.
     pub timeout: Duration,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: Arc<str>,
 }
 
-/// A task as workers know it.
+/// Id of a task in calls to workers.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TaskName {
     /// Id of the job.
     pub job: Arc<str>,
-    /// Which time of a repeated job.
+    /// Occurrence of a repeated job.
     pub occurrence: u32,
-    /// Step.
+    /// Index of the step.
     pub step: u16,
-    /// Number within the step.
+    /// Index within the step.
     pub index: u16,
 }
 
-/// Tells a worker to start a run.
+/// Order to start a run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Start {
-    /// Task.
+    /// Task to run.
     pub name: TaskName,
     /// Number of the run.
     pub run: u32,
-    /// The job's text for its tasks.
+    /// Text that the job passes to its tasks.
     pub payload: Arc<str>,
-    /// End of the worker's lease, in milliseconds of its clock.
+    /// End of the worker's lease, in milliseconds on its clock.
     pub until: u64,
-    /// Checkpoint to begin from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: Arc<str>,
-    /// Ticket of the advisor.
+    /// Ticket of the advisor, for steps that need one.
     pub ticket: Option<Arc<str>>,
 }
 
-/// Something that a worker is told to do.
+/// An order to a worker.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Order {
-    /// Start a run.
+    /// Starts a run.
     Start(Start),
-    /// Stop a run, and never start it from now on.
+    /// Stops a run, and prevents any later start of it.
     Stop(TaskName, u32),
-    /// Let a run work at this share, in percent.
+    /// Sets the pace of a run, in percent.
     Pace(TaskName, u32, u32),
 }
 
 impl Order {
-    /// What it is, in one word.
+    /// Returns the label of the order in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -83,63 +83,63 @@
     }
 }
 
-/// Why a worker did not do what it was told.
+/// Reason for which a worker refused an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Refusal {
-    /// It has heard a higher fence.
+    /// The worker knows a higher fencing token.
     Fenced,
-    /// The run ended or was stopped there.
+    /// The run has ended or was stopped there.
     Old,
-    /// The lease named in the order is over on its clock.
+    /// The lease named in the order has ended on the worker's clock.
     Late,
-    /// It lacks the room.
+    /// The worker lacks the capacity.
     Room,
-    /// The ticket does not hold.
+    /// The ticket is not valid.
     Ticket,
-    /// It does nothing at the moment.
+    /// The worker does nothing at the moment.
     Busy,
-    /// It does not understand the order.
+    /// The worker does not understand the order.
     Invalid,
 }
 
-/// What a worker said to an order.
+/// Reply of a worker to an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderReply {
-    /// Done, at this reading of its clock.
+    /// Carried out, at this reading of the worker's clock.
     Done(u64),
-    /// Not done.
+    /// Refused.
     Refused(Refusal),
-    /// The life that was meant is over.
+    /// The target incarnation has ended.
     OtherIncarnation,
 }
 
-/// Asks a worker what runs there, and renews its lease.
+/// Poll of a worker: asks for its runs and renews its lease.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Poll {
-    /// End of the lease, in milliseconds of the worker's clock.
+    /// End of the lease, in milliseconds on the worker's clock.
     pub until: Option<u64>,
-    /// Ends up to this number are recorded and may be forgotten.
+    /// Number up to which ends are recorded; the worker may forget those.
     pub ends_recorded: u64,
-    /// How long the answer may wait for an end.
+    /// Time for which the worker may delay the answer until a run ends.
     pub wait: Duration,
 }
 
-/// A run that a worker has.
+/// An active run, as reported by a worker.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Active {
-    /// Task.
+    /// Task that is run.
     pub name: TaskName,
     /// Number of the run.
     pub run: u32,
     /// Newest checkpoint; empty for none.
     pub checkpoint: Arc<str>,
-    /// How far its work has come, in percent.
+    /// Progress in percent.
     pub percent: u32,
-    /// Tail latency in milliseconds for a task that serves, else processors in use.
+    /// Tail latency in milliseconds for a latency-sensitive task, else processors in use.
     pub figure: Option<u64>,
 }
 
-/// How a worker says that a run ended.
+/// How a run ended, as reported by a worker.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndReason {
     /// Its work is done.
@@ -148,20 +148,20 @@
     Failed,
     /// It was stopped.
     Stopped,
-    /// The lease was over.
+    /// The lease ended.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
-/// A run that ended at a worker.
+/// An ended run, as reported by a worker.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Finished {
-    /// Number of the end in this life of the worker.
+    /// Number of the end, unique for the worker's incarnation.
     pub number: u64,
-    /// Task.
+    /// Task that was run.
     pub name: TaskName,
     /// Number of the run.
     pub run: u32,
@@ -171,31 +171,32 @@
     pub checkpoint: Arc<str>,
 }
 
-/// What a worker said to a look.
+/// Reply of a worker to a poll.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PollReply {
-    /// What it has, at this reading of its clock.
+    /// State of the worker.
     Report {
-        /// Its clock in milliseconds.
+        /// Reading of its clock in milliseconds.
         clock: u64,
-        /// Runs that it has.
+        /// Active runs.
         active: Vec<Active>,
-        /// Ends that it has not forgotten yet.
+        /// Ends that the worker has not forgotten.
         finished: Vec<Finished>,
     },
-    /// It has heard a higher fence.
+    /// The worker knows a higher fencing token.
     Fenced,
-    /// The life that was meant is over; which one answered, if it says so.
+    /// The target incarnation has ended; names the one that answered, if that is known.
     OtherIncarnation(Option<Incarnation>),
-    /// It does nothing at the moment.
+    /// The worker does nothing at the moment.
     Busy,
 }
 
-/// Calls to workers.
+/// Client for calls to workers.
 pub trait WorkerClient: Send + Sync {
-    /// Gives an order. A failure with unknown effect may be carried out seconds later.
+    /// Sends an order. After a failure with unknown effect it may still be carried out seconds
+    /// later.
     fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> Called<'a, OrderReply>;
 
-    /// Looks at a worker.
-    fn poll<'a>(&'a self, to: &'a Target, look: &'a Poll) -> Called<'a, PollReply>;
+    /// Polls a worker.
+    fn poll<'a>(&'a self, to: &'a Target, poll: &'a Poll) -> Called<'a, PollReply>;
 }
--- a/ashtiller/src/workflow/config.rs
+++ b/ashtiller/src/workflow/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the workers that the platform lists.
+//! Active configuration, and the workers that the platform lists.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,41 +13,41 @@
 use crate::workflow::job::Policy;
 use crate::workflow::machines::Wave;
 
-/// A queue of jobs, found by the host and path of a client's call.
+/// A queue of jobs, selected by the host and path of a client's request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Queue {
-    /// Host name that the client asked for.
+    /// Host name in the request.
     pub host: Arc<str>,
-    /// How the path begins.
+    /// Prefix of the path.
     pub prefix: Arc<str>,
-    /// How its jobs are treated.
+    /// Policy for its jobs.
     pub policy: Policy,
 }
 
-/// Workers that share a queue's jobs.
+/// Group of workers that run the jobs of some queues.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Service {
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers refuse starts that exceed their capacity.
     pub guards: bool,
-    /// Whether its workers are switched off until they are moved elsewhere.
+    /// Whether its workers are spares, switched off until they are moved to another service.
     pub spare: bool,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Config {
     /// Version; a higher one replaces a lower one.
     pub version: u64,
-    /// Queues.
+    /// Queues of all hosts.
     pub queues: Vec<Queue>,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Service>,
-    /// Largest body of a request in bytes.
+    /// Largest size of a request body in bytes.
     pub body_max: usize,
 }
 
 impl Config {
-    /// The queue with the longest prefix that begins the path.
+    /// Returns the queue with the longest prefix that matches the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
@@ -56,7 +56,7 @@
             .max_by_key(|queue| queue.prefix.len())
     }
 
-    /// The queue of this name, as [`Queue::name`] makes it.
+    /// Returns the queue with this name, in the form of [`Queue::name`].
     #[must_use]
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|queue| *queue.name() == *name)
@@ -64,71 +64,71 @@
 }
 
 impl Queue {
-    /// Name of the queue: host and prefix.
+    /// Returns the name of the queue: host and prefix.
     #[must_use]
     pub fn name(&self) -> Arc<str> {
         format!("{}{}", self.host, self.prefix).into()
     }
 }
 
-/// A worker's life as the platform lists it.
+/// A worker incarnation, as listed by the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedWorker {
-    /// This life.
+    /// Incarnation that is listed.
     pub incarnation: Incarnation,
-    /// Machine that it is a life of, if the platform says.
+    /// Machine that it runs on, if the platform reports that.
     pub machine: Option<Arc<str>>,
-    /// Service.
+    /// Service of the worker.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// What it has.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Its labels, its rack among them.
+    /// Labels, including its rack.
     pub labels: Arc<[Arc<str>]>,
     /// Whether it is about to leave.
     pub draining: bool,
-    /// While it drains, the time that is left at least.
+    /// While it drains, lower bound of the time that remains.
     pub remaining: Option<Duration>,
 }
 
-/// One of the operators' entries.
+/// Decoded entry of an operator in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorEntry {
-    /// The configuration.
+    /// Configuration.
     Config(Config),
-    /// A wave of upkeep.
+    /// Maintenance wave.
     Wave(Wave),
-    /// Something that concerns nobody here.
+    /// An entry that does not concern this process.
     Other,
 }
 
-/// Decodes what the platform keeps in the store.
+/// Codec of the platform's entries in the store.
 pub trait PlatformCodec: Send + Sync {
-    /// Prefix of the workers' entries.
+    /// Returns the key prefix of the workers' entries.
     fn worker_prefix(&self) -> &'static str;
 
     /// Decodes a worker's entry.
     ///
     /// # Errors
-    /// What cannot be read in it.
+    /// Describes what cannot be decoded.
     fn worker(&self, key: &str, value: &[u8]) -> anyhow::Result<ListedWorker>;
 
-    /// Prefix of the operators' entries.
+    /// Returns the key prefix of the operators' entries.
     fn operator_prefix(&self) -> &'static str;
 
-    /// Decodes one of the operators' entries.
+    /// Decodes an entry of an operator.
     ///
     /// # Errors
-    /// What cannot be read in it.
+    /// Describes what cannot be decoded.
     fn operated(&self, key: &str, value: &[u8]) -> anyhow::Result<OperatorEntry>;
 
-    /// The availability zone that the operators' entry with this key evacuates, if any. It holds
-    /// whatever its value is.
+    /// Returns the availability zone that an operator's entry with this key evacuates, if any. The
+    /// key alone counts, whatever the value is.
     fn evacuated(&self, key: &str) -> Option<Arc<str>>;
 
-    /// Key and value by which operators are told whether a wave is over.
+    /// Returns the key and value that tell operators whether a wave has ended.
     fn wave_status(&self, number: u64, over: bool) -> (String, Bytes);
 }
--- a/ashtiller/src/workflow/evacuations.rs
+++ b/ashtiller/src/workflow/evacuations.rs
@@ -1,4 +1,4 @@
-//! Availability zones under evacuation, as operators' entries in the store say.
+//! Availability zones being evacuated, according to operators' entries in the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,35 +8,35 @@
 use crate::workflow::follow::StoreUpdate;
 use crate::workflow::kv::{Change, Item};
 
-/// Zones under evacuation, each with the revision of its entry.
+/// Zones being evacuated, each with the revision of its entry.
 pub type Zones = BTreeMap<Arc<str>, u64>;
 
-/// What was last read of operators' entries.
+/// Evacuations known from operators' entries.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Evacuations {
-    /// Zones under evacuation.
+    /// Zones being evacuated.
     pub zones: Zones,
-    /// No change before this is missing; nothing before the first reading.
+    /// Time up to which all changes are included; none before the first read.
     pub as_of: Option<Moment>,
 }
 
 impl Evacuations {
-    /// Takes what a follower of the operators' entries has seen.
-    pub fn take(&mut self, dialect: &dyn PlatformCodec, seen: &StoreUpdate) {
-        let as_of = match seen {
+    /// Applies an update of the operators' entries.
+    pub fn take(&mut self, codec: &dyn PlatformCodec, update: &StoreUpdate) {
+        let as_of = match update {
             StoreUpdate::All { items, as_of } => {
                 self.zones.clear();
                 for item in items {
-                    self.put(dialect, item);
+                    self.put(codec, item);
                 }
                 *as_of
             }
             StoreUpdate::Changes { changes, as_of } => {
                 for change in changes {
                     match change {
-                        Change::Put(item) => self.put(dialect, item),
+                        Change::Put(item) => self.put(codec, item),
                         Change::Gone(key) => {
-                            if let Some(zone) = dialect.evacuated(key) {
+                            if let Some(zone) = codec.evacuated(key) {
                                 self.zones.remove(&zone);
                             }
                         }
@@ -48,8 +48,8 @@
         self.as_of = Some(as_of);
     }
 
-    fn put(&mut self, dialect: &dyn PlatformCodec, item: &Item) {
-        if let Some(zone) = dialect.evacuated(&item.key) {
+    fn put(&mut self, codec: &dyn PlatformCodec, item: &Item) {
+        if let Some(zone) = codec.evacuated(&item.key) {
             self.zones.insert(zone, item.revision);
         }
     }
--- a/ashtiller/src/workflow/follow.rs
+++ b/ashtiller/src/workflow/follow.rs
@@ -1,9 +1,9 @@
-//! Follows what stands below a prefix of the key-value service.
+//! Follows the items below a prefix of the key-value store.
 //!
-//! Each answer says as of when what was seen is whole, even if nothing changed. A
-//! connection may go silent at any time, so a watch that gets no answer is not tried
-//! again: the list is read at once, over a connection that the store's client opens anew.
-//! While the store is slow there are only lists, which overlap.
+//! Each update tells the time up to which it is complete, even if nothing changed. A connection may
+//! stop answering at any time, so a watch without an answer is not retried: the items are listed at
+//! once, over a connection that the store's client opens anew. While the store is slow, only lists
+//! are used, and they overlap.
 
 use std::future;
 use std::sync::Arc;
@@ -20,46 +20,46 @@
 use crate::workflow::kv::{Change, Item, Store, Watched};
 use crate::workflow::store_latency::{PAUSE, StoreLatency};
 
-/// Wait of one watch where news also comes another way; the platform allows 30 s.
-/// Shorter, so that a watch that a silent store has forgotten is noticed.
+/// Wait of one watch where news also comes another way; the platform allows 30 s. A shorter wait
+/// reveals sooner a watch that the store has lost without notice.
 pub const LONG_WAIT: Duration = Duration::from_secs(10);
-/// Shortest wait of one watch: a wait of zero could be read as no limit.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
-/// An answer that comes so much before its wait is over was not cut short: waits are sent,
-/// and may be measured, in whole milliseconds.
-const ROUNDING: Duration = Duration::from_millis(2);
-/// Time within which the platform wants a new configuration to be in force.
-const APPLY: Duration = Duration::from_secs(2);
+/// Shortest wait of one watch: a wait of zero could be understood as no limit.
+const WATCH_WAIT_MIN: Duration = Duration::from_millis(1);
+/// Tolerance for an answer before the end of its wait that still counts as complete: waits are
+/// sent, and may be measured, in whole milliseconds.
+const ROUNDING_TOLERANCE: Duration = Duration::from_millis(2);
+/// Time within which the platform requires a new configuration to be applied.
+const CONFIG_APPLY_MAX: Duration = Duration::from_secs(2);
 
-/// Wait of one watch where news must be fresh, given the time for which workers go on
-/// after they were told to leave. Half of the bound: the rest is for the time beyond its
-/// wait after which a watch is given up, and for a list over a new connection.
+/// Returns the wait of one watch whose news must be fresh; `drain` is the time for which workers
+/// continue after they were told to leave. It is half of the bound: the rest is for the time after
+/// which an unanswered watch is given up, and for a list over a new connection.
 #[must_use]
 pub fn short_wait(drain: Duration) -> Duration {
-    drain.min(APPLY) / 2
+    drain.min(CONFIG_APPLY_MAX) / 2
 }
 
-/// What was seen below a prefix.
+/// An update of the items below a prefix.
 #[derive(Clone, Debug)]
 pub enum StoreUpdate {
-    /// All that stands there, what changed last at the end.
+    /// All items.
     All {
-        /// Items.
+        /// Items, the one changed last at the end.
         items: Vec<Item>,
-        /// No change before this is missing: when the list was asked for.
+        /// Time up to which all changes are included: when the list was requested.
         as_of: Moment,
     },
-    /// What changed, perhaps nothing.
+    /// Changes, possibly none.
     Changes {
         /// Changes in order.
         changes: Vec<Change>,
-        /// No change before this is missing: when the watch was asked for, and if nothing
-        /// changed during its whole wait, when that was over.
+        /// Time up to which all changes are included: when the watch was sent or, if nothing
+        /// changed during its whole wait, the end of the wait.
         as_of: Moment,
     },
 }
 
-/// All that stands there, as one call or several told it.
+/// All items below a prefix, read in one page or several.
 struct List {
     items: Vec<Item>,
     /// Revision to watch from.
@@ -67,41 +67,42 @@
     pages: u32,
 }
 
-/// A list that was asked for.
-struct Listed {
+/// Result of a list call.
+struct ListResult {
     sent: Instant,
-    /// No change before this is missing.
+    /// Time up to which all changes are included.
     as_of: Moment,
     took: Duration,
     answer: Result<List, Failure>,
 }
 
-/// What to do next.
+/// Next step of the follower.
 enum Next {
     List,
     Watch,
     End,
 }
 
-/// Sends what stands below `prefix`, then each change, until the receiver is gone. What
-/// was seen is proved fresh again before it is older than `patience`, if the store answers.
+/// Sends all items below `prefix`, then each change, until the receiver is dropped. An update that
+/// proves completeness follows before the last one is older than `longest_wait`, provided that the
+/// store answers in time.
 pub async fn follow(
     store: Arc<dyn Store>,
     prefix: &'static str,
-    patience: watch::Receiver<Duration>,
-    seen: mpsc::Sender<StoreUpdate>,
+    longest_wait: watch::Receiver<Duration>,
+    updates: mpsc::Sender<StoreUpdate>,
 ) {
     let now = Instant::now();
     let mut follower = Follower {
         store,
         prefix,
-        patience,
-        seen,
+        longest_wait,
+        updates,
         at: 0,
         as_of: Moment::now(),
         failing: false,
         lists: FuturesUnordered::new(),
-        asked: now,
+        requested: now,
         due: now,
         tempo: StoreLatency::default(),
         slow: false,
@@ -119,57 +120,57 @@
 struct Follower {
     store: Arc<dyn Store>,
     prefix: &'static str,
-    patience: watch::Receiver<Duration>,
-    seen: mpsc::Sender<StoreUpdate>,
+    longest_wait: watch::Receiver<Duration>,
+    updates: mpsc::Sender<StoreUpdate>,
     /// Revision to watch from.
     at: u64,
-    /// No change before this is missing.
+    /// Time up to which all changes are included.
     as_of: Moment,
-    /// Whether no watch was answered since a call failed.
+    /// Whether a call has failed and no watch was answered since.
     failing: bool,
-    /// Lists that are under way.
-    lists: FuturesUnordered<BoxFuture<'static, Listed>>,
-    /// When the newest list was asked for.
-    asked: Instant,
-    /// When the next list is asked for, if one is wanted.
+    /// Lists in flight.
+    lists: FuturesUnordered<BoxFuture<'static, ListResult>>,
+    /// Time at which the newest list was requested.
+    requested: Instant,
+    /// Time at which the next list is due, if one is wanted.
     due: Instant,
     tempo: StoreLatency,
-    /// Whether lists are read in place of watches.
+    /// Whether lists replace watches because the store is slow.
     slow: bool,
 }
 
 impl Follower {
-    /// Waits for the next list. One that is overdue is not waited for alone.
+    /// Waits for the next list; further lists are requested while one is overdue.
     async fn list(&mut self) -> Next {
         loop {
             tokio::select! {
                 biased;
-                () = self.seen.closed() => return Next::End,
-                Some(listed) = self.lists.next() => return self.take_list(listed).await,
-                () = time::sleep_until(self.due) => self.ask_list(),
+                () = self.updates.closed() => return Next::End,
+                Some(listed) = self.lists.next() => return self.handle_list(listed).await,
+                () = time::sleep_until(self.due) => self.request_list(),
             }
         }
     }
 
-    fn ask_list(&mut self) {
+    fn request_list(&mut self) {
         let (store, prefix) = (self.store.clone(), self.prefix);
         let (sent, as_of) = (Instant::now(), Moment::now());
         self.lists.push(Box::pin(async move {
             let answer = list(&*store, prefix).await;
             let took = sent.elapsed();
-            Listed {
+            ListResult {
                 sent,
                 as_of,
                 took,
                 answer,
             }
         }));
-        self.asked = sent;
-        self.due = sent + self.tempo.pace(*self.patience.borrow());
+        self.requested = sent;
+        self.due = sent + self.tempo.pace(*self.longest_wait.borrow());
     }
 
-    async fn take_list(&mut self, listed: Listed) -> Next {
-        let Listed {
+    async fn handle_list(&mut self, listed: ListResult) -> Next {
+        let ListResult {
             sent,
             as_of,
             took,
@@ -179,7 +180,7 @@
             Ok(list) => list,
             Err(failure) => {
                 self.tempo.note_failure(took);
-                // Those under way may still be answered; the next is due as it was.
+                // The lists in flight may still be answered; the next one stays due as before.
                 if self.lists.is_empty() {
                     self.due = sent + PAUSE;
                 }
@@ -187,8 +188,8 @@
             }
         };
         self.tempo.note_list(took, list.pages);
-        let next = self.choose_way();
-        // Answers may pass each other on their connections.
+        let next = self.choose_next();
+        // Answers may overtake each other on their connections.
         if as_of < self.as_of {
             return next;
         }
@@ -196,17 +197,18 @@
         if list.at < self.at {
             let changes = Vec::new();
             return self
-                .tell(StoreUpdate::Changes { changes, as_of }, next)
+                .send_update(StoreUpdate::Changes { changes, as_of }, next)
                 .await;
         }
         self.at = list.at;
         let items = list.items;
-        self.tell(StoreUpdate::All { items, as_of }, next).await
+        self.send_update(StoreUpdate::All { items, as_of }, next)
+            .await
     }
 
-    /// Whether to watch from now on, or to list again since the store is too slow for it.
-    fn choose_way(&mut self) -> Next {
-        let longest = *self.patience.borrow();
+    /// Chooses between watching and, if the store is too slow for that, listing again.
+    fn choose_next(&mut self) -> Next {
+        let longest = *self.longest_wait.borrow();
         let slow = self.tempo.is_slow(longest);
         if slow != self.slow {
             let took = self.tempo.list().as_millis();
@@ -214,12 +216,12 @@
                 prefix = self.prefix,
                 took_ms = took,
                 slow,
-                "store's speed has changed; lists in place of watches while it is slow"
+                "store latency changed; lists replace watches while it is slow"
             );
         }
         self.slow = slow;
         if slow {
-            self.due = self.asked + self.tempo.pace(longest);
+            self.due = self.requested + self.tempo.pace(longest);
             return Next::List;
         }
         self.lists.clear();
@@ -227,23 +229,23 @@
     }
 
     async fn watch(&mut self) -> Next {
-        let (sent, asked) = (Instant::now(), Moment::now());
-        let longest = *self.patience.borrow();
-        // An answer with changes proves nothing later than its call, so the next wait
-        // ends when the one before would have.
+        let (sent, requested) = (Instant::now(), Moment::now());
+        let longest = *self.longest_wait.borrow();
+        // An answer with changes proves nothing later than its call, so the next wait ends when the
+        // previous one would have.
         let wait = longest
-            .saturating_sub(asked.since(self.as_of))
-            .max(LEAST_WAIT);
+            .saturating_sub(requested.since(self.as_of))
+            .max(WATCH_WAIT_MIN);
         let answer = tokio::select! {
             answer = self.store.watch(self.prefix, self.at, wait) => answer,
-            () = wait_shorter(&mut self.patience, longest) => return Next::Watch,
-            () = self.seen.closed() => return Next::End,
+            () = wait_until_shorter(&mut self.longest_wait, longest) => return Next::Watch,
+            () = self.updates.closed() => return Next::End,
         };
         match answer {
             Ok(Watched::Changes(changes, at)) => {
                 self.note_answer();
                 self.at = at;
-                let next = self.take_changes(changes, asked, wait).await;
+                let next = self.handle_changes(changes, requested, wait).await;
                 if next.is_none() {
                     time::sleep_until(sent + PAUSE).await;
                 }
@@ -253,49 +255,50 @@
                 tracing::info!(
                     prefix = self.prefix,
                     at = self.at,
-                    "history is gone; listing again"
+                    "watch history was compacted; listing again"
                 );
                 self.due = sent + PAUSE;
                 Next::List
             }
             Err(failure) => {
-                // A call that waited in vain was pause enough; one that was refused was not.
+                // A call that timed out was pause enough, but one that was refused was not.
                 self.due = sent + PAUSE;
                 self.note_failure(&failure)
             }
         }
     }
 
-    /// Tells what a watch that was sent at `sent` has answered, and as of when it is whole.
+    /// Sends the update of a watch that was sent at `requested`, with the time up to which it is
+    /// complete.
     ///
-    /// With a change it was answered at once, some time after it was sent. Without one the
-    /// store has no reason to answer but the end of the wait, which began after the watch
-    /// was sent: the answer proves the end of the wait, however late it comes. A watch that
-    /// waits may be cut, however; an answer without a change from before the end of its
-    /// wait may have been on its way ever since, and proves no more than that it was sent;
-    /// the result is nothing then.
-    async fn take_changes(
+    /// An answer with changes comes at once, some time after the watch was sent. Without changes
+    /// the store answers only at the end of the wait, which began after the watch was sent: such an
+    /// answer proves completeness until the end of the wait, however late it arrives. But a waiting
+    /// watch may be cut short: an answer without changes from before the end of its wait may have
+    /// been under way since it was sent, and proves completeness only until then; the result is
+    /// `None` in this case.
+    async fn handle_changes(
         &mut self,
         changes: Vec<Change>,
-        asked: Moment,
+        requested: Moment,
         wait: Duration,
     ) -> Option<Next> {
-        let (now, end) = (Moment::now(), asked.plus(wait));
-        let whole = changes.is_empty() && now.plus(ROUNDING) >= end;
-        let cut = changes.is_empty() && !whole;
-        if whole {
+        let (now, end) = (Moment::now(), requested.plus(wait));
+        let complete = changes.is_empty() && now.plus(ROUNDING_TOLERANCE) >= end;
+        let cut_short = changes.is_empty() && !complete;
+        if complete {
             self.tempo.note_watch(now.since(end));
         }
-        let as_of = if whole { now.min(end) } else { asked };
+        let as_of = if complete { now.min(end) } else { requested };
         self.as_of = as_of;
         let next = self
-            .tell(StoreUpdate::Changes { changes, as_of }, Next::Watch)
+            .send_update(StoreUpdate::Changes { changes, as_of }, Next::Watch)
             .await;
-        (!cut || matches!(next, Next::End)).then_some(next)
+        (!cut_short || matches!(next, Next::End)).then_some(next)
     }
 
-    async fn tell(&mut self, seen: StoreUpdate, next: Next) -> Next {
-        match self.seen.send(seen).await {
+    async fn send_update(&mut self, update: StoreUpdate, next: Next) -> Next {
+        match self.updates.send(update).await {
             Ok(()) => next,
             Err(_) => Next::End,
         }
@@ -308,36 +311,36 @@
         self.failing = false;
     }
 
-    /// After a call that failed: entries may have lapsed or come back unseen, so all are
+    /// Handles a failed call: entries may have expired or reappeared unnoticed, so all items are
     /// listed again.
     fn note_failure(&mut self, failure: &Failure) -> Next {
         if !self.failing {
             let age = self.as_of.elapsed().as_millis();
-            tracing::info!(prefix = self.prefix, %failure, age_ms = age, "not followed; listing again");
+            tracing::info!(prefix = self.prefix, %failure, age_ms = age, "watch or list failed; listing again");
         }
         self.failing = true;
         Next::List
     }
 }
 
-/// Until the wait of one watch is to be shorter than `longest`.
-async fn wait_shorter(patience: &mut watch::Receiver<Duration>, longest: Duration) {
-    let gone = patience.wait_for(|wait| *wait < longest).await.is_err();
+/// Waits until the wait of one watch is to be shorter than `longest`.
+async fn wait_until_shorter(longest_wait: &mut watch::Receiver<Duration>, longest: Duration) {
+    let gone = longest_wait.wait_for(|wait| *wait < longest).await.is_err();
     if gone {
         future::pending::<()>().await;
     }
 }
 
-/// All items below a prefix.
+/// Lists all items below a prefix.
 async fn list(store: &dyn Store, prefix: &str) -> Result<List, Failure> {
     let first = store.scan(prefix, None).await?;
-    // Later pages may be newer; watching from the first misses nothing.
+    // Later pages may be newer; watching from the revision of the first misses nothing.
     let at = first.at;
     let mut items = first.items;
     let mut more = first.more;
     let mut pages = 1;
     while more {
-        // Pages are in the order of keys.
+        // Pages are in key order.
         let Some(last) = items.last().map(|item| item.key.clone()) else {
             break;
         };
@@ -346,7 +349,8 @@
         pages += 1;
         items.extend(page.items);
     }
-    // As a watch would have told it: of two lives of one worker the newer comes last.
+    // The order in which a watch would have reported them: of two incarnations of one worker, the
+    // newer comes last.
     items.sort_by_key(|item| item.revision);
     Ok(List { items, at, pages })
 }
--- a/ashtiller/src/workflow/kv.rs
+++ b/ashtiller/src/workflow/kv.rs
@@ -1,4 +1,4 @@
-//! The key-value service that keeps what must last, as the workflow uses it.
+//! Interface of the key-value store that holds the persistent state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,80 +10,81 @@
 /// A stored value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Item {
-    /// Key.
+    /// Key of the value.
     pub key: Arc<str>,
-    /// Value.
+    /// Stored bytes.
     pub value: Bytes,
-    /// Revision of its last change.
+    /// Revision of the last change.
     pub revision: u64,
 }
 
-/// Some items below a prefix.
+/// One page of the items below a prefix.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Page {
     /// Items in key order.
     pub items: Vec<Item>,
-    /// Whether there are more behind the last one.
+    /// Whether more items follow the last one.
     pub more: bool,
-    /// Revision of the store at the read.
+    /// Revision of the store at the time of the read.
     pub at: u64,
 }
 
-/// What became of one key.
+/// Change of one key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// It was written.
+    /// The key was written.
     Put(Item),
-    /// It is gone.
+    /// The key no longer exists.
     Gone(Arc<str>),
 }
 
-/// The answer of a watch.
+/// Reply to a watch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Watched {
-    /// Changes in order, and the revision to watch on from.
+    /// Changes in order, and the revision to continue the watch from.
     Changes(Vec<Change>, u64),
-    /// The history since the asked revision is not kept; list again.
+    /// The history since the requested revision was compacted; the items have to be listed again.
     Compacted,
 }
 
-/// Writes that happen all or not at all.
+/// An atomic set of writes.
 #[derive(Clone, Debug, Default)]
 pub struct Txn {
-    /// Keys and the revisions that they must have; 0 for an absent key.
+    /// Keys with the revisions that they must have; 0 for an absent key.
     pub expect: Vec<(String, u64)>,
     /// Keys to write.
     pub put: Vec<(String, Bytes)>,
-    /// Keys to remove.
+    /// Keys to delete.
     pub remove: Vec<String>,
 }
 
-/// What became of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Committed {
-    /// All of it happened, at this revision.
+    /// Committed at this revision.
     Done(u64),
-    /// None of it happened; the expected keys as they are.
+    /// Nothing was written; holds the current items of the expected keys.
     Conflict(Vec<Item>),
 }
 
-/// The key-value service.
+/// Client of the key-value store.
 pub trait Store: Send + Sync {
-    /// Reads one key; a stale read is cheap and may be seconds old.
+    /// Reads one key; a stale read is cheap and may return data that is seconds old.
     fn get<'a>(&'a self, key: &'a str, stale: bool) -> Called<'a, Option<Item>>;
 
-    /// Reads the items below a prefix, behind the key `after` if there is one.
+    /// Reads the items below a prefix, starting after the key `after` if there is one.
     fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page>;
 
-    /// The same for a log that is replayed: a page must come, however thin the link is.
+    /// Reads a page like [`Store::scan`] for the replay of a log, where a page must arrive even
+    /// over a slow link.
     fn fetch<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
         self.scan(prefix, after)
     }
 
-    /// Waits for a change below a prefix after revision `at`, at most `wait`.
+    /// Waits for a change below a prefix after revision `at`, at most for `wait`.
     fn watch<'a>(&'a self, prefix: &'a str, at: u64, wait: Duration) -> Called<'a, Watched>;
 
-    /// Makes all writes or none. A failure with unknown effect may still be carried
-    /// out as long as its expectations hold.
+    /// Commits a transaction. After a failure with unknown effect it may still be applied later, as
+    /// long as the expected revisions hold.
     fn commit<'a>(&'a self, txn: &'a Txn) -> Called<'a, Committed>;
 }
--- a/ashtiller/src/workflow/link.rs
+++ b/ashtiller/src/workflow/link.rs
@@ -1,4 +1,4 @@
-//! Connections between entry instances, and answers on them, over `capnp-rpc`.
+//! Connections between entry instances over `capnp-rpc`, and the server for their requests.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,12 +25,12 @@
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A stream of bytes to another instance and back.
+/// A byte stream to another instance.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Stream for S {}
 
-/// Opens connections.
+/// Opens connections to other instances.
 pub trait Dial {
     /// Connects to the instance at `address`.
     fn dial(&self, address: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>>;
@@ -49,17 +49,17 @@
     }
 }
 
-/// Answers questions of other instances.
+/// Handler of requests from other instances.
 pub trait RequestHandler {
-    /// Answers one question.
+    /// Handles one request.
     fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply>;
 }
 
-struct Hosted<A> {
-    answers: Rc<A>,
+struct EntryServer<A> {
+    handler: Rc<A>,
 }
 
-impl<A: RequestHandler + 'static> entry::Server for Hosted<A> {
+impl<A: RequestHandler + 'static> entry::Server for EntryServer<A> {
     async fn ask(
         self: Rc<Self>,
         params: entry::AskParams,
@@ -67,50 +67,50 @@
     ) -> Result<(), capnp::Error> {
         let request = params.get()?.get_request()?;
         let ask: PeerRequest = postcard::from_bytes(request)
-            .map_err(|error| capnp::Error::failed(format!("decode question: {error}")))?;
+            .map_err(|error| capnp::Error::failed(format!("decode request: {error}")))?;
         let kind = ask.kind();
         traffic::note(kind, Way::Received, request.len());
-        let reply = self.answers.clone().answer(ask).await;
+        let reply = self.handler.clone().answer(ask).await;
         let bytes = postcard::to_stdvec(&reply)
-            .map_err(|error| capnp::Error::failed(format!("encode answer: {error}")))?;
+            .map_err(|error| capnp::Error::failed(format!("encode reply: {error}")))?;
         traffic::note(kind, Way::Sent, bytes.len());
         results.get().set_reply(&bytes);
         Ok(())
     }
 }
 
-/// Answers other instances on `listener` until the task is dropped.
-pub async fn serve<A: RequestHandler + 'static>(listener: TcpListener, answers: Rc<A>) {
+/// Serves requests of other instances on `listener` until the task is dropped.
+pub async fn serve<A: RequestHandler + 'static>(listener: TcpListener, handler: Rc<A>) {
     let bytes = Arc::new(meter::Bytes::default());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors, most likely; those in use will be given back.
+            // Most likely the process is out of file descriptors; some will be closed again.
             time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
         prepare(&stream);
-        host(stream, answers.clone(), &bytes);
+        host(stream, handler.clone(), &bytes);
     }
 }
 
-/// Answers another instance on one connection.
+/// Serves requests of another instance on one connection.
 pub fn host<A: RequestHandler + 'static>(
     stream: impl Stream + 'static,
-    answers: Rc<A>,
+    handler: Rc<A>,
     bytes: &Arc<meter::Bytes>,
 ) {
-    let client: entry::Client = capnp_rpc::new_client(Hosted { answers });
+    let client: entry::Client = capnp_rpc::new_client(EntryServer { handler });
     let (reader, writer) = io::split(stream);
     let network = calls::network_over(reader, writer, Side::Server, bytes);
     task::spawn_local(RpcSystem::new(Box::new(network), Some(client.client)));
 }
 
 fn prepare(stream: &TcpStream) {
-    // A delayed small message would cost more than the saved packet.
+    // Delaying small messages would cost more than the saved packets.
     if let Err(error) = stream.set_nodelay(true) {
-        tracing::debug!(%error, "small messages may be delayed");
+        tracing::debug!(%error, "TCP_NODELAY not set; small messages may be delayed");
     }
     if let Err(error) = SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT)) {
-        tracing::debug!(%error, "no limit on unacknowledged bytes");
+        tracing::debug!(%error, "TCP_USER_TIMEOUT not set; no limit on unacknowledged bytes");
     }
 }
--- a/ashtiller/src/workflow/machines.rs
+++ b/ashtiller/src/workflow/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's machines, whose lives are workers.
+//! Interface to the platform's machines, on which workers run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,76 +7,76 @@
 
 use crate::store::Called;
 
-/// What a machine does.
+/// Availability of a machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
     /// It can run a worker.
     Up,
-    /// It is on its way to another pool, has its upkeep, or is down.
+    /// It is moving to another pool, in maintenance, or down.
     Away,
 }
 
-/// A machine.
+/// A machine of the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Machine {
-    /// Name.
+    /// Name of the machine.
     pub name: Arc<str>,
-    /// Service whose pool it is in.
+    /// Service whose pool it belongs to.
     pub pool: Arc<str>,
-    /// What it does.
+    /// Its availability.
     pub phase: Phase,
 }
 
-/// A planned upkeep of some machines.
+/// A planned maintenance of several machines.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Wave {
-    /// Number.
+    /// Number of the wave.
     pub number: u64,
-    /// Machines.
+    /// Names of the machines.
     pub machines: Vec<Arc<str>>,
-    /// Time for all of them.
+    /// Time allowed for all of them.
     pub duration: Duration,
-    /// Machines that may be away at once.
+    /// Largest number of machines that may be unavailable at once.
     pub most: u32,
 }
 
-/// An order to a machine; all that runs there dies.
+/// An order to a machine; it ends everything that runs there.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MachineOrder {
-    /// Upkeep as part of this wave.
+    /// Maintenance as part of this wave.
     Upkeep(u64),
-    /// A move to this pool.
+    /// Move to this pool.
     Move(Arc<str>),
 }
 
-/// What became of an order to a machine.
+/// Reply to an order to a machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Done {
-    /// It is carried out, or was before.
+    /// The order is carried out, or was before.
     Yes,
-    /// The machine is not up; later.
+    /// The machine is not up; the order may be retried later.
     Busy,
-    /// A later holder has given it orders.
+    /// A holder with a higher fencing token has given the machine orders.
     Fenced,
-    /// There is no such machine, or it does not take this order.
+    /// There is no such machine, or it does not accept this order.
     Never,
 }
 
-/// Who gives orders: the instance and its fence.
+/// Issuer of orders, identified by instance and fencing token.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Holder {
     /// Name of the instance.
     pub name: Arc<str>,
-    /// Fence.
+    /// Fencing token.
     pub fence: u64,
 }
 
-/// Calls about machines.
+/// Client of the platform's machine interface.
 pub trait Machines: Send + Sync {
-    /// All machines.
+    /// Lists all machines.
     fn list(&self) -> Called<'_, Vec<Machine>>;
 
-    /// Gives an order to a machine.
+    /// Sends an order to a machine.
     fn order<'a>(
         &'a self,
         holder: &'a Holder,
--- a/ashtiller/src/workflow/metrics.rs
+++ b/ashtiller/src/workflow/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of an entry instance.
+//! Prometheus metrics of an entry instance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use crate::workflow::message::Reply;
 use crate::workflow::traffic;
 
-/// Bounds of the histograms in seconds: from a call within a zone to a client's wait.
+/// Bucket bounds of the histograms in seconds: from a call within a zone to the wait of a client.
 const BOUNDS: [f64; 12] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
-/// Counters and histograms of one process.
+/// Metrics of one process.
 pub struct Metrics {
     registry: Registry,
     calls: HistogramVec,
@@ -37,7 +37,7 @@
     workers: IntGaugeVec,
     pressure: GaugeVec,
     silent: IntCounter,
-    unread: IntCounter,
+    unreadable: IntCounter,
 }
 
 fn opts(name: &str, help: &str) -> Opts {
@@ -51,10 +51,10 @@
 }
 
 impl Metrics {
-    /// Metrics in a registry of their own.
+    /// Creates the metrics in a registry of their own.
     ///
     /// # Errors
-    /// Two of them have one name.
+    /// Fails if two metrics have the same name.
     pub fn open() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let metrics = Self {
@@ -112,7 +112,7 @@
                 "silent_links",
                 "connections to peers that went silent while new ones worked",
             ))?,
-            unread: IntCounter::with_opts(opts(
+            unreadable: IntCounter::with_opts(opts(
                 "unreadable_entries",
                 "entries of workers in the store that cannot be read",
             ))?,
@@ -120,7 +120,7 @@
         };
         let [messages, bytes] = traffic::counters();
         let all: Vec<Box<dyn prometheus::core::Collector>> = vec![
-            Box::new(metrics.unread.clone()),
+            Box::new(metrics.unreadable.clone()),
             Box::new(metrics.calls.clone()),
             Box::new(metrics.answers.clone()),
             Box::new(metrics.orders.clone()),
@@ -143,19 +143,19 @@
         Ok(metrics)
     }
 
-    /// The registry, for operators.
+    /// Returns the registry, for the operators' endpoint.
     #[must_use]
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Counter of connections to peers that went silent while new ones worked.
+    /// Returns the counter of peer connections that stopped answering while new ones worked.
     #[must_use]
     pub fn silent_links(&self) -> IntCounter {
         self.silent.clone()
     }
 
-    /// A client's call was answered.
+    /// Records the reply to a client's call.
     pub fn note_call(&self, call: &str, reply: &Reply, took: Duration) {
         let answer = match reply {
             Reply::Accepted => "accepted",
@@ -171,24 +171,24 @@
         self.answers.with_label_values(&[call, answer]).inc();
     }
 
-    /// A worker answered, or did not in time.
+    /// Records the time of a worker's answer, or of the timeout.
     pub fn note_order(&self, order: &str, took: Duration) {
         self.orders
             .with_label_values(&[order])
             .observe(took.as_secs_f64());
     }
 
-    /// An entry became durable.
+    /// Records the time in which a log entry became durable.
     pub fn note_commit(&self, took: Duration) {
         self.commits.observe(took.as_secs_f64());
     }
 
-    /// This process took over the log.
+    /// Records the time from gaining ownership of the log to the end of its replay.
     pub fn note_takeover(&self, took: Duration) {
         self.takeovers.observe(took.as_secs_f64());
     }
 
-    /// A job has ended, and its time went there.
+    /// Records where the time of an ended job went.
     pub fn note_times(&self, times: &TimeBreakdown) {
         let parts = [
             ("room", times.waiting),
@@ -203,7 +203,7 @@
         }
     }
 
-    /// What waits for workers, and which workers may get it, as the owner sees them.
+    /// Sets the gauges of waiting tasks and of workers by whether they may get runs.
     pub fn note_waits(&self, waits: &[(&str, WaitSummary)], gates: &BTreeMap<Eligibility, u32>) {
         for (kind, waits) in waits {
             let tasks = self.waiting.with_label_values(&[*kind]);
@@ -218,22 +218,22 @@
         }
     }
 
-    /// How much the owner has under way, and what goes over relays.
+    /// Sets the gauges of orders in flight and of relayed calls.
     #[expect(clippy::cast_precision_loss, reason = "counts for a gauge")]
-    pub fn note_pressure(&self, pressure: &Congestion, relays: usize, carried: u64) {
+    pub fn note_pressure(&self, pressure: &Congestion, relays: usize, relayed: u64) {
         let figures = [
             ("window", pressure.window()),
             ("under_way", pressure.under_way() as f64),
             ("usual_seconds", pressure.usual().as_secs_f64()),
             ("relays", relays as f64),
-            ("relayed_calls", carried as f64),
+            ("relayed_calls", relayed as f64),
         ];
         for (what, figure) in figures {
             self.pressure.with_label_values(&[what]).set(figure);
         }
     }
 
-    /// This process does not own the log any more.
+    /// Resets the gauges that only the owner of the log sets.
     pub fn forget_waits(&self) {
         self.waiting.reset();
         self.waited.reset();
@@ -241,12 +241,13 @@
         self.pressure.reset();
     }
 
-    /// Counts an entry that cannot be read.
+    /// Counts an entry of a worker that cannot be decoded.
     pub fn note_unread(&self) {
-        self.unread.inc();
+        self.unreadable.inc();
     }
 
-    /// Counts of the state machine, which only rise while this process owns the log.
+    /// Adds the difference of two counter states of the state machine; the counters only increase
+    /// while this process owns the log.
     pub fn note_counts(&self, before: &Counts, now: &Counts) {
         let changes = [
             ("accepted", now.accepted - before.accepted),
--- a/ashtiller/src/workflow/mod.rs
+++ b/ashtiller/src/workflow/mod.rs
@@ -1,13 +1,14 @@
 //! Jobs of dependent steps, run on workers by whichever entry instance owns the log.
 //!
-//! - what there is: [`job`], [`fact`], [`config`], [`evacuations`], [`terms`];
-//! - what is decided: [`book`] replays facts into [`state`], [`core`] decides, [`worker`], [`life`],
-//!   [`lease`] and [`live`] are its view of the fleet, [`blame`] judges crashes of workers;
-//! - what is carried out: [`log`] writes, [`owner`] runs the state machine,
-//!   [`membership`] says which instances there are and which one owns, [`node`] is the process,
-//!   [`peers`] asks others over [`link`];
-//! - the borders: [`kv`], [`agents`] and [`advisor`] are traits, [`follow`] reads changes as
-//!   fast as [`tempo`] allows.
+//! - Data: [`job`], [`record`], [`config`], [`evacuations`] and [`tuning`].
+//! - Decisions: [`log_state`] applies records to [`state`] and [`core`] decides. [`worker`],
+//!   [`incarnation`], [`lease`] and [`live_run`] are its view of the workers, and [`blame`]
+//!   attributes worker crashes to tasks.
+//! - Execution: [`log`] writes entries and [`owner`] runs the state machine. [`membership`] tracks
+//!   the instances and elects the owner, [`node`] is the process, and [`peers`] sends requests to
+//!   other instances over [`link`].
+//! - Interfaces: [`kv`], [`agents`] and [`advisor`] are traits. [`follow`] watches the store, at
+//!   intervals set by [`store_latency`].
 
 pub mod advisor;
 pub mod agents;
--- a/ashtiller/src/workflow/peers.rs
+++ b/ashtiller/src/workflow/peers.rs
@@ -1,4 +1,4 @@
-//! Questions to other entry instances. A connection may go silent for good while new
+//! Client for requests to other entry instances. A connection may stop answering for good while new
 //! ones work, so one that is silent for a while is compared with a new one.
 
 use std::cell::{Cell, RefCell};
@@ -25,63 +25,64 @@
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::traffic::{self, Way};
 
-/// Time for connecting to another instance: a few times the way to another zone.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Silence after which a connection with a call under way is compared with a new one:
-/// above the slowest way to another zone and back, so that calls seldom pay for it.
-const DOUBT: Duration = Duration::from_millis(250);
-/// Time for a new connection and an answer on it: with [`DOUBT`] it is over before a
-/// heartbeat is, whose limit is 700 ms.
-const CHECK: Duration = Duration::from_millis(430);
+/// Timeout for connecting to another instance: a few times the delay to another zone.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Silence after which a connection with a call in flight is compared with a new one: above the
+/// slowest round trip to another zone, so that calls are seldom affected.
+const SILENCE_LIMIT: Duration = Duration::from_millis(250);
+/// Timeout for opening a new connection and an answer on it. Together with [`SILENCE_LIMIT`] it
+/// stays below the timeout of a heartbeat, which is 700 ms.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(430);
 
 /// One connection to another instance.
-struct Link {
+struct Connection {
     client: entry::Client,
     address: SocketAddr,
-    heard: Cell<Instant>,
-    checked: Cell<bool>,
+    last_answer: Cell<Instant>,
+    checking: Cell<bool>,
     silent: CancellationToken,
     driver: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
-        // A silent peer never ends it.
+        // A silent peer never ends the task.
         self.driver.abort();
     }
 }
 
-impl Link {
+impl Connection {
     async fn ask(&self, ask: &PeerRequest) -> Result<Reply, capnp::Error> {
         let bytes = postcard::to_stdvec(ask)
-            .map_err(|error| capnp::Error::failed(format!("encode question: {error}")))?;
+            .map_err(|error| capnp::Error::failed(format!("encode request: {error}")))?;
         let mut request = self.client.ask_request();
         request.get().set_request(&bytes);
         traffic::note(ask.kind(), Way::Sent, bytes.len());
         let response = request.send().promise.await?;
-        self.heard.set(Instant::now());
+        self.last_answer.set(Instant::now());
         let bytes = response.get()?.get_reply()?;
         traffic::note(ask.kind(), Way::Received, bytes.len());
         postcard::from_bytes(bytes)
-            .map_err(|error| capnp::Error::failed(format!("decode answer: {error}")))
+            .map_err(|error| capnp::Error::failed(format!("decode reply: {error}")))
     }
 
-    /// Since when a call that was sent then has heard nothing on it.
-    fn quiet_since(&self, sent: Instant) -> Instant {
-        sent.max(self.heard.get())
+    /// Returns the time since which a call sent at `sent` has seen no answer on this connection.
+    fn silent_since(&self, sent: Instant) -> Instant {
+        sent.max(self.last_answer.get())
     }
 }
 
 /// Connections to other instances.
 pub struct PeerConnections {
     dial: Rc<dyn Dial>,
-    open: RefCell<HashMap<SocketAddr, Rc<Link>>>,
+    open: RefCell<HashMap<SocketAddr, Rc<Connection>>>,
     bytes: Arc<meter::Bytes>,
     silent: IntCounter,
 }
 
 impl PeerConnections {
-    /// No connections yet; `dial` opens them, `silent` counts those that went silent.
+    /// Creates an empty set of connections; `dial` opens them, `silent` counts those that stopped
+    /// answering.
     #[must_use]
     pub fn over(dial: Rc<dyn Dial>, silent: IntCounter) -> Rc<Self> {
         Rc::new(Self {
@@ -92,22 +93,22 @@
         })
     }
 
-    /// Milliseconds since the last answer of each peer on its connection.
+    /// Returns the milliseconds since the last answer of each peer on its connection.
     #[must_use]
     pub fn ages(&self) -> BTreeMap<String, u64> {
         let open = self.open.borrow();
         let ages = open.iter().map(|(address, link)| {
-            let age = link.heard.get().elapsed().as_millis();
+            let age = link.last_answer.get().elapsed().as_millis();
             (address.to_string(), u64::try_from(age).unwrap_or(u64::MAX))
         });
         ages.collect()
     }
 
-    /// Asks the instance at `address`, which may take `limit` to answer.
+    /// Sends a request to the instance at `address`, which may take `limit` to answer.
     ///
     /// # Errors
-    /// No connection (no effect), or no answer in time or on a connection that went
-    /// silent (unknown effect).
+    /// Fails without effect if there is no connection, and with unknown effect if there is no
+    /// answer in time or the connection stopped answering.
     pub async fn ask(
         self: &Rc<Self>,
         step: &'static str,
@@ -122,71 +123,78 @@
             answer = time::timeout(limit, link.ask(ask)) => match answer {
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(error)) => error.to_string(),
-                // What else was heard since says that the connection lives.
-                Err(_) if link.heard.get() >= sent => {
+                // Another answer since then shows that the connection works.
+                Err(_) if link.last_answer.get() >= sent => {
                     return Err(Failure::unknown_effect(step, address, "no answer in time"));
                 }
                 Err(_) => "no answer in time".to_owned(),
             },
             () = link.silent.cancelled() => "the connection is silent".to_owned(),
-            never = self.doubt(step, &link, sent) => match never {},
+            never = self.watch_silence(step, &link, sent) => match never {},
         };
         self.forget(&link);
         Err(Failure::unknown_effect(step, address, cause))
     }
 
-    /// Has the connection checked whenever it is silent for long.
-    async fn doubt(
+    /// Starts a check of the connection whenever it is silent for [`SILENCE_LIMIT`].
+    async fn watch_silence(
         self: &Rc<Self>,
         step: &'static str,
-        link: &Rc<Link>,
+        link: &Rc<Connection>,
         sent: Instant,
     ) -> Infallible {
         loop {
-            let since = link.quiet_since(sent);
-            time::sleep_until(since + DOUBT).await;
-            if link.quiet_since(sent) > since {
+            let since = link.silent_since(sent);
+            time::sleep_until(since + SILENCE_LIMIT).await;
+            if link.silent_since(sent) > since {
                 continue;
             }
-            if !link.checked.replace(true) {
+            if !link.checking.replace(true) {
                 task::spawn_local(self.clone().check(step, link.clone()));
             }
-            time::sleep(DOUBT).await;
+            time::sleep(SILENCE_LIMIT).await;
         }
     }
 
-    /// Asks the same on the connection and, a little later, on a new one. Who answers on
-    /// the new one only is not silent, the connection is: all its calls end.
-    async fn check(self: Rc<Self>, step: &'static str, link: Rc<Link>) {
-        let fresh = async {
-            let fresh = self.open(step, link.address).await.ok()?;
-            fresh.ask(&PeerRequest::Lead).await.ok()?;
-            Some(fresh)
+    /// Sends the same request on the connection and, slightly later, on a new one. If only the new
+    /// one is answered, the peer works and the old connection does not: all calls on it are ended.
+    async fn check(self: Rc<Self>, step: &'static str, link: Rc<Connection>) {
+        let replacement = async {
+            let replacement = self.open(step, link.address).await.ok()?;
+            replacement.ask(&PeerRequest::Lead).await.ok()?;
+            Some(replacement)
         };
         tokio::select! {
             biased;
-            // It lives, or is broken, which its calls hear without us.
+            // The connection works, or it is broken, which its calls notice themselves.
             _ = link.ask(&PeerRequest::Lead) => {}
-            answered = time::timeout(CHECK, fresh) => {
-                if let Ok(Some(fresh)) = answered {
-                    self.replace(step, &link, fresh);
+            answered = time::timeout(CHECK_TIMEOUT, replacement) => {
+                if let Ok(Some(replacement)) = answered {
+                    self.replace(step, &link, replacement);
                 }
             }
         }
-        link.checked.set(false);
+        link.checking.set(false);
     }
 
-    fn replace(&self, step: &'static str, link: &Rc<Link>, fresh: Rc<Link>) {
+    fn replace(&self, step: &'static str, link: &Rc<Connection>, replacement: Rc<Connection>) {
         tracing::info!(peer = %link.address, step,
-            silent_ms = link.heard.get().elapsed().as_millis(),
-            "connection is silent, a new one is not; its calls are asked again");
+            silent_ms = link.last_answer.get().elapsed().as_millis(),
+            "connection stopped answering but a new one works; its calls fail and may be repeated");
         self.silent.inc();
         self.forget(link);
-        self.open.borrow_mut().entry(link.address).or_insert(fresh);
+        self.open
+            .borrow_mut()
+            .entry(link.address)
+            .or_insert(replacement);
         link.silent.cancel();
     }
 
-    async fn connect(&self, step: &'static str, address: SocketAddr) -> Result<Rc<Link>, Failure> {
+    async fn connect(
+        &self,
+        step: &'static str,
+        address: SocketAddr,
+    ) -> Result<Rc<Connection>, Failure> {
         if let Some(link) = self.open.borrow().get(&address) {
             return Ok(link.clone());
         }
@@ -195,8 +203,12 @@
         Ok(link)
     }
 
-    async fn open(&self, step: &'static str, address: SocketAddr) -> Result<Rc<Link>, Failure> {
-        let stream = time::timeout(CONNECT, self.dial.dial(address))
+    async fn open(
+        &self,
+        step: &'static str,
+        address: SocketAddr,
+    ) -> Result<Rc<Connection>, Failure> {
+        let stream = time::timeout(CONNECT_TIMEOUT, self.dial.dial(address))
             .await
             .map_err(|_| Failure::no_effect(step, address, "no connection in time"))?
             .map_err(|error| Failure::no_effect(step, address, error))?;
@@ -204,17 +216,17 @@
         let network = calls::network_over(reader, writer, Side::Client, &self.bytes);
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: entry::Client = system.bootstrap(Side::Server);
-        Ok(Rc::new(Link {
+        Ok(Rc::new(Connection {
             client,
             address,
-            heard: Cell::new(Instant::now()),
-            checked: Cell::new(false),
+            last_answer: Cell::new(Instant::now()),
+            checking: Cell::new(false),
             silent: CancellationToken::new(),
             driver: task::spawn_local(system).abort_handle(),
         }))
     }
 
-    fn forget(&self, link: &Rc<Link>) {
+    fn forget(&self, link: &Rc<Connection>) {
         let mut open = self.open.borrow_mut();
         if open
             .get(&link.address)
--- a/ashtiller/src/workflow/settings.rs
+++ b/ashtiller/src/workflow/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry instance, read from an INI file.
+//! Settings of an entry instance, read from an INI file.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,72 +13,73 @@
 
 /// Sections of a settings file.
 const SECTIONS: [&str; 5] = ["instance", "entry", "platform", "workers", "policy"];
-const MS: Duration = Duration::from_millis(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_mins(1);
 const HOUR: Duration = Duration::from_hours(1);
-/// Least time for which workers go on after they were told to leave. Half of it goes to the
-/// wait of a watch on workers; a start that is ordered then has to arrive in the other half.
+/// Smallest allowed `drain`: the time for which workers continue after they were told to leave.
+/// Half of it is used by the wait of a watch on workers; a start ordered afterwards has to arrive
+/// within the other half.
 const DRAIN_MIN: Duration = ORDER_TIMEOUT_MIN.saturating_mul(2);
-/// Least time within which an evacuated zone may get its last start. A start may be under way
-/// for [`START_MAX`]; the rest is for the age of what is known of evacuations.
+/// Smallest allowed `evacuation`: the time within which an evacuated zone may get its last start. A
+/// start may be in flight for [`START_MAX`]; the rest covers the age of the known evacuations.
 const EVACUATION_MIN: Duration = START_MAX.saturating_add(Duration::from_millis(200));
 
-/// Where an entry instance listens, and whom it knows.
+/// Listeners of an entry instance, and the peers that it knows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Where clients connect.
+    /// Listener for clients.
     pub clients: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Listener for readiness checks of the load balancer.
     pub readiness: SocketAddr,
-    /// Where other entry instances connect.
+    /// Listener for other entry instances.
     pub peers: SocketAddr,
-    /// Where metrics and the state dump are served.
+    /// Listener for metrics and the state dump.
     pub operators: SocketAddr,
-    /// Ports of other entry instances that may be up.
+    /// Addresses of other entry instances that may be up.
     pub seeds: Vec<SocketAddr>,
-    /// Processors that it has, in thousandths; bigger instances own first.
+    /// Processors of the instance, in thousandths; larger instances are preferred as owner.
     pub processors: u64,
     /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
 }
 
-/// How to reach the platform.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// Key-value service.
+    /// Key-value store.
     pub store: SocketAddr,
     /// Advisor on workers, if there is one.
     pub advisor: Option<SocketAddr>,
-    /// Interface to machines, if there is one.
+    /// Machine interface, if there is one.
     pub machines: Option<SocketAddr>,
 }
 
 /// Settings of one entry instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who and where this process is.
+    /// Identity and location of this process.
     pub instance: Instance,
-    /// Where it listens.
+    /// Listeners and peers.
     pub entry: Entry,
-    /// How to reach the platform.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// Times and limits towards workers.
+    /// Parameters of the log owner.
     pub tuning: Tuning,
 }
 
 impl Settings {
-    /// Reads settings from the text of an INI file; `file` is shown in mistakes.
+    /// Parses settings from the text of an INI file; `file` names it in error messages.
     ///
     /// # Errors
-    /// Every mistake in the file at once.
+    /// Reports every mistake in the file at once.
     pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
         let mut document = Document::parse(file, text)?;
         let read = Self {
             instance: settings::read_instance(&mut document),
             entry: read_entry(&mut document),
             platform: read_platform(&mut document),
-            tuning: read_terms(&mut document),
+            tuning: read_tuning(&mut document),
         };
         document.finish(&SECTIONS)?;
         Ok(read)
@@ -129,24 +130,24 @@
     }
 }
 
-fn read_terms(document: &mut Document) -> Tuning {
+fn read_tuning(document: &mut Document) -> Tuning {
     let mut section = document.section("workers");
     let defaults = Tuning::default();
-    let longest = section.duration("lease", Some(defaults.hold), SECOND..=10 * MINUTE);
+    let max_lease = section.duration("lease", Some(defaults.hold), SECOND..=10 * MINUTE);
     Tuning {
-        lease: longest.min(LEASE_MAX),
-        hold: longest,
+        lease: max_lease.min(LEASE_MAX),
+        hold: max_lease,
         horizon: section.duration("horizon", Some(defaults.horizon), SECOND..=HOUR),
-        wait: section.duration("wait", Some(defaults.wait), 10 * MS..=MINUTE),
-        watch: section.duration("watch", Some(defaults.watch), 10 * MS..=MINUTE),
-        pause: section.duration("pause", Some(defaults.pause), MS..=MINUTE),
-        commit: section.duration("commit", Some(defaults.commit), MS..=10 * SECOND),
-        retry: section.duration("retry", Some(defaults.retry), MS..=MINUTE),
+        wait: section.duration("wait", Some(defaults.wait), 10 * MILLISECOND..=MINUTE),
+        watch: section.duration("watch", Some(defaults.watch), 10 * MILLISECOND..=MINUTE),
+        pause: section.duration("pause", Some(defaults.pause), MILLISECOND..=MINUTE),
+        commit: section.duration("commit", Some(defaults.commit), MILLISECOND..=10 * SECOND),
+        retry: section.duration("retry", Some(defaults.retry), MILLISECOND..=MINUTE),
         keep: section.duration("keep", Some(defaults.keep), SECOND..=24 * HOUR),
         far: f64::from(section.count("far_percent", Some(200), 100..=10_000)) / 100.0,
         drain: section.duration("drain", Some(defaults.drain), DRAIN_MIN..=MINUTE),
         evacuation: section.optional_duration("evacuation", EVACUATION_MIN..=MINUTE),
-        turn: section.duration("turn", Some(defaults.turn), 10 * MS..=HOUR),
+        turn: section.duration("turn", Some(defaults.turn), 10 * MILLISECOND..=HOUR),
         switches: read_switches(document),
         ..defaults
     }
@@ -154,16 +155,16 @@
 
 fn read_switches(document: &mut Document) -> Switches {
     let mut section = document.section("policy");
-    let on = Switches::default();
+    let defaults = Switches::default();
     Switches {
-        short_first: section.flag("short_first", Some(on.short_first)),
-        room_in_time: section.flag("room_in_time", Some(on.room_in_time)),
-        move_fills: section.flag("move_fills", Some(on.move_fills)),
-        pace_fills: section.flag("pace_fills", Some(on.pace_fills)),
-        group_images: section.flag("group_images", Some(on.group_images)),
-        bound_fills: section.flag("bound_fills", Some(on.bound_fills)),
-        keep_headroom: section.flag("keep_headroom", Some(on.keep_headroom)),
-        follow_slopes: section.flag("follow_slopes", Some(on.follow_slopes)),
-        select_workers: section.flag("select_workers", Some(on.select_workers)),
+        short_first: section.flag("short_first", Some(defaults.short_first)),
+        room_in_time: section.flag("room_in_time", Some(defaults.room_in_time)),
+        move_fills: section.flag("move_fills", Some(defaults.move_fills)),
+        pace_fills: section.flag("pace_fills", Some(defaults.pace_fills)),
+        group_images: section.flag("group_images", Some(defaults.group_images)),
+        bound_fills: section.flag("bound_fills", Some(defaults.bound_fills)),
+        keep_headroom: section.flag("keep_headroom", Some(defaults.keep_headroom)),
+        follow_slopes: section.flag("follow_slopes", Some(defaults.follow_slopes)),
+        select_workers: section.flag("select_workers", Some(defaults.select_workers)),
     }
 }
--- a/ashtiller/src/workflow/switches.rs
+++ b/ashtiller/src/workflow/switches.rs
@@ -1,30 +1,30 @@
-//! Mechanisms of the policy that an operator may switch off.
+//! Policy mechanisms that an operator may disable.
 
-/// What each does when it is on. All are on unless the settings say otherwise.
+/// Enabled policy mechanisms. All are enabled unless the settings disable them.
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is a switch of its own in the settings"
 )]
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Switches {
-    /// Short steps are placed before lasting ones of their priority.
+    /// Short steps are placed before long-running ones of the same priority.
     pub short_first: bool,
-    /// A lasting step, and the oldest one that is too late to earn, go first when others
-    /// were placed before them for too long.
+    /// A long-running step, and the oldest step that is already too late to count as on time, go
+    /// first if others were placed before them for too long.
     pub room_in_time: bool,
-    /// Runs that fill move off workers where they are slowed down.
+    /// Best-effort runs move off workers where they are throttled.
     pub move_fills: bool,
-    /// Runs that fill are slowed down for the services beside them.
+    /// Best-effort runs are throttled for the services beside them.
     pub pace_fills: bool,
     /// Services of one image share workers.
     pub group_images: bool,
-    /// Runs that fill ask for little more than the unused processors of a worker.
+    /// Best-effort runs request little more than the idle processors of a worker.
     pub bound_fills: bool,
-    /// Services keep a share of their headroom when a fill is placed beside them.
+    /// Services keep a share of their headroom when a best-effort run is placed beside them.
     pub keep_headroom: bool,
-    /// Paces follow where the load of a service goes.
+    /// Paces follow the trend of a service's load.
     pub follow_slopes: bool,
-    /// Steps that fill are at first placed beside services with much headroom only.
+    /// Best-effort steps are at first placed only beside services with much headroom.
     pub select_workers: bool,
 }
 
--- a/ashtiller/src/workflow/traffic.rs
+++ b/ashtiller/src/workflow/traffic.rs
@@ -1,15 +1,15 @@
-//! Messages and bytes between instances, by what they are for.
+//! Counters of messages and bytes between instances, by kind of request.
 
 use std::sync::LazyLock;
 
 use prometheus::{IntCounterVec, Opts};
 
-/// Which way a message went.
+/// Direction of a message.
 #[derive(Clone, Copy, Debug)]
 pub enum Way {
-    /// From this process.
+    /// Sent by this process.
     Sent,
-    /// To this process.
+    /// Received by this process.
     Received,
 }
 
@@ -34,14 +34,14 @@
     IntCounterVec::new(opts, &["kind", "way"]).expect("a name and a help text")
 }
 
-/// Counts a message of so many bytes.
+/// Counts a message of `bytes` bytes.
 pub fn note(kind: &str, way: Way, bytes: usize) {
     let labels = [kind, way.name()];
     MESSAGES.with_label_values(&labels).inc();
     BYTES.with_label_values(&labels).inc_by(bytes as u64);
 }
 
-/// The counters of this process.
+/// Returns the counters of this process, for registration.
 #[must_use]
 pub fn counters() -> [IntCounterVec; 2] {
     [MESSAGES.clone(), BYTES.clone()]
