--- a/ashtiller/src/workflow/tuning.rs
+++ b/ashtiller/src/workflow/tuning.rs
@@ -81,7 +81,7 @@
             lease: LEASE_MAX,
             // The platform's specifications name this value for most sites.
             hold: Duration::from_secs(10),
-            // Longer than the store outages that operators report, which last 4 to 9 s.
+            // Longer than the outages that operators report, which last 4 to 9 s.
             horizon: Duration::from_secs(11),
             // The longest wait that workers allow; each poll is charged per call.
             wait: Duration::from_secs(2),
