--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -1,8 +1,8 @@
-//! One cell's state, rebuilt by replay of its log.
+//! State of one cell, rebuilt by replaying its log.
 //!
-//! [`Cell::apply`] is the only way to change what must last, and it is
-//! deterministic: a snapshot and the facts after it give the same state in every
-//! owner. Decisions are in `plan`, talk with workers in `reconcile`.
+//! [`Cell::apply`] is the only way to change the durable state, and it is deterministic: a snapshot
+//! and the log records after it give the same state in every owner. Scheduling decisions are in
+//! `plan`, the exchange with workers is in `reconcile`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,27 +19,27 @@
 use crate::session::Session;
 use crate::worker_state::{Work, WorkerState};
 
-/// First pause before a failed task is tried again; each further one doubles.
+/// Initial backoff before a failed task is retried; it doubles with each further failure.
 const BACKOFF_FIRST: Duration = Duration::from_secs(1);
-/// Longest such pause.
+/// Maximum backoff.
 const BACKOFF_MAX: Duration = Duration::from_mins(1);
-/// Factor on the allowed failures of a task that failed on one worker only.
+/// Factor on the failure limit of a task that has failed on one worker only.
 const SINGLE_WORKER_LIMIT_FACTOR: u32 = 3;
 
-/// What one client account holds in the cell.
+/// Quota usage, evictions and jobs of one client account in the cell.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    /// Quota and what its running tasks hold.
+    /// Quota, and the resources held by the account's running tasks.
     pub pool: Pool,
-    /// Evictions allowed in an hour.
+    /// Maximum number of evictions per hour.
     pub evictions_per_hour: u32,
-    /// Times of recent evictions on the owner's clock.
+    /// Times of evictions on the owner's clock.
     pub eviction_times: Vec<Duration>,
-    /// Jobs that are not forgotten.
+    /// Number of jobs in the cell; ended jobs count until they are removed.
     pub jobs: u32,
 }
 
-/// Counts since this owner began.
+/// Counters since this owner took over the cell.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Counts {
     /// Attempts placed.
@@ -58,7 +58,7 @@
     pub given_up: u64,
 }
 
-/// The part of a cell that lasts.
+/// Part of a cell that is stored in snapshots.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DurableState {
     /// Number of the next job.
@@ -67,7 +67,7 @@
     pub jobs: BTreeMap<u32, Job>,
 }
 
-/// One cell.
+/// State of one cell.
 #[derive(Clone, Debug, Default)]
 pub struct Cell {
     durable_state: DurableState,
@@ -82,17 +82,17 @@
 }
 
 impl Cell {
-    /// Rebuilds a cell from the part that lasts.
+    /// Rebuilds a cell from its durable state.
     #[must_use]
-    pub fn restore(lasting: DurableState) -> Self {
+    pub fn restore(state: DurableState) -> Self {
         let mut cell = Self {
             durable_state: DurableState {
-                next_job: lasting.next_job,
+                next_job: state.next_job,
                 ..DurableState::default()
             },
             ..Self::default()
         };
-        for (number, job) in lasting.jobs {
+        for (number, job) in state.jobs {
             cell.add_job(number, job);
         }
         cell
@@ -109,58 +109,58 @@
         let submission = &job.submission;
         let (account, name) = (submission.account.clone(), submission.job.clone());
         self.job_numbers.insert((account.clone(), name), number);
-        let held = self.accounts.entry(account.clone()).or_default();
-        held.jobs += 1;
-        held.evictions_per_hour = submission.evictions;
-        held.pool.resize(submission.quota);
-        let (rank, needs) = (Priority::of(submission), submission.needs);
+        let usage = self.accounts.entry(account.clone()).or_default();
+        usage.jobs += 1;
+        usage.evictions_per_hour = submission.evictions;
+        usage.pool.resize(submission.quota);
+        let (priority, needs) = (Priority::of(submission), submission.needs);
         for (index, task) in (0..).zip(&job.tasks) {
             let id = TaskId { job: number, index };
-            if let Some(place) = task.phase.placement() {
-                held.pool.allocate(&needs);
+            if let Some(placement) = task.phase.placement() {
+                usage.pool.allocate(&needs);
                 self.workers
-                    .entry(place.worker.clone())
+                    .entry(placement.worker.clone())
                     .or_default()
                     .add_task(id, &needs, work);
                 self.running += 1;
             } else if task.phase == Phase::Queued {
-                self.backlog.push_back(rank, &account, id);
+                self.backlog.push_back(priority, &account, id);
             }
         }
         self.durable_state.jobs.insert(number, job);
     }
 
-    /// The part that lasts.
+    /// Returns the part that is stored in snapshots.
     #[must_use]
     pub fn durable_state(&self) -> &DurableState {
         &self.durable_state
     }
 
-    /// Counts since this owner began.
+    /// Returns the counters since this owner took over the cell.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Queued tasks.
+    /// Returns the queued tasks.
     #[must_use]
     pub fn backlog(&self) -> &Backlog {
         &self.backlog
     }
 
-    /// Attempts that may run.
+    /// Returns the number of attempts that may be running.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Accounts by name.
+    /// Returns the accounts by name.
     #[must_use]
     pub fn accounts(&self) -> &BTreeMap<Arc<str>, Account> {
         &self.accounts
     }
 
-    /// Number of a job by name.
+    /// Returns the number of the job that has this name in an account.
     #[must_use]
     pub fn find_job(&self, account: &Arc<str>, job: &Arc<str>) -> Option<u32> {
         self.job_numbers
@@ -168,22 +168,22 @@
             .copied()
     }
 
-    /// One job.
+    /// Returns the job with a number.
     #[must_use]
     pub fn job(&self, number: u32) -> Option<&Job> {
         self.durable_state.jobs.get(&number)
     }
 
-    /// One task and its job's submission.
+    /// Returns a task and the submission of its job.
     #[must_use]
     pub fn task(&self, id: TaskId) -> Option<(&Task, &Submission)> {
         let job = self.durable_state.jobs.get(&id.job)?;
         Some((job.tasks.get(id.index as usize)?, &job.submission))
     }
 
-    /// Applies one fact of the log entry at `position`.
-    pub fn apply(&mut self, fact: &Fact, position: u64, now: Duration) {
-        match fact {
+    /// Applies one record of the log entry at `position`; `now` is the time on the owner's clock.
+    pub fn apply(&mut self, record: &Fact, position: u64, now: Duration) {
+        match record {
             Fact::Submitted(submission) => {
                 let number = self.durable_state.next_job;
                 self.durable_state.next_job += 1;
@@ -195,12 +195,12 @@
                 worker,
                 boot,
             } => {
-                let place = Placement {
+                let placement = Placement {
                     worker: worker.clone(),
                     boot: *boot,
                     position,
                 };
-                self.place(*attempt, place);
+                self.place(*attempt, placement);
             }
             Fact::Evicting(attempt) => self.evict(*attempt, position, now),
             Fact::Ended(attempt, end) => self.end(*attempt, *end, now),
@@ -208,7 +208,7 @@
         }
     }
 
-    fn place(&mut self, attempt: Attempt, place: Placement) {
+    fn place(&mut self, attempt: Attempt, placement: Placement) {
         let id = attempt.task;
         let Some(job) = self.durable_state.jobs.get_mut(&id.job) else {
             return;
@@ -226,9 +226,9 @@
             class: job.submission.class,
             kind: job.kind_id,
         };
-        // The decision asked Pool::grants before it was recorded.
+        // The planner has checked `Pool::grants` before it created this record.
         self.workers
-            .entry(place.worker.clone())
+            .entry(placement.worker.clone())
             .or_default()
             .add_task(id, &needs, work);
         self.accounts
@@ -237,7 +237,7 @@
             .pool
             .allocate(&needs);
         task.attempt = attempt.number;
-        task.phase = Phase::Placed(place);
+        task.phase = Phase::Placed(placement);
     }
 
     fn evict(&mut self, attempt: Attempt, position: u64, now: Duration) {
@@ -247,10 +247,10 @@
         let Some(task) = job.tasks.get_mut(attempt.task.index as usize) else {
             return;
         };
-        if let Phase::Placed(place) = &task.phase {
+        if let Phase::Placed(placement) = &task.phase {
             task.phase = Phase::Evicting(Placement {
                 position,
-                ..place.clone()
+                ..placement.clone()
             });
             let account = self
                 .accounts
@@ -268,7 +268,7 @@
         let Some(task) = job.tasks.get_mut(id.index as usize) else {
             return;
         };
-        let Some(place) = task
+        let Some(placement) = task
             .phase
             .placement()
             .filter(|_| task.attempt == attempt.number)
@@ -282,23 +282,24 @@
             kind: job.kind_id,
         };
         self.running -= 1;
-        if let Some(host) = self.workers.get_mut(&place.worker) {
-            host.remove_task(id, &needs, work);
+        if let Some(worker_state) = self.workers.get_mut(&placement.worker) {
+            worker_state.remove_task(id, &needs, work);
         }
         if let Some(account) = self.accounts.get_mut(&job.submission.account) {
             account.pool.release(&needs);
         }
         count_end(&mut self.counts, end);
         let cancelled = job.cancelled;
-        update_ended_task(task, &job.submission, &place, end, cancelled, now);
+        update_ended_task(task, &job.submission, &placement, end, cancelled, now);
         let (over, given_up) = (task.phase.is_over(), task.phase == Phase::GivenUp);
         self.counts.given_up += u64::from(given_up);
         if over {
             job.over += 1;
             job.ended_at = job.is_over().then_some(now);
         } else {
-            let rank = Priority::of(&job.submission);
-            self.backlog.push_front(rank, &job.submission.account, id);
+            let priority = Priority::of(&job.submission);
+            self.backlog
+                .push_front(priority, &job.submission.account, id);
         }
     }
 
@@ -307,19 +308,19 @@
             return;
         };
         job.cancelled = true;
-        let rank = Priority::of(&job.submission);
+        let priority = Priority::of(&job.submission);
         for (index, task) in (0..).zip(&mut job.tasks) {
             match &task.phase {
                 Phase::Queued => {
                     let id = TaskId { job: number, index };
-                    self.backlog.remove(rank, &job.submission.account, id);
+                    self.backlog.remove(priority, &job.submission.account, id);
                     task.phase = Phase::Cancelled;
                     job.over += 1;
                 }
-                Phase::Placed(place) | Phase::Evicting(place) => {
+                Phase::Placed(placement) | Phase::Evicting(placement) => {
                     task.phase = Phase::Stopping(Placement {
                         position,
-                        ..place.clone()
+                        ..placement.clone()
                     });
                 }
                 _ => {}
@@ -343,7 +344,7 @@
         }
     }
 
-    /// Sets what a worker has.
+    /// Sets the total resources of a worker.
     pub fn resize_worker(&mut self, worker: &Arc<str>, whole: Resources) {
         self.workers
             .entry(worker.clone())
@@ -352,10 +353,10 @@
             .resize(whole);
     }
 
-    /// A new owner begins: leases that earlier owners granted end by `bound`.
+    /// Resets the sessions for a new owner; leases that earlier owners granted expire by `bound`.
     pub fn reset_sessions(&mut self, bound: Duration) {
-        for host in self.workers.values_mut() {
-            host.session = Session::new(bound);
+        for worker_state in self.workers.values_mut() {
+            worker_state.session = Session::new(bound);
         }
     }
 }
@@ -373,7 +374,7 @@
 fn update_ended_task(
     task: &mut Task,
     submission: &Submission,
-    place: &Placement,
+    placement: &Placement,
     end: End,
     cancelled: bool,
     now: Duration,
@@ -383,15 +384,15 @@
     }
     if end == End::Failed {
         task.failures += 1;
-        if !task.failed_on.contains(&place.worker) {
-            task.failed_on.push(place.worker.clone());
+        if !task.failed_on.contains(&placement.worker) {
+            task.failed_on.push(placement.worker.clone());
         }
         let doublings = task.failures.saturating_sub(1).min(16);
         task.retry_at = now + (BACKOFF_FIRST * (1 << doublings)).min(BACKOFF_MAX);
     }
-    // Failures on one worker alone may be the worker's fault.
-    let several = task.failed_on.len() > 1;
-    let limit = if several {
+    // Failures on one worker only may be caused by that worker.
+    let failed_on_several = task.failed_on.len() > 1;
+    let limit = if failed_on_several {
         submission.attempts
     } else {
         submission.attempts * SINGLE_WORKER_LIMIT_FACTOR
--- a/ashtiller/src/task/events.rs
+++ b/ashtiller/src/task/events.rs
@@ -1,4 +1,4 @@
-//! What an owner is told, and what it does then.
+//! Messages of the owner actor and their handlers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::roster;
 use crate::session::Change;
 
-/// A job for the cell.
+/// Submission of a job.
 pub(crate) struct Submit {
     pub(crate) job: Submission,
     pub(crate) reply: oneshot::Sender<Verdict>,
@@ -30,24 +30,24 @@
     pub(crate) reply: oneshot::Sender<Verdict>,
 }
 
-/// A question for the state; empty names show all.
+/// Query of the cell's state; an empty name selects all accounts or jobs.
 pub(crate) struct Show {
     pub(crate) account: Arc<str>,
     pub(crate) job: Arc<str>,
 }
 
-/// The platform's list of the cell's workers.
+/// Current list of the cell's workers from the platform.
 pub(crate) struct WorkersListed {
     pub(crate) instances: Vec<roster::Instance>,
 }
 
-/// Time to decide.
+/// Periodic trigger for planning, calls to workers and maintenance of the log.
 pub(crate) struct Tick;
 
-/// End of the ownership in a planned way.
+/// Request to hand over the cell.
 pub(crate) struct HandOver;
 
-/// An entry's fate is known.
+/// Outcome of writing a log entry.
 pub(crate) struct EntryWritten {
     pub(crate) position: u64,
     pub(crate) began: Duration,
@@ -55,22 +55,22 @@
     pub(crate) last: bool,
 }
 
-/// A worker answered, or did not.
+/// Outcome of a call to a worker.
 pub(crate) struct WorkerAnswered {
     pub(crate) worker: Arc<str>,
     pub(crate) answer: Result<Report, Failure>,
 }
 
-/// The position of the next entry was looked at.
+/// Outcome of checking whether the position of the next entry is free.
 pub(crate) struct OwnershipChecked {
     pub(crate) began: Duration,
     pub(crate) position: u64,
     pub(crate) free: Result<bool, Failure>,
 }
 
-/// A snapshot was written, or not.
+/// Outcome of writing a snapshot.
 pub(crate) struct SnapshotWritten {
-    pub(crate) done: Result<Journal, Failure>,
+    pub(crate) result: Result<Journal, Failure>,
 }
 
 impl Message<Tick> for Owner {
@@ -80,8 +80,8 @@
         let actor = context.actor_ref().clone();
         if self.pending.len() < PENDING_MAX && !self.handing_over {
             let now = self.now();
-            let facts = self.planner.plan_round(&mut self.cell, self.position, now);
-            self.pending.extend(facts);
+            let records = self.planner.plan_round(&mut self.cell, self.position, now);
+            self.pending.extend(records);
         }
         self.flush(&actor);
         self.call_workers(&actor);
@@ -101,8 +101,8 @@
             return;
         }
         let now = self.now();
-        let (verdict, fact) = plan::submit(&mut self.cell, job, self.position, now);
-        self.queue_reply(reply, verdict, fact);
+        let (verdict, record) = plan::submit(&mut self.cell, job, self.position, now);
+        self.queue_reply(reply, verdict, record);
         self.flush(&context.actor_ref().clone());
     }
 }
@@ -121,8 +121,8 @@
             return;
         }
         let now = self.now();
-        let (verdict, fact) = plan::cancel(&mut self.cell, &account, &job, self.position, now);
-        self.queue_reply(reply, verdict, fact);
+        let (verdict, record) = plan::cancel(&mut self.cell, &account, &job, self.position, now);
+        self.queue_reply(reply, verdict, record);
         self.flush(&context.actor_ref().clone());
     }
 }
@@ -156,18 +156,18 @@
 impl Message<EntryWritten> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, wrote: EntryWritten, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, written: EntryWritten, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
         self.write_in_flight = false;
-        if wrote.appended == AppendOutcome::Superseded {
+        if written.appended == AppendOutcome::Superseded {
             self.step_down("another owner has written", &actor);
             return;
         }
-        self.durable = wrote.position;
-        self.ownership_confirmed_at = self.ownership_confirmed_at.max(wrote.began);
+        self.durable = written.position;
+        self.ownership_confirmed_at = self.ownership_confirmed_at.max(written.began);
         self.entries_since_snapshot += 1;
         self.send_durable_replies();
-        if wrote.last {
+        if written.last {
             self.step_down("handed over", &actor);
             return;
         }
@@ -179,30 +179,30 @@
 impl Message<WorkerAnswered> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, called: WorkerAnswered, context: &mut Context<Self, ()>) {
+    async fn handle(&mut self, answered: WorkerAnswered, context: &mut Context<Self, ()>) {
         let actor = context.actor_ref().clone();
-        let moment = self.step_context();
-        if let Some(host) = self.cell.workers.get_mut(&called.worker) {
-            host.call_in_flight = false;
+        let step = self.step_context();
+        if let Some(worker_state) = self.cell.workers.get_mut(&answered.worker) {
+            worker_state.call_in_flight = false;
         }
-        let Ok(report) = called.answer else {
+        let Ok(report) = answered.answer else {
             self.deps.metrics.calls_failed.inc();
             return;
         };
         let terms = self.terms;
-        let (change, facts) =
-            reconcile::apply_report(&mut self.cell, &called.worker, &report, &terms, moment);
-        self.pending.extend(facts);
+        let (change, records) =
+            reconcile::apply_report(&mut self.cell, &answered.worker, &report, &terms, step);
+        self.pending.extend(records);
         let taken = !matches!(change, Change::Superseded | Change::Stale);
-        if taken && report.epoch == moment.epoch {
+        if taken && report.epoch == step.epoch {
             let (cell, planner) = (&mut self.cell, &mut self.planner);
-            let facts = planner.observe(cell, &called.worker, &report, moment.position, moment.now);
-            self.pending.extend(facts);
+            let records = planner.observe(cell, &answered.worker, &report, step.position, step.now);
+            self.pending.extend(records);
         }
         match change {
             Change::Superseded => self.step_down("a worker has a newer owner", &actor),
-            // The first grant follows the fence at once, so that tasks run on.
-            Change::Fenced | Change::Rebooted => self.call(&called.worker, true, &actor),
+            // The first lease is granted right after fencing, so that running tasks continue.
+            Change::Fenced | Change::Rebooted => self.call(&answered.worker, true, &actor),
             Change::Same | Change::Stale => {}
         }
         self.flush(&actor);
@@ -218,7 +218,7 @@
             Ok(true) => {
                 self.ownership_confirmed_at = self.ownership_confirmed_at.max(checked.began);
             }
-            // Written since by this owner itself.
+            // This owner has itself written the entry in the meantime.
             Ok(false) if checked.position < self.position => {}
             Ok(false) => {
                 let actor = context.actor_ref().clone();
@@ -232,11 +232,11 @@
 impl Message<SnapshotWritten> for Owner {
     type Reply = ();
 
-    async fn handle(&mut self, snapped: SnapshotWritten, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, snapshot: SnapshotWritten, _: &mut Context<Self, ()>) {
         self.snapshot_in_flight = false;
-        match snapped.done {
+        match snapshot.result {
             Ok(journal) => self.journal = journal,
-            Err(failure) => tracing::debug!(%failure, "snapshot not written"),
+            Err(failure) => tracing::debug!(%failure, "snapshot could not be written"),
         }
     }
 }
--- a/ashtiller/src/task/evict.rs
+++ b/ashtiller/src/task/evict.rs
@@ -1,4 +1,4 @@
-//! Which batch tasks make room for a latency-critical one.
+//! Selection of the batch tasks to evict for a latency-critical task.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,21 +11,20 @@
 use crate::template::Class;
 use crate::worker_state::WorkerState;
 
-/// Window of an account's eviction budget.
+/// Time window of an account's eviction budget.
 const BUDGET_WINDOW: Duration = Duration::from_hours(1);
 
-/// A batch task that may be evicted.
+/// Batch task that may be evicted.
 struct Candidate {
     attempt: Attempt,
     needs: Resources,
     budget_used: f64,
 }
 
-/// Chooses the worker on which the fewest evictions make room for `needs`.
+/// Chooses the worker on which the fewest evictions free enough capacity for `needs`.
 ///
-/// Among tasks, those of the account that has spent least of its eviction budget
-/// go first, so that accounts bear evictions alike; an account whose budget is
-/// spent is passed over.
+/// Tasks of the account that has used the smallest share of its eviction budget are evicted first,
+/// which spreads evictions evenly over the accounts. Accounts without budget left are skipped.
 #[must_use]
 pub fn choose_victims(
     cell: &Cell,
@@ -34,12 +33,12 @@
     now: Duration,
 ) -> Option<(Arc<str>, Vec<Attempt>)> {
     let mut best: Option<(Arc<str>, Vec<Attempt>)> = None;
-    for (name, host) in cell
+    for (name, worker_state) in cell
         .workers
         .iter()
-        .filter(|(_, host)| host.accepts_attempts(now, terms))
+        .filter(|(_, worker_state)| worker_state.accepts_attempts(now, terms))
     {
-        let Some(victims) = victims_on(cell, host, needs, now) else {
+        let Some(victims) = victims_on(cell, worker_state, needs, now) else {
             continue;
         };
         if best
@@ -54,32 +53,32 @@
 
 fn victims_on(
     cell: &Cell,
-    host: &WorkerState,
+    worker_state: &WorkerState,
     needs: &Resources,
     now: Duration,
 ) -> Option<Vec<Attempt>> {
-    if !needs.fits_within(host.pool().capacity()) {
+    if !needs.fits_within(worker_state.pool().capacity()) {
         return None;
     }
-    let mut candidates: Vec<Candidate> = host
+    let mut candidates: Vec<Candidate> = worker_state
         .tasks
         .iter()
         .filter_map(|id| eviction_candidate(cell, *id, now))
         .collect();
     candidates.sort_by(|one, other| one.budget_used.total_cmp(&other.budget_used));
-    let mut free = host.pool().free();
+    let mut free = worker_state.pool().free();
     let mut victims = Vec::new();
-    for victim in candidates {
+    for candidate in candidates {
         if needs.fits_within(&free) {
             break;
         }
-        free = free.plus(&victim.needs);
-        victims.push(victim.attempt);
+        free = free.plus(&candidate.needs);
+        victims.push(candidate.attempt);
     }
     (needs.fits_within(&free) && !victims.is_empty()).then_some(victims)
 }
 
-/// Whether a batch task may be evicted within its account's budget.
+/// Returns whether a task is a batch task that may be evicted within its account's budget.
 #[must_use]
 pub fn has_budget(cell: &Cell, id: TaskId, now: Duration) -> bool {
     eviction_candidate(cell, id, now).is_some()
@@ -92,16 +91,16 @@
         return None;
     }
     let account = cell.accounts().get(&submission.account)?;
-    let recent = account
+    let recent_evictions = account
         .eviction_times
         .iter()
         .filter(|at| now.saturating_sub(**at) < BUDGET_WINDOW)
         .count();
-    let recent = u32::try_from(recent).unwrap_or(u32::MAX);
-    if recent >= account.evictions_per_hour {
+    let recent_evictions = u32::try_from(recent_evictions).unwrap_or(u32::MAX);
+    if recent_evictions >= account.evictions_per_hour {
         return None;
     }
-    let spent = f64::from(recent) / f64::from(account.evictions_per_hour);
+    let budget_used = f64::from(recent_evictions) / f64::from(account.evictions_per_hour);
     let attempt = Attempt {
         task: id,
         number: task.attempt,
@@ -109,6 +108,6 @@
     Some(Candidate {
         attempt,
         needs: submission.needs,
-        budget_used: spent,
+        budget_used,
     })
 }
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -1,11 +1,11 @@
-//! A cell's log and snapshots in the store.
+//! Log and snapshots of a cell in the key-value store.
 //!
-//! Entries are keys that are created if absent, at positions that rise by one.
-//! Whoever creates the entry at a position has written it; an owner that finds
-//! another's entry there has been superseded. Taking over is writing a seal, so
-//! it needs no clock and no lock. Blocks of entries before a snapshot are deleted
-//! as a whole, but a block with a young seal stays: a paused owner that wakes
-//! finds the seal where its next entry would go, not a gap.
+//! Entries are keys at consecutive positions that are created only if absent. The owner that
+//! creates the key has written the entry at that position; an owner that finds another owner's
+//! entry there has been superseded. A new owner takes over by writing a seal, which needs no clock
+//! and no lock. Blocks of entries before a snapshot are deleted as a whole, but a block with a
+//! recent seal is kept: an owner that resumes after a pause then finds the seal at the position of
+//! its next entry, not a gap.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,44 +22,44 @@
 use crate::session::LeaseTerms;
 use crate::store::Store;
 
-/// Prefix of all cells.
+/// Key prefix of all cells.
 pub const PREFIX: &str = "ashtiller/cells/";
-/// Positions in one block.
+/// Number of log positions in a block; old entries are deleted by block.
 const POSITIONS_PER_BLOCK: u64 = 256;
-/// Bytes in one chunk of a snapshot.
+/// Maximum size of a snapshot chunk in bytes.
 const CHUNK_BYTES: usize = 512 << 10;
-/// Age after which a seal may be cut.
+/// Age in seconds after which a seal may be deleted.
 const SEAL_RETENTION_SECS: u64 = 24 * 3600;
-/// First pause before a write with an unknown outcome is tried again.
+/// Initial backoff before a write with an unknown outcome is retried.
 const RETRY_PAUSE_MIN: Duration = Duration::from_millis(20);
-/// Longest such pause.
+/// Maximum backoff.
 const RETRY_PAUSE_MAX: Duration = Duration::from_secs(1);
 
-/// Why a cell cannot be opened.
+/// Error that prevents a cell from being opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The store could not be asked; try again.
+    /// The store could not be reached; opening can be retried.
     #[error(transparent)]
     Store(#[from] Failure),
-    /// The log holds what this program cannot use; the cell stays closed.
+    /// A record is damaged or has an unsupported version, so the cell is not opened.
     #[error("{key}: {damage}")]
     Damaged {
         /// Key of the record.
         key: String,
-        /// What is wrong with it.
+        /// Decoding error.
         damage: RecordError,
     },
-    /// A position is missing; another owner cuts the log just now, or it is damaged.
+    /// A position is missing, because another owner is deleting old entries or the log is damaged.
     #[error("log of cell {cell}: position {position} is missing")]
     Gap {
-        /// Cell.
+        /// Name of the cell.
         cell: Arc<str>,
-        /// First position that is missing.
+        /// First missing position.
         position: u64,
     },
 }
 
-/// Where the newest snapshot is.
+/// Location of the newest snapshot.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 struct SnapshotHead {
     position: u64,
@@ -67,16 +67,16 @@
     chunks: u32,
 }
 
-/// What became of an entry.
+/// Outcome of appending an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AppendOutcome {
-    /// It is durable.
+    /// The entry is durable.
     Durable,
-    /// Another owner's entry stands there.
+    /// Another owner's entry is at that position.
     Superseded,
 }
 
-/// The log of a cell, as its owner writes it.
+/// Log and snapshots of a cell, as its owner writes them.
 #[derive(Clone)]
 pub struct Journal {
     store: Arc<dyn Store>,
@@ -86,35 +86,35 @@
     seals: BTreeMap<u64, u64>,
     head: SnapshotHead,
     head_index: u64,
-    first_kept_block: u64,
+    next_block_to_delete: u64,
     pending_deletions: Vec<String>,
 }
 
-/// An opened cell.
+/// Cell that was replayed and taken over.
 pub struct OpenedCell {
-    /// Its log.
+    /// Log of the cell.
     pub journal: Journal,
-    /// Its state.
+    /// State of the cell after the replay.
     pub cell: Cell,
     /// Position of the next entry.
     pub next_position: u64,
-    /// How long leases of the last owner may go on after the seal.
+    /// Maximum time for which leases of the previous owner stay valid after the seal.
     pub former_lease_bound: Duration,
 }
 
 struct Replay {
     cell: Cell,
-    next: u64,
+    next_position: u64,
     epoch: u64,
-    former: Duration,
+    former_lease_bound: Duration,
     seals: BTreeMap<u64, u64>,
 }
 
-/// Reads a cell and takes it over by a seal of `owner`.
+/// Replays a cell and takes it over by writing a seal of `owner`.
 ///
 /// # Errors
-/// See [`OpenError`]. After an error nothing is owned, though a seal may have been
-/// written; the next try supersedes it.
+/// See [`OpenError`]. After an error the cell is not owned, though a seal may have been written;
+/// the next attempt supersedes it.
 pub async fn open(
     store: Arc<dyn Store>,
     cell: Arc<str>,
@@ -123,12 +123,12 @@
     horizon: Duration,
 ) -> Result<OpenedCell, OpenError> {
     let (head, head_index) = read_head(&*store, &cell).await?;
-    let lasting = read_snapshot(&*store, &cell, &head).await?;
+    let state = read_snapshot(&*store, &cell, &head).await?;
     let mut replay = Replay {
-        cell: Cell::restore(lasting),
-        next: head.position + 1,
+        cell: Cell::restore(state),
+        next_position: head.position + 1,
         epoch: head.epoch,
-        former: terms.lease + terms.margin + horizon,
+        former_lease_bound: terms.lease + terms.margin + horizon,
         seals: BTreeMap::new(),
     };
     read_log(&*store, &cell, &mut replay).await?;
@@ -139,7 +139,7 @@
         writer,
         epoch: 0,
         seals: BTreeMap::new(),
-        first_kept_block: 0,
+        next_block_to_delete: 0,
         pending_deletions: Vec::new(),
         head,
         head_index,
@@ -152,21 +152,25 @@
             horizon: millis(horizon),
             at: now_secs(),
         };
-        let position = replay.next;
+        let position = replay.next_position;
         let bytes = journal.encode(seal)?;
         match journal.append(position, bytes).await {
             AppendOutcome::Durable => {
                 journal.seals = replay.seals;
                 journal.seals.insert(position, now_secs());
-                let Replay { cell, former, .. } = replay;
+                let Replay {
+                    cell,
+                    former_lease_bound,
+                    ..
+                } = replay;
                 return Ok(OpenedCell {
                     journal,
                     cell,
                     next_position: position + 1,
-                    former_lease_bound: former,
+                    former_lease_bound,
                 });
             }
-            // The old owner, or a faster successor, wrote first.
+            // The previous owner or another successor wrote this position first.
             AppendOutcome::Superseded => {
                 read_log(&*journal.store, &journal.cell, &mut replay).await?;
             }
@@ -191,14 +195,14 @@
         return Ok(DurableState::default());
     }
     let prefix = snapshot_prefix(cell, head.position, head.epoch);
-    let view = store.list(&prefix).await?;
-    if view.items.len() != head.chunks as usize {
+    let listing = store.list(&prefix).await?;
+    if listing.items.len() != head.chunks as usize {
         return Err(OpenError::Gap {
             cell: cell.into(),
             position: head.position,
         });
     }
-    let bytes: Vec<u8> = view
+    let bytes: Vec<u8> = listing
         .items
         .iter()
         .flat_map(|item| item.value.iter().copied())
@@ -211,15 +215,15 @@
     cell: &Arc<str>,
     replay: &mut Replay,
 ) -> Result<(), OpenError> {
-    let view = store.list(&log_prefix(cell)).await?;
-    for item in &view.items {
+    let listing = store.list(&log_prefix(cell)).await?;
+    for item in &listing.items {
         let Some(position) = parse_position(&item.key) else {
             continue;
         };
-        if position > replay.next {
+        if position > replay.next_position {
             return Err(OpenError::Gap {
                 cell: cell.clone(),
-                position: replay.next,
+                position: replay.next_position,
             });
         }
         let entry: Entry = decode(&item.key, &item.value)?;
@@ -232,22 +236,24 @@
     if let Body::Seal { at, .. } = &entry.body {
         replay.seals.insert(position, *at);
     }
-    if position < replay.next {
+    if position < replay.next_position {
         return;
     }
-    replay.next = position + 1;
+    replay.next_position = position + 1;
     replay.epoch = replay.epoch.max(entry.epoch);
     match &entry.body {
         Body::Seal { lease, horizon, .. } => {
-            replay.former = Duration::from_millis(lease.saturating_add(*horizon));
+            replay.former_lease_bound = Duration::from_millis(lease.saturating_add(*horizon));
         }
-        Body::Facts(facts) => {
-            for fact in facts {
-                replay.cell.apply(fact, position, Duration::ZERO);
+        Body::Facts(records) => {
+            for record in records {
+                replay.cell.apply(record, position, Duration::ZERO);
             }
         }
-        // Without horizon: the owner has said that it renews no more.
-        Body::Handover => replay.former = replay.former.min(Duration::from_mins(1)),
+        // The horizon does not count: after its handover entry the owner renews no leases.
+        Body::Handover => {
+            replay.former_lease_bound = replay.former_lease_bound.min(Duration::from_mins(1));
+        }
     }
 }
 
@@ -259,7 +265,7 @@
 }
 
 impl Journal {
-    /// Epoch of this owner.
+    /// Returns the epoch of this owner.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
@@ -268,7 +274,7 @@
     /// Encodes an entry of this owner.
     ///
     /// # Errors
-    /// The entry cannot be written.
+    /// The entry cannot be serialized.
     pub fn encode(&self, body: Body) -> Result<Bytes, OpenError> {
         let entry = Entry {
             epoch: self.epoch,
@@ -282,19 +288,19 @@
         Ok(bytes.into())
     }
 
-    /// Writes an entry and returns when its fate is known, however long the store
-    /// is down: an unknown outcome is read back, and the same bytes are written
-    /// again only where nothing stands.
+    /// Writes an entry and returns once the outcome is known, however long the store is down. After
+    /// a write with an unknown outcome the position is read back, and the same bytes are written
+    /// again only if it is still empty.
     pub async fn append(&self, position: u64, bytes: Bytes) -> AppendOutcome {
         let key = log_key(&self.cell, position);
-        let mut pause = RETRY_PAUSE_MIN;
+        let mut backoff = RETRY_PAUSE_MIN;
         loop {
-            let swapped = self.store.swap(&key, bytes.clone(), 0).await;
-            match self.resolve_write(&key, &bytes, swapped).await {
-                WriteOutcome::Known(appended) => return appended,
+            let result = self.store.swap(&key, bytes.clone(), 0).await;
+            match self.resolve_write(&key, &bytes, result).await {
+                WriteOutcome::Known(outcome) => return outcome,
                 WriteOutcome::Unknown => {
-                    time::sleep(pause).await;
-                    pause = (pause * 2).min(RETRY_PAUSE_MAX);
+                    time::sleep(backoff).await;
+                    backoff = (backoff * 2).min(RETRY_PAUSE_MAX);
                 }
             }
         }
@@ -304,9 +310,9 @@
         &self,
         key: &str,
         bytes: &Bytes,
-        swapped: Result<bool, Failure>,
+        result: Result<bool, Failure>,
     ) -> WriteOutcome {
-        match swapped {
+        match result {
             Ok(true) => return WriteOutcome::Known(AppendOutcome::Durable),
             Err(failure) if failure.effect == RemoteEffect::None => return WriteOutcome::Unknown,
             _ => {}
@@ -318,10 +324,10 @@
         }
     }
 
-    /// Whether nobody has written at `position`.
+    /// Returns whether there is no entry at `position`.
     ///
     /// # Errors
-    /// The store cannot be asked.
+    /// The store cannot be reached.
     pub async fn is_free(&self, position: u64) -> Result<bool, Failure> {
         Ok(self
             .store
@@ -330,11 +336,12 @@
             .is_none())
     }
 
-    /// Writes a snapshot of the state after `position`, which must be durable, and
-    /// cuts the log before it. Returns the journal with the new head.
+    /// Writes a snapshot of the state after `position`, which must be durable, and deletes the log
+    /// before it. Returns the journal with the new snapshot head.
     ///
     /// # Errors
-    /// The store cannot be asked; the old snapshot and log stay good.
+    /// The store cannot be reached, or another owner has written a snapshot. The old snapshot and
+    /// log stay valid.
     pub async fn snapshot(mut self, position: u64, state: Bytes) -> Result<Self, Failure> {
         let prefix = snapshot_prefix(&self.cell, position, self.epoch);
         let mut chunks = 0;
@@ -345,7 +352,7 @@
                 .await?;
             chunks += 1;
         }
-        let old = std::mem::replace(
+        let previous = std::mem::replace(
             &mut self.head,
             SnapshotHead {
                 position,
@@ -364,27 +371,30 @@
             ));
         }
         self.head_index = self.store.get(&key).await?.map_or(0, |item| item.index);
-        if old.chunks > 0 {
-            self.pending_deletions
-                .push(snapshot_prefix(&self.cell, old.position, old.epoch));
+        if previous.chunks > 0 {
+            self.pending_deletions.push(snapshot_prefix(
+                &self.cell,
+                previous.position,
+                previous.epoch,
+            ));
         }
         self.delete_superseded(position).await;
         Ok(self)
     }
 
-    /// Deletes what the snapshot replaces; what cannot be deleted now is deleted
-    /// with the next snapshot.
+    /// Deletes what the snapshot replaces. Prefixes that cannot be deleted now are deleted with the
+    /// next snapshot.
     async fn delete_superseded(&mut self, position: u64) {
         let now = now_secs();
         self.seals
             .retain(|_, at| now.saturating_sub(*at) < SEAL_RETENTION_SECS);
-        for block in self.first_kept_block..position / POSITIONS_PER_BLOCK {
+        for block in self.next_block_to_delete..position / POSITIONS_PER_BLOCK {
             let range = block * POSITIONS_PER_BLOCK..(block + 1) * POSITIONS_PER_BLOCK;
             if self.seals.range(range).next().is_none() {
                 self.pending_deletions.push(block_prefix(&self.cell, block));
             }
         }
-        self.first_kept_block = position / POSITIONS_PER_BLOCK;
+        self.next_block_to_delete = position / POSITIONS_PER_BLOCK;
         while let Some(prefix) = self.pending_deletions.pop() {
             if self.store.remove_all(&prefix).await.is_err() {
                 self.pending_deletions.push(prefix);
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -1,9 +1,9 @@
-//! The actor that owns a cell.
+//! Actor that owns a cell.
 //!
-//! It feeds events and the time to the state machines and carries out what they
-//! decide: facts go to the log in groups, one entry at a time; calls to workers
-//! and answers to callers wait until the entry they rest on is durable. Once
-//! another owner's entry is found in the log, it stops and forgets everything.
+//! It passes events and the time to the state machines and executes their decisions. Records are
+//! appended to the log in batches, one entry at a time; commands to workers and replies to callers
+//! wait until the entry that they depend on is durable. When the actor finds another owner's entry
+//! in the log, it stops and drops its state.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -33,61 +33,61 @@
 use crate::session::{LeaseTerms, Session};
 use crate::settings;
 
-/// How often the owner decides.
+/// Interval between planning rounds.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often an idle owner asks whether it was superseded.
+/// Interval at which an idle owner checks whether it was superseded.
 const VERIFY_INTERVAL: Duration = Duration::from_secs(5);
-/// A worker that does not answer is called at most this often.
+/// Minimum interval between calls to a worker that does not answer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Facts that may wait for the log before new jobs are turned away.
-pub(crate) const PENDING_MAX: usize = plan::MAX_FACTS_PER_ROUND;
+/// Number of pending log records from which new jobs are rejected.
+pub(crate) const PENDING_MAX: usize = plan::MAX_RECORDS_PER_ROUND;
 
-/// What an owner needs besides its opened cell.
+/// Dependencies of an owner besides its opened cell.
 #[derive(Clone)]
 pub struct OwnerDeps {
     /// Name of the cell.
     pub name: Arc<str>,
-    /// Settings of the role.
+    /// Settings of the scheduler role.
     pub settings: settings::Scheduler,
-    /// Workers.
+    /// Client for calls to workers.
     pub worker_client: Arc<dyn WorkerClient>,
-    /// Time.
+    /// Clock of the owner.
     pub clock: Arc<dyn Clock>,
-    /// Counters.
+    /// Metrics of the scheduler.
     pub metrics: Arc<SchedulerMetrics>,
 }
 
-/// Whether an owner still owns its cell.
+/// Ownership status of an owner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OwnerStatus {
-    /// It owns the cell.
+    /// The owner owns its cell.
     Owner,
-    /// It has handed the cell over, or was superseded.
+    /// The owner has handed the cell over, was superseded, or has stopped.
     Ended,
 }
 
-/// A running owner.
+/// Handle to a running owner.
 #[derive(Clone)]
 pub struct OwnerHandle {
     actor: ActorRef<Owner>,
-    standing: watch::Receiver<OwnerStatus>,
+    status: watch::Receiver<OwnerStatus>,
 }
 
 impl OwnerHandle {
-    /// Whether it still owns its cell.
+    /// Returns whether the owner still owns its cell.
     #[must_use]
     pub fn is_owner(&self) -> bool {
-        *self.standing.borrow() == OwnerStatus::Owner
+        *self.status.borrow() == OwnerStatus::Owner
     }
 
-    /// Submits a job; the verdict comes once it is durable.
+    /// Submits a job and returns the verdict once it is durable; `None` if the owner has stopped.
     pub async fn submit(&self, job: Submission) -> Option<Verdict> {
         let (reply, verdict) = oneshot::channel();
         self.actor.tell(Submit { job, reply }).await.ok()?;
         verdict.await.ok()
     }
 
-    /// Cancels a job; the verdict comes once it is durable.
+    /// Cancels a job and returns the verdict once it is durable; `None` if the owner has stopped.
     pub async fn cancel(&self, account: Arc<str>, job: Arc<str>) -> Option<Verdict> {
         let (reply, verdict) = oneshot::channel();
         self.actor
@@ -101,26 +101,26 @@
         verdict.await.ok()
     }
 
-    /// Shows the cell, one account or one job as JSON.
+    /// Returns the state of the cell, one account or one job as JSON.
     pub async fn show(&self, account: Arc<str>, job: Arc<str>) -> Option<String> {
         self.actor.ask(Show { account, job }).await.ok()
     }
 
-    /// Takes the platform's list of this cell's workers.
+    /// Updates the cell's workers from the platform's list.
     pub async fn update_workers(&self, instances: Vec<roster::Instance>) {
         let _ = self.actor.tell(WorkersListed { instances }).await;
     }
 
-    /// Hands the cell over in a planned way and waits for it.
+    /// Hands the cell over and waits until the owner has stopped.
     pub async fn hand_over(&self) {
         let _ = self.actor.tell(HandOver).await;
-        let mut standing = self.standing.clone();
-        let _ = standing
-            .wait_for(|standing| *standing == OwnerStatus::Ended)
+        let mut status = self.status.clone();
+        let _ = status
+            .wait_for(|status| *status == OwnerStatus::Ended)
             .await;
     }
 
-    /// Stops at once, as a kill does.
+    /// Stops the owner immediately and without a handover, as a killed process would.
     pub fn kill(&self) {
         self.actor.kill();
     }
@@ -128,30 +128,30 @@
 
 /// Starts the owner of an opened cell.
 #[must_use]
-pub fn spawn(opened: OpenedCell, tools: OwnerDeps) -> OwnerHandle {
-    let (sender, standing) = watch::channel(OwnerStatus::Owner);
-    let now = tools.clock.now();
+pub fn spawn(opened: OpenedCell, deps: OwnerDeps) -> OwnerHandle {
+    let (sender, status) = watch::channel(OwnerStatus::Owner);
+    let now = deps.clock.now();
     let terms = LeaseTerms {
-        lease: tools.settings.lease,
-        margin: tools.settings.margin,
+        lease: deps.settings.lease,
+        margin: deps.settings.margin,
     };
     let OpenedCell {
         journal,
         mut cell,
-        next_position: next,
-        former_lease_bound: former,
+        next_position,
+        former_lease_bound,
     } = opened;
-    cell.reset_sessions(now + former);
+    cell.reset_sessions(now + former_lease_bound);
     let owner = Owner {
-        deps: tools,
+        deps,
         terms,
         planner: Planner::new(Box::new(InterferenceAware), terms),
         cell,
-        former_leases_end: now + former,
+        former_leases_end: now + former_lease_bound,
         ownership_confirmed_at: now,
         check_in_flight: false,
-        position: next,
-        durable: next - 1,
+        position: next_position,
+        durable: next_position - 1,
         write_in_flight: false,
         last_write_at: Duration::ZERO,
         pending: Vec::new(),
@@ -163,16 +163,16 @@
         status: sender,
     };
     let actor = Owner::spawn(owner);
-    tokio::spawn(tick(actor.clone(), standing.clone()));
-    OwnerHandle { actor, standing }
+    tokio::spawn(tick(actor.clone(), status.clone()));
+    OwnerHandle { actor, status }
 }
 
-async fn tick(actor: ActorRef<Owner>, standing: watch::Receiver<OwnerStatus>) {
+async fn tick(actor: ActorRef<Owner>, status: watch::Receiver<OwnerStatus>) {
     let mut ticks = time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if *standing.borrow() == OwnerStatus::Ended || actor.ask(Tick).await.is_err() {
+        if *status.borrow() == OwnerStatus::Ended || actor.ask(Tick).await.is_err() {
             return;
         }
     }
@@ -180,19 +180,19 @@
 
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each is a call under way, or the end"
+    reason = "each flag is a call in flight, or the handover"
 )]
 pub(crate) struct Owner {
     pub(crate) deps: OwnerDeps,
     pub(crate) terms: LeaseTerms,
     pub(crate) planner: Planner,
     pub(crate) cell: Cell,
-    /// Leases of earlier owners end by this time.
+    /// Time by which the leases of earlier owners have expired.
     pub(crate) former_leases_end: Duration,
-    /// Start of the last call that proved the ownership.
+    /// Start of the last store call that confirmed the ownership.
     pub(crate) ownership_confirmed_at: Duration,
     pub(crate) check_in_flight: bool,
-    /// Position of the entry that new facts go to.
+    /// Position of the log entry that will contain new records.
     pub(crate) position: u64,
     pub(crate) durable: u64,
     pub(crate) write_in_flight: bool,
@@ -245,7 +245,7 @@
         actor.kill();
     }
 
-    /// Writes pending facts when no entry is under way and the pause is over.
+    /// Writes the pending records if no write is in flight and the commit interval has passed.
     pub(crate) fn flush(&mut self, actor: &ActorRef<Self>) {
         let paused = self.now() < self.last_write_at + self.deps.settings.commit;
         let last = self.handing_over && self.pending.is_empty();
@@ -254,16 +254,16 @@
         {
             return;
         }
-        let facts = std::mem::take(&mut self.pending);
+        let records = std::mem::take(&mut self.pending);
         let body = if last {
             Body::Handover
         } else {
-            Body::Facts(facts)
+            Body::Facts(records)
         };
         let bytes = match self.journal.encode(body) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::error!(cell = %self.deps.name, %error, "an entry cannot be written");
+                tracing::error!(cell = %self.deps.name, %error, "log entry could not be encoded");
                 self.step_down("an entry cannot be written", actor);
                 return;
             }
@@ -288,7 +288,7 @@
         });
     }
 
-    /// Answers callers whose entries are durable.
+    /// Sends the replies whose log entries are durable.
     pub(crate) fn send_durable_replies(&mut self) {
         while self
             .replies
@@ -305,11 +305,11 @@
         &mut self,
         reply: oneshot::Sender<Verdict>,
         verdict: Verdict,
-        fact: Option<Fact>,
+        record: Option<Fact>,
     ) {
-        // Without a fact of its own the verdict may rest on one that is pending.
-        let pending = fact.is_some() || !self.pending.is_empty();
-        self.pending.extend(fact);
+        // A verdict without a record of its own may depend on a record that is still pending.
+        let pending = record.is_some() || !self.pending.is_empty();
+        self.pending.extend(record);
         let position = if pending {
             self.position
         } else {
@@ -321,14 +321,16 @@
 
     pub(crate) fn call_workers(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
-        // Nothing may be renewed long after the ownership was last proved.
+        // No lease is renewed once the last confirmed ownership is older than the horizon.
         let renewing =
             now < self.ownership_confirmed_at + self.deps.settings.horizon && !self.handing_over;
         let due: Vec<Arc<str>> = self
             .cell
             .workers
             .iter()
-            .filter(|(name, host)| host.address.is_some() && self.is_due(name, host, now))
+            .filter(|(name, worker_state)| {
+                worker_state.address.is_some() && self.is_due(name, worker_state, now)
+            })
             .map(|(name, _)| name.clone())
             .collect();
         for worker in due {
@@ -339,45 +341,48 @@
     pub(crate) fn is_due(
         &self,
         name: &Arc<str>,
-        host: &crate::worker_state::WorkerState,
+        worker_state: &crate::worker_state::WorkerState,
         now: Duration,
     ) -> bool {
-        let Some(called) = host.last_called else {
+        let Some(last_called) = worker_state.last_called else {
             return true;
         };
-        let since = now.saturating_sub(called);
-        let silent = host.session.since_last_report(now) > self.deps.settings.renew * 2;
-        let news = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
-        !host.call_in_flight
-            && (news || since >= self.deps.settings.renew || silent && since >= RETRY_INTERVAL)
+        let since_call = now.saturating_sub(last_called);
+        let silent = worker_state.session.since_last_report(now) > self.deps.settings.renew * 2;
+        let has_updates = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
+        !worker_state.call_in_flight
+            && (has_updates
+                || since_call >= self.deps.settings.renew
+                || silent && since_call >= RETRY_INTERVAL)
     }
 
     pub(crate) fn call(&mut self, worker: &Arc<str>, renew: bool, actor: &ActorRef<Self>) {
-        let moment = self.step_context();
-        let Some(sync) =
-            reconcile::prepare_sync(&mut self.cell, worker, &self.terms, renew, moment)
+        let step = self.step_context();
+        let Some(sync) = reconcile::prepare_sync(&mut self.cell, worker, &self.terms, renew, step)
         else {
             return;
         };
-        let Some(host) = self.cell.workers.get_mut(worker) else {
+        let Some(worker_state) = self.cell.workers.get_mut(worker) else {
+            return;
+        };
+        let Some(address) = worker_state.address else {
             return;
         };
-        let Some(address) = host.address else { return };
-        host.last_called = Some(moment.now);
-        host.call_in_flight = true;
+        worker_state.last_called = Some(step.now);
+        worker_state.call_in_flight = true;
         self.deps.metrics.calls.inc();
-        let (tool, actor, worker) = (
+        let (client, actor, worker) = (
             self.deps.worker_client.clone(),
             actor.clone(),
             worker.clone(),
         );
         tokio::spawn(async move {
-            let answer = tool.sync(address, &sync).await;
+            let answer = client.sync(address, &sync).await;
             let _ = actor.tell(WorkerAnswered { worker, answer }).await;
         });
     }
 
-    /// Proves the ownership while there is nothing to write.
+    /// Checks that no other owner has written to the log, while there is nothing to write.
     pub(crate) fn verify_ownership(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
         if self.check_in_flight
@@ -402,8 +407,8 @@
 
     pub(crate) fn snapshot(&mut self, actor: &ActorRef<Self>) {
         let due = self.entries_since_snapshot >= self.deps.settings.snapshot;
-        let whole = self.pending.is_empty() && !self.write_in_flight;
-        if self.snapshot_in_flight || !due || !whole || self.handing_over {
+        let nothing_pending = self.pending.is_empty() && !self.write_in_flight;
+        if self.snapshot_in_flight || !due || !nothing_pending || self.handing_over {
             return;
         }
         let Ok(state) = record::encode(self.cell.durable_state()) else {
@@ -415,8 +420,8 @@
         self.deps.metrics.snapshot_bytes.inc_by(state.len() as u64);
         let (journal, actor, position) = (self.journal.clone(), actor.clone(), self.durable);
         tokio::spawn(async move {
-            let done = journal.snapshot(position, state.into()).await;
-            let _ = actor.tell(SnapshotWritten { done }).await;
+            let result = journal.snapshot(position, state.into()).await;
+            let _ = actor.tell(SnapshotWritten { result }).await;
         });
     }
 
@@ -424,27 +429,27 @@
         let now = self.now();
         for instance in instances {
             self.cell.resize_worker(&instance.name, instance.resources);
-            let bound = self.former_leases_end;
-            let Some(host) = self.cell.workers.get_mut(&instance.name) else {
+            let lease_bound = self.former_leases_end;
+            let Some(worker_state) = self.cell.workers.get_mut(&instance.name) else {
                 continue;
             };
-            if host.address.is_none() && host.last_called.is_none() {
-                host.session = Session::new(bound);
+            if worker_state.address.is_none() && worker_state.last_called.is_none() {
+                worker_state.session = Session::new(lease_bound);
             }
-            host.address = Some(instance.address);
-            host.listed_phase = instance.phase;
-            host.absent_since = None;
-            host.rack = instance.rack.clone();
+            worker_state.address = Some(instance.address);
+            worker_state.listed_phase = instance.phase;
+            worker_state.absent_since = None;
+            worker_state.rack = instance.rack.clone();
         }
-        for (name, host) in &mut self.cell.workers {
+        for (name, worker_state) in &mut self.cell.workers {
             let listed = instances.iter().any(|instance| instance.name == *name);
             if !listed {
-                host.absent_since.get_or_insert(now);
+                worker_state.absent_since.get_or_insert(now);
             }
         }
-        self.cell
-            .workers
-            .retain(|_, host| host.absent_since.is_none() || !host.tasks.is_empty());
+        self.cell.workers.retain(|_, worker_state| {
+            worker_state.absent_since.is_none() || !worker_state.tasks.is_empty()
+        });
     }
 
     pub(crate) fn publish(&self) {
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -1,7 +1,7 @@
-//! Decisions of a cell's owner: what to place, evict and give up as lost.
+//! Placement, eviction and detection of lost attempts for the tasks of one cell.
 //!
-//! Each decision becomes a fact that is applied at once, so that the next one
-//! sees it; nothing is done at a worker before the fact is durable.
+//! Each decision becomes a log record that is applied to the cell immediately, so that the next
+//! decision sees its effect. No command is sent to a worker before the record is durable.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -25,72 +25,73 @@
 use crate::worker_report;
 use crate::worker_state::{Work, WorkerState};
 
-/// Queued tasks of one account that are looked at for one that may start.
+/// Number of tasks at the head of an account's queue that are considered for placement.
 const LOOK_AHEAD: usize = 16;
-/// Facts in one round, so that a log entry stays small.
-pub const MAX_FACTS_PER_ROUND: usize = 2000;
-/// An ended job is shown this long.
+/// Maximum number of log records per planning round, which keeps log entries small.
+pub const MAX_RECORDS_PER_ROUND: usize = 2000;
+/// Time for which an ended job can still be queried.
 const ENDED_JOB_RETENTION: Duration = Duration::from_mins(30);
-/// Cost of a worker on which the task failed before.
+/// Cost added to a worker on which the task has failed before.
 const FAILED_BEFORE_COST: f64 = 1000.0;
-/// A worker held back for an urgent task is let go after this time.
+/// Time after which a worker reserved for an urgent or latency-critical task is released.
 const RESERVATION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A worker held back until a task can start on it.
+/// Worker reserved for a queued task until that task can start on it.
 #[derive(Clone, Debug)]
 struct Reservation {
     worker: Arc<str>,
     until: Duration,
 }
 
-/// Decides for one cell.
+/// Planner of one cell.
 pub struct Planner {
-    fit: Box<dyn PlacementPolicy>,
+    policy: Box<dyn PlacementPolicy>,
     terms: LeaseTerms,
-    harm: InterferenceModel,
+    model: InterferenceModel,
     reservations: BTreeMap<TaskId, Reservation>,
-    /// Shapes that found no worker in this round. A round only takes room away, so
-    /// what did not fit once does not fit again.
+    /// Resources and classes of tasks that fitted no worker in this round. A round only consumes
+    /// capacity, so what did not fit once does not fit later in the round.
     unplaceable: Vec<(Resources, Class)>,
-    /// Shapes for which nothing could be evicted in this round.
+    /// Resources for which no eviction could free enough capacity in this round.
     without_victims: Vec<Resources>,
 }
 
 impl Planner {
-    /// A planner that chooses workers by `fit`.
+    /// Creates a planner that chooses workers by the cost that `policy` returns.
     #[must_use]
-    pub fn new(fit: Box<dyn PlacementPolicy>, terms: LeaseTerms) -> Self {
+    pub fn new(policy: Box<dyn PlacementPolicy>, terms: LeaseTerms) -> Self {
         Self {
-            fit,
+            policy,
             terms,
-            harm: InterferenceModel::default(),
+            model: InterferenceModel::default(),
             reservations: BTreeMap::new(),
             unplaceable: Vec::new(),
             without_victims: Vec::new(),
         }
     }
 
-    /// One round of decisions; the facts belong to the entry at `position`.
+    /// Runs one planning round; the returned records belong to the log entry at `position`.
     pub fn plan_round(&mut self, cell: &mut Cell, position: u64, now: Duration) -> Vec<Fact> {
-        let mut facts = Vec::new();
-        self.record_lost_attempts(cell, &mut facts, position, now);
-        drain_leaving(cell, &mut facts, position, now);
-        expire_ended_jobs(cell, &mut facts, position, now);
-        self.reservations.retain(|task, pledge| {
+        let mut records = Vec::new();
+        self.record_lost_attempts(cell, &mut records, position, now);
+        drain_leaving(cell, &mut records, position, now);
+        expire_ended_jobs(cell, &mut records, position, now);
+        self.reservations.retain(|task, reservation| {
             let queued = cell
                 .task(*task)
                 .is_some_and(|(task, _)| task.phase == Phase::Queued);
-            queued && pledge.until > now
+            queued && reservation.until > now
         });
         self.unplaceable.clear();
         self.without_victims.clear();
-        for rank in PRIORITIES {
-            self.place_queued(cell, rank, &mut facts, position, now);
+        for priority in PRIORITIES {
+            self.place_queued(cell, priority, &mut records, position, now);
         }
-        facts
+        records
     }
 
-    /// Learns from a worker's report and acts on services that are over target.
+    /// Updates the interference model from a worker's report, and throttles or evicts batch tasks
+    /// beside services that are over their latency target.
     pub fn observe(
         &mut self,
         cell: &mut Cell,
@@ -99,36 +100,36 @@
         position: u64,
         now: Duration,
     ) -> Vec<Fact> {
-        let mut facts = Vec::new();
+        let mut records = Vec::new();
         if let Action::Evict(id) =
-            worker_report::process_report(cell, &mut self.harm, worker, report, now)
+            worker_report::process_report(cell, &mut self.model, worker, report, now)
         {
             let number = cell.task(id).map_or(0, |(task, _)| task.attempt);
             let attempt = Attempt { task: id, number };
-            record(cell, &mut facts, Fact::Evicting(attempt), position, now);
+            apply_record(cell, &mut records, Fact::Evicting(attempt), position, now);
         }
-        facts
+        records
     }
 
-    /// What was learned of harm.
+    /// Returns the interference model that was learned from reports.
     #[must_use]
-    pub fn harm(&self) -> &InterferenceModel {
-        &self.harm
+    pub fn model(&self) -> &InterferenceModel {
+        &self.model
     }
 
     fn record_lost_attempts(
         &self,
         cell: &mut Cell,
-        facts: &mut Vec<Fact>,
+        records: &mut Vec<Fact>,
         position: u64,
         now: Duration,
     ) {
         let lost: Vec<TaskId> = cell
             .workers
             .values()
-            .filter(|host| self.is_lost(host, now))
-            .flat_map(|host| host.tasks.iter().copied())
-            .take(MAX_FACTS_PER_ROUND)
+            .filter(|worker_state| self.is_lost(worker_state, now))
+            .flat_map(|worker_state| worker_state.tasks.iter().copied())
+            .take(MAX_RECORDS_PER_ROUND)
             .collect();
         for id in lost {
             let Some((task, _)) = cell.task(id) else {
@@ -138,54 +139,64 @@
                 task: id,
                 number: task.attempt,
             };
-            record(cell, facts, Fact::Ended(attempt, End::Lost), position, now);
+            apply_record(
+                cell,
+                records,
+                Fact::Ended(attempt, End::Lost),
+                position,
+                now,
+            );
         }
     }
 
-    /// Whether every lease that the worker may hold has ended for certain.
-    fn is_lost(&self, host: &WorkerState, now: Duration) -> bool {
-        let lapsed = now >= host.session.lease_bound();
-        let wait = self.terms.lease + self.terms.margin;
-        let gone = host.absent_since.is_some_and(|since| now >= since + wait);
-        !host.tasks.is_empty() && (lapsed || (gone && host.session.since_last_report(now) >= wait))
+    /// Returns whether every lease that the worker may hold has certainly expired.
+    fn is_lost(&self, worker_state: &WorkerState, now: Duration) -> bool {
+        let lease_expired = now >= worker_state.session.lease_bound();
+        let lease_time = self.terms.lease + self.terms.margin;
+        let absent_too_long = worker_state
+            .absent_since
+            .is_some_and(|since| now >= since + lease_time);
+        !worker_state.tasks.is_empty()
+            && (lease_expired
+                || (absent_too_long && worker_state.session.since_last_report(now) >= lease_time))
     }
 
     fn place_queued(
         &mut self,
         cell: &mut Cell,
-        rank: Priority,
-        facts: &mut Vec<Fact>,
+        priority: Priority,
+        records: &mut Vec<Fact>,
         position: u64,
         now: Duration,
     ) {
-        let mut turns: BinaryHeap<Reverse<(u64, Arc<str>)>> = cell
+        let mut accounts: BinaryHeap<Reverse<(u64, Arc<str>)>> = cell
             .backlog()
-            .accounts(rank)
+            .accounts(priority)
             .map(|name| quota_share_order(cell, name))
             .collect();
-        while let Some(Reverse((_, account))) = turns.pop() {
-            if facts.len() >= MAX_FACTS_PER_ROUND {
+        while let Some(Reverse((_, account))) = accounts.pop() {
+            if records.len() >= MAX_RECORDS_PER_ROUND {
                 return;
             }
-            if self.place_next(cell, rank, &account, facts, position, now) {
-                turns.push(quota_share_order(cell, &account));
+            if self.place_next(cell, priority, &account, records, position, now) {
+                accounts.push(quota_share_order(cell, &account));
             }
         }
     }
 
-    /// Places one task of an account; false when none of those looked at can start.
+    /// Places one task of an account; returns false if none of those considered can start.
     fn place_next(
         &mut self,
         cell: &mut Cell,
-        rank: Priority,
+        priority: Priority,
         account: &Arc<str>,
-        facts: &mut Vec<Fact>,
+        records: &mut Vec<Fact>,
         position: u64,
         now: Duration,
     ) -> bool {
         let queued: Vec<TaskId> = cell
             .backlog()
-            .queued(rank, account)
+            .queued(priority, account)
             .take(LOOK_AHEAD)
             .collect();
         for id in queued {
@@ -193,26 +204,26 @@
                 continue;
             };
             let (needs, class) = (submission.needs, submission.class);
-            let quota = cell
+            let within_quota = cell
                 .accounts()
                 .get(account)
-                .is_some_and(|held| held.pool.can_allocate(&needs));
-            if task.retry_at > now || !quota {
+                .is_some_and(|usage| usage.pool.can_allocate(&needs));
+            if task.retry_at > now || !within_quota {
                 continue;
             }
             let number = task.attempt + 1;
-            let full =
+            let no_fit =
                 self.unplaceable.contains(&(needs, class)) && !self.reservations.contains_key(&id);
-            let chosen = if full {
+            let chosen = if no_fit {
                 None
             } else {
-                self.choose_worker(cell, id, rank, now)
+                self.choose_worker(cell, id, priority, now)
             };
             if let Some((worker, boot)) = chosen {
                 let attempt = Attempt { task: id, number };
-                record(
+                apply_record(
                     cell,
-                    facts,
+                    records,
                     Fact::Placed {
                         attempt,
                         worker,
@@ -225,11 +236,11 @@
                 self.set_initial_speed(cell, id, now);
                 return true;
             }
-            if !full && !self.reservations.contains_key(&id) {
+            if !no_fit && !self.reservations.contains_key(&id) {
                 self.unplaceable.push((needs, class));
             }
-            if rank != Priority::Batch && !self.without_victims.contains(&needs) {
-                self.evict_and_reserve(cell, id, facts, position, now);
+            if priority != Priority::Batch && !self.without_victims.contains(&needs) {
+                self.evict_and_reserve(cell, id, records, position, now);
             }
         }
         false
@@ -239,7 +250,7 @@
         &self,
         cell: &Cell,
         id: TaskId,
-        rank: Priority,
+        priority: Priority,
         now: Duration,
     ) -> Option<(Arc<str>, u64)> {
         let (task, submission) = cell.task(id)?;
@@ -247,31 +258,31 @@
             class: submission.class,
             kind: cell.job(id.job)?.kind_id,
         };
-        let pledged = self.reserved_for_others(id, rank);
+        let reserved = self.reserved_for_others(id, priority);
         let mut best: Option<(f64, &Arc<str>, u64)> = None;
-        for (name, host) in &cell.workers {
-            let open = host.pool().can_allocate(&submission.needs)
-                && host.accepts_attempts(now, &self.terms);
-            let Some(boot) = host
+        for (name, worker_state) in &cell.workers {
+            let available = worker_state.pool().can_allocate(&submission.needs)
+                && worker_state.accepts_attempts(now, &self.terms);
+            let Some(boot) = worker_state
                 .session
                 .boot()
-                .filter(|_| open && !pledged.contains(name))
+                .filter(|_| available && !reserved.contains(name))
             else {
                 continue;
             };
             let site = CandidateHost {
-                host,
+                host: worker_state,
                 needs: &submission.needs,
                 work,
-                model: &self.harm,
+                model: &self.model,
                 now,
             };
-            let Some(cost) = self.fit.cost(&site) else {
+            let Some(cost) = self.policy.cost(&site) else {
                 continue;
             };
-            // A task that failed somewhere goes elsewhere while there is an elsewhere.
-            let again = f64::from(u8::from(task.failed_on.contains(name)));
-            let cost = cost + FAILED_BEFORE_COST * again;
+            // A worker on which the task failed is chosen only if no other worker fits.
+            let failed_before = f64::from(u8::from(task.failed_on.contains(name)));
+            let cost = cost + FAILED_BEFORE_COST * failed_before;
             if best.is_none_or(|(least, _, _)| cost < least) {
                 best = Some((cost, name, boot));
             }
@@ -279,56 +290,60 @@
         best.map(|(_, name, boot)| (name.clone(), boot))
     }
 
-    /// Lets a placed batch task begin as slowly as the services beside it need.
+    /// Sets the initial speed of a placed batch task to what the services on the same worker
+    /// tolerate.
     fn set_initial_speed(&self, cell: &mut Cell, id: TaskId, now: Duration) {
         let Some((task, submission)) = cell.task(id) else {
             return;
         };
-        let Some(place) = task
+        let Some(placement) = task
             .phase
             .placement()
             .filter(|_| submission.class == Class::Batch)
         else {
             return;
         };
-        let (needs, worker) = (submission.needs, place.worker.clone());
+        let (needs, worker) = (submission.needs, placement.worker.clone());
         let work = Work {
             class: Class::Batch,
             kind: cell.job(id.job).map_or(0, |job| job.kind_id),
         };
-        let Some(host) = cell.workers.get_mut(&worker) else {
+        let Some(worker_state) = cell.workers.get_mut(&worker) else {
             return;
         };
         let site = CandidateHost {
-            host,
+            host: worker_state,
             needs: &needs,
             work,
-            model: &self.harm,
+            model: &self.model,
             now,
         };
-        let (percent, feared) = (
-            self.fit.starting_percent(&site),
+        let (percent, interference) = (
+            self.policy.starting_percent(&site),
             site.expected_interference(),
         );
-        host.guard.start_throttled(id, percent, now);
-        host.pending_interference
-            .push((now, feared * f64::from(percent) / 100.0));
+        worker_state.guard.start_throttled(id, percent, now);
+        worker_state
+            .pending_interference
+            .push((now, interference * f64::from(percent) / 100.0));
     }
 
-    /// Workers held back for others.
-    fn reserved_for_others(&self, id: TaskId, rank: Priority) -> BTreeSet<Arc<str>> {
-        if rank == Priority::Urgent || self.reservations.is_empty() {
+    /// Returns the workers reserved for other tasks; urgent tasks ignore reservations.
+    fn reserved_for_others(&self, id: TaskId, priority: Priority) -> BTreeSet<Arc<str>> {
+        if priority == Priority::Urgent || self.reservations.is_empty() {
             return BTreeSet::new();
         }
         let others = self.reservations.iter().filter(|(task, _)| **task != id);
-        others.map(|(_, pledge)| pledge.worker.clone()).collect()
+        others
+            .map(|(_, reservation)| reservation.worker.clone())
+            .collect()
     }
 
     fn evict_and_reserve(
         &mut self,
         cell: &mut Cell,
         id: TaskId,
-        facts: &mut Vec<Fact>,
+        records: &mut Vec<Fact>,
         position: u64,
         now: Duration,
     ) {
@@ -344,7 +359,7 @@
             return;
         };
         for victim in victims {
-            record(cell, facts, Fact::Evicting(victim), position, now);
+            apply_record(cell, records, Fact::Evicting(victim), position, now);
         }
         self.reservations.insert(
             id,
@@ -356,29 +371,36 @@
     }
 }
 
-/// Accounts that hold the smallest share of their quota come first.
+/// Returns a heap key under which accounts that use the smallest share of their quota come first.
 fn quota_share_order(cell: &Cell, account: &Arc<str>) -> Reverse<(u64, Arc<str>)> {
-    let share = cell.accounts().get(account).map_or(0.0, |held| {
-        held.pool
+    let share = cell.accounts().get(account).map_or(0.0, |usage| {
+        usage
+            .pool
             .allocated()
-            .dominant_share_of(held.pool.capacity())
+            .dominant_share_of(usage.pool.capacity())
     });
-    // Non-negative floats order as their bits do.
+    // Non-negative floats sort in the same order as their bit patterns.
     Reverse((share.to_bits(), account.clone()))
 }
 
-fn record(cell: &mut Cell, facts: &mut Vec<Fact>, fact: Fact, position: u64, now: Duration) {
-    cell.apply(&fact, position, now);
-    facts.push(fact);
+fn apply_record(
+    cell: &mut Cell,
+    records: &mut Vec<Fact>,
+    record: Fact,
+    position: u64,
+    now: Duration,
+) {
+    cell.apply(&record, position, now);
+    records.push(record);
 }
 
-/// Moves tasks off workers that are leaving.
-fn drain_leaving(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
+/// Evicts the tasks placed on workers that are leaving.
+fn drain_leaving(cell: &mut Cell, records: &mut Vec<Fact>, position: u64, now: Duration) {
     let leaving: Vec<TaskId> = cell
         .workers
         .values()
-        .filter(|host| host.listed_phase == endpoint::Phase::Leaving)
-        .flat_map(|host| host.tasks.iter().copied())
+        .filter(|worker_state| worker_state.listed_phase == endpoint::Phase::Leaving)
+        .flat_map(|worker_state| worker_state.tasks.iter().copied())
         .collect();
     for id in leaving {
         let Some((task, _)) = cell.task(id) else {
@@ -389,13 +411,13 @@
                 task: id,
                 number: task.attempt,
             };
-            record(cell, facts, Fact::Evicting(attempt), position, now);
+            apply_record(cell, records, Fact::Evicting(attempt), position, now);
         }
     }
 }
 
-fn expire_ended_jobs(cell: &mut Cell, facts: &mut Vec<Fact>, position: u64, now: Duration) {
-    let old: Vec<u32> = cell
+fn expire_ended_jobs(cell: &mut Cell, records: &mut Vec<Fact>, position: u64, now: Duration) {
+    let expired: Vec<u32> = cell
         .durable_state()
         .jobs
         .iter()
@@ -403,14 +425,14 @@
             job.is_over() && job.ended_at.unwrap_or_default() + ENDED_JOB_RETENTION < now
         })
         .map(|(number, _)| *number)
-        .take(MAX_FACTS_PER_ROUND)
+        .take(MAX_RECORDS_PER_ROUND)
         .collect();
-    for number in old {
-        record(cell, facts, Fact::Forgotten(number), position, now);
+    for number in expired {
+        apply_record(cell, records, Fact::Forgotten(number), position, now);
     }
 }
 
-/// Checks a submission and records it.
+/// Validates a submission and records it as a job.
 pub fn submit(
     cell: &mut Cell,
     submission: Submission,
@@ -432,12 +454,13 @@
     if let Some(reason) = infeasible_reason(cell, &submission) {
         return (Verdict::Never(reason.into()), None);
     }
-    let fact = Fact::Submitted(Box::new(submission));
-    cell.apply(&fact, position, now);
-    (Verdict::Accepted, Some(fact))
+    let record = Fact::Submitted(Box::new(submission));
+    cell.apply(&record, position, now);
+    (Verdict::Accepted, Some(record))
 }
 
-/// The quota may have changed between two submissions of the same work.
+/// Returns whether two submissions ask for the same work. Their quotas are not compared, because
+/// the quota may have changed in between.
 fn is_same_work(one: &Submission, other: &Submission) -> bool {
     one.kind == other.kind
         && one.tasks == other.tasks
@@ -459,8 +482,12 @@
             submission.quota
         ));
     }
-    let listed = || cell.workers.values().filter(|host| host.address.is_some());
-    let possible = listed().any(|host| needs.fits_within(host.pool().capacity()));
+    let listed = || {
+        cell.workers
+            .values()
+            .filter(|worker_state| worker_state.address.is_some())
+    };
+    let possible = listed().any(|worker_state| needs.fits_within(worker_state.pool().capacity()));
     if possible || listed().next().is_none() {
         return None;
     }
@@ -486,7 +513,7 @@
     {
         return (Verdict::Known, None);
     }
-    let fact = Fact::Cancelled(number);
-    cell.apply(&fact, position, now);
-    (Verdict::Accepted, Some(fact))
+    let record = Fact::Cancelled(number);
+    cell.apply(&record, position, now);
+    (Verdict::Accepted, Some(record))
 }
--- a/ashtiller/src/task/reconcile.rs
+++ b/ashtiller/src/task/reconcile.rs
@@ -1,4 +1,4 @@
-//! What a cell's owner says to a worker, and what it learns from the answer.
+//! Requests of a cell's owner to its workers, and processing of the workers' reports.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,37 +10,37 @@
 use crate::job::Phase;
 use crate::session::{Change, Grant, LeaseTerms, ReportHeader};
 
-/// An end that a worker reported; acknowledged once its position is durable.
+/// Acknowledgement of an end that a worker reported; it is sent once its position is durable.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Ack {
-    /// Task by its name at workers.
+    /// Name of the task in messages to workers.
     pub task: Arc<str>,
-    /// Attempt.
+    /// Attempt number.
     pub attempt: u32,
-    /// Log position that must be durable first.
+    /// Log position that must be durable before the acknowledgement is sent.
     pub position: u64,
 }
 
-/// Position and time of a step, and the owner's epoch.
+/// Log positions, time and epoch that apply to one step of the owner.
 #[derive(Clone, Copy, Debug)]
 pub struct StepContext {
     /// Epoch of the owner.
     pub epoch: u64,
-    /// Position of the entry that new facts go to.
+    /// Position of the log entry that will contain new records.
     pub position: u64,
-    /// Newest position that is durable.
+    /// Highest log position that is durable.
     pub durable: u64,
-    /// Time.
+    /// Current time on the owner's clock.
     pub now: Duration,
 }
 
-/// The name of a task at workers.
+/// Returns the name of a task in messages to workers.
 #[must_use]
 pub fn task_name(account: &str, job: &str, id: TaskId) -> Arc<str> {
     format!("{account}/{job}/{id}").into()
 }
 
-/// Reads the number back from a task's name.
+/// Parses the task's identifier from a name made by [`task_name`].
 #[must_use]
 pub fn parse_task_name(name: &str) -> Option<TaskId> {
     let (job, index) = name.rsplit_once('/')?.1.split_once('.')?;
@@ -50,40 +50,38 @@
     })
 }
 
-/// Builds the next call to a worker; `renew` extends its lease.
+/// Builds the next request to a worker; with `renew` it extends the worker's lease.
 pub fn prepare_sync(
     cell: &mut Cell,
     worker: &Arc<str>,
     terms: &LeaseTerms,
     renew: bool,
-    moment: StepContext,
+    step: StepContext,
 ) -> Option<SyncRequest> {
-    let host = cell.workers.get_mut(worker)?;
-    let grant = host.session.grant(terms, renew);
-    let acks = host
+    let worker_state = cell.workers.get_mut(worker)?;
+    let grant = worker_state.session.grant(terms, renew);
+    let acks = worker_state
         .acks
         .iter()
-        .filter(|ack| ack.position <= moment.durable);
+        .filter(|ack| ack.position <= step.durable);
     let acks = acks.map(|ack| (ack.task.clone(), ack.attempt)).collect();
-    let host = cell.workers.get(worker)?;
-    let fenced = host.session.boot().is_some();
-    let known = if fenced { host.digest } else { 0 };
+    let worker_state = cell.workers.get(worker)?;
+    let fenced = worker_state.session.boot().is_some();
+    let known = if fenced { worker_state.digest } else { 0 };
     let mut commands: Vec<Command> = Vec::new();
     if fenced {
-        let tasks = host.tasks.iter();
-        commands.extend(tasks.filter_map(|id| command_for(cell, worker, *id, moment.durable)));
-        commands.extend(
-            host.unknown_attempts
-                .iter()
-                .map(|(task, attempt)| Command::Stop {
-                    task: task.clone(),
-                    attempt: *attempt,
-                }),
-        );
+        let tasks = worker_state.tasks.iter();
+        commands.extend(tasks.filter_map(|id| command_for(cell, worker, *id, step.durable)));
+        commands.extend(worker_state.unknown_attempts.iter().map(|(task, attempt)| {
+            Command::Stop {
+                task: task.clone(),
+                attempt: *attempt,
+            }
+        }));
     }
     let Grant { seq, boot, until } = grant;
     Some(SyncRequest {
-        epoch: moment.epoch,
+        epoch: step.epoch,
         seq,
         boot,
         until,
@@ -95,18 +93,18 @@
 
 fn command_for(cell: &Cell, worker: &Arc<str>, id: TaskId, durable: u64) -> Option<Command> {
     let (task, submission) = cell.task(id)?;
-    let host = cell.workers.get(worker)?;
-    let place = task.phase.placement()?;
-    if place.position > durable || Some(place.boot) != host.session.boot() {
+    let worker_state = cell.workers.get(worker)?;
+    let placement = task.phase.placement()?;
+    if placement.position > durable || Some(placement.boot) != worker_state.session.boot() {
         return None;
     }
     let name = task_name(&submission.account, &submission.job, id);
     let attempt = task.attempt;
     match task.phase {
-        Phase::Placed(_) if host.reported_speeds.contains_key(&id) => {
-            let percent = host.guard.percent(id);
-            let differs = host.reported_speeds.get(&id) != Some(&percent);
-            differs.then_some(Command::Throttle {
+        Phase::Placed(_) if worker_state.reported_speeds.contains_key(&id) => {
+            let percent = worker_state.guard.percent(id);
+            let speed_changed = worker_state.reported_speeds.get(&id) != Some(&percent);
+            speed_changed.then_some(Command::Throttle {
                 task: name,
                 attempt,
                 percent,
@@ -134,108 +132,113 @@
     }
 }
 
-/// Whether the next call to a worker would carry commands or acknowledgements.
+/// Returns whether the next request to a worker would carry commands or acknowledgements.
 #[must_use]
 pub fn has_pending_updates(cell: &Cell, worker: &Arc<str>, durable: u64) -> bool {
-    let Some(host) = cell.workers.get(worker) else {
+    let Some(worker_state) = cell.workers.get(worker) else {
         return false;
     };
-    host.acks.iter().any(|ack| ack.position <= durable)
-        || !host.unknown_attempts.is_empty()
-        || host
+    worker_state.acks.iter().any(|ack| ack.position <= durable)
+        || !worker_state.unknown_attempts.is_empty()
+        || worker_state
             .tasks
             .iter()
             .any(|id| command_for(cell, worker, *id, durable).is_some())
 }
 
-/// Takes a worker's answer; the facts are applied already.
+/// Processes a worker's report. The returned log records are already applied to the cell.
 pub fn apply_report(
     cell: &mut Cell,
     worker: &Arc<str>,
     report: &Report,
     terms: &LeaseTerms,
-    moment: StepContext,
+    step: StepContext,
 ) -> (Change, Vec<Fact>) {
-    let StepContext { epoch, now, .. } = moment;
-    let Some(host) = cell.workers.get_mut(worker) else {
+    let StepContext { epoch, now, .. } = step;
+    let Some(worker_state) = cell.workers.get_mut(worker) else {
         return (Change::Same, Vec::new());
     };
-    let answer = ReportHeader {
+    let header = ReportHeader {
         epoch: report.epoch,
         seq: report.seq,
         boot: report.boot,
         clock: report.clock,
     };
-    let change = host.session.handle_report(epoch, answer, terms, now);
+    let change = worker_state
+        .session
+        .handle_report(epoch, header, terms, now);
     let fenced = report.epoch == epoch || change == Change::Rebooted;
     if matches!(change, Change::Superseded | Change::Stale) || !fenced {
         return (change, Vec::new());
     }
-    let mut facts = Vec::new();
-    record_attempts_of_past_boots(cell, worker, report.boot, &mut facts, moment);
-    let digest = cell.workers.get(worker).map_or(0, |host| host.digest);
+    let mut records = Vec::new();
+    record_attempts_of_past_boots(cell, worker, report.boot, &mut records, step);
+    let digest = cell
+        .workers
+        .get(worker)
+        .map_or(0, |worker_state| worker_state.digest);
     if !report.unchanged || report.digest != digest {
         update_running(cell, worker, report);
     }
     for ended in &report.ended {
-        apply_end(cell, worker, ended, &mut facts, moment);
+        apply_end(cell, worker, ended, &mut records, step);
     }
-    let reported = &report.ended;
-    if let Some(host) = cell.workers.get_mut(worker) {
-        host.acks.retain(|ack| {
-            reported
+    let still_reported = &report.ended;
+    if let Some(worker_state) = cell.workers.get_mut(worker) {
+        worker_state.acks.retain(|ack| {
+            still_reported
                 .iter()
                 .any(|ended| ended.task == ack.task && ended.attempt == ack.attempt)
         });
     }
-    (change, facts)
+    (change, records)
 }
 
-/// Attempts of an earlier life of the worker do not run any more.
+/// Records attempts of earlier boots of the worker as lost, since they are no longer running.
 fn record_attempts_of_past_boots(
     cell: &mut Cell,
     worker: &Arc<str>,
     boot: u64,
-    facts: &mut Vec<Fact>,
-    moment: StepContext,
+    records: &mut Vec<Fact>,
+    step: StepContext,
 ) {
-    let Some(host) = cell.workers.get(worker) else {
+    let Some(worker_state) = cell.workers.get(worker) else {
         return;
     };
-    let lost: Vec<Attempt> = host
+    let lost: Vec<Attempt> = worker_state
         .tasks
         .iter()
         .filter_map(|id| {
             let (task, _) = cell.task(*id)?;
-            let former = task.phase.placement()?.boot != boot;
-            former.then_some(Attempt {
+            let earlier_boot = task.phase.placement()?.boot != boot;
+            earlier_boot.then_some(Attempt {
                 task: *id,
                 number: task.attempt,
             })
         })
         .collect();
     for attempt in lost {
-        record(cell, facts, Fact::Ended(attempt, End::Lost), moment);
+        apply_record(cell, records, Fact::Ended(attempt, End::Lost), step);
     }
 }
 
 fn update_running(cell: &mut Cell, worker: &Arc<str>, report: &Report) {
-    let mut seen = BTreeMap::new();
-    let mut strays = Vec::new();
+    let mut speeds = BTreeMap::new();
+    let mut unknown = Vec::new();
     for running in &report.running {
         let id = parse_task_name(&running.task);
-        let ours = id.is_some_and(|id| is_placed_on(cell, worker, id, running.attempt));
+        let placed_here = id.is_some_and(|id| is_placed_on(cell, worker, id, running.attempt));
         match id {
-            Some(id) if ours => {
-                seen.insert(id, running.speed);
+            Some(id) if placed_here => {
+                speeds.insert(id, running.speed);
             }
-            _ => strays.push((running.task.clone(), running.attempt)),
+            _ => unknown.push((running.task.clone(), running.attempt)),
         }
     }
-    if let Some(host) = cell.workers.get_mut(worker) {
-        host.reported_speeds = seen;
-        host.digest = if report.unchanged { 0 } else { report.digest };
-        host.unknown_attempts = strays;
+    if let Some(worker_state) = cell.workers.get_mut(worker) {
+        worker_state.reported_speeds = speeds;
+        worker_state.digest = if report.unchanged { 0 } else { report.digest };
+        worker_state.unknown_attempts = unknown;
     }
 }
 
@@ -244,7 +247,7 @@
         let here = task
             .phase
             .placement()
-            .is_some_and(|place| place.worker == *worker);
+            .is_some_and(|placement| placement.worker == *worker);
         here && task.attempt == attempt
     })
 }
@@ -253,8 +256,8 @@
     cell: &mut Cell,
     worker: &Arc<str>,
     ended: &Ended,
-    facts: &mut Vec<Fact>,
-    moment: StepContext,
+    records: &mut Vec<Fact>,
+    step: StepContext,
 ) {
     let active =
         parse_task_name(&ended.task).filter(|id| is_placed_on(cell, worker, *id, ended.attempt));
@@ -270,40 +273,40 @@
             task: id,
             number: ended.attempt,
         };
-        record(cell, facts, Fact::Ended(attempt, end), moment);
-        update_health(cell, worker, id, end, moment.now);
+        apply_record(cell, records, Fact::Ended(attempt, end), step);
+        update_health(cell, worker, id, end, step.now);
     }
-    let Some(host) = cell.workers.get_mut(worker) else {
+    let Some(worker_state) = cell.workers.get_mut(worker) else {
         return;
     };
-    let known = host
+    let known = worker_state
         .acks
         .iter()
         .any(|ack| ack.task == ended.task && ack.attempt == ended.attempt);
     if !known {
         let (task, attempt) = (ended.task.clone(), ended.attempt);
-        host.acks.push(Ack {
+        worker_state.acks.push(Ack {
             task,
             attempt,
-            position: moment.position,
+            position: step.position,
         });
     }
 }
 
 fn update_health(cell: &mut Cell, worker: &Arc<str>, id: TaskId, end: End, now: Duration) {
-    let Some(host) = cell.workers.get_mut(worker) else {
+    let Some(worker_state) = cell.workers.get_mut(worker) else {
         return;
     };
     match end {
-        End::Finished => host.record_success(),
-        End::Failed if host.record_failure(id, now) => {
-            tracing::warn!(%worker, "worker quarantined: it fails what it starts");
+        End::Finished => worker_state.record_success(),
+        End::Failed if worker_state.record_failure(id, now) => {
+            tracing::warn!(%worker, "worker quarantined because its tasks fail");
         }
         _ => {}
     }
 }
 
-fn record(cell: &mut Cell, facts: &mut Vec<Fact>, fact: Fact, moment: StepContext) {
-    cell.apply(&fact, moment.position, moment.now);
-    facts.push(fact);
+fn apply_record(cell: &mut Cell, records: &mut Vec<Fact>, record: Fact, step: StepContext) {
+    cell.apply(&record, step.position, step.now);
+    records.push(record);
 }
--- a/ashtiller/src/task/scheduler_metrics.rs
+++ b/ashtiller/src/task/scheduler_metrics.rs
@@ -1,4 +1,4 @@
-//! The scheduler's counters.
+//! Metrics of the scheduler.
 
 use std::sync::Arc;
 
@@ -7,13 +7,13 @@
 use crate::cell::Counts;
 use crate::counters::Counters;
 
-/// Counters of one scheduler, each registered under `ashtiller_scheduler_`.
+/// Metrics of one scheduler; their registered names begin with `ashtiller_scheduler_`.
 pub struct SchedulerMetrics {
     /// Log entries written.
     pub entries: IntCounter,
     /// Bytes of log entries.
     pub entry_bytes: IntCounter,
-    /// Snapshots begun.
+    /// Snapshots started.
     pub snapshots: IntCounter,
     /// Bytes of snapshots.
     pub snapshot_bytes: IntCounter,
@@ -25,10 +25,10 @@
 }
 
 impl SchedulerMetrics {
-    /// Registers the counters.
+    /// Registers the metrics.
     ///
     /// # Errors
-    /// One of them is registered already.
+    /// A metric of the same name is already registered.
     pub fn register(registry: &Registry) -> Result<Arc<Self>, prometheus::Error> {
         let counters = Counters::new(registry, "scheduler");
         let help = "Tasks by cell and what became of them since this owner began.";
@@ -46,7 +46,7 @@
         }))
     }
 
-    /// Shows a cell's counts.
+    /// Sets the gauges of a cell.
     pub fn publish(&self, cell: &str, counts: &Counts, running: usize, queued: usize) {
         let set = |state: &str, value: u64| {
             let gauge = self.tasks.with_label_values(&[cell, state]);
@@ -63,7 +63,7 @@
         set("given-up", counts.given_up);
     }
 
-    /// Forgets a cell that was released.
+    /// Removes the gauges of a cell that was released.
     pub fn remove_cell(&self, cell: &str) {
         let states = [
             "running", "queued", "placed", "finished", "failed", "evicted", "resumed", "lost",
--- a/ashtiller/src/task/session.rs
+++ b/ashtiller/src/task/session.rs
@@ -1,73 +1,73 @@
-//! The lease that a cell's owner grants to one worker, as a state machine.
+//! State machine of the lease that a cell's owner grants to one worker.
 //!
-//! The end of a lease is named on the worker's own clock: the clock of its last
-//! report plus the lease. A message that is late by any time, or sent by an owner
-//! that was paused, therefore extends nothing. For the same reason the owner
-//! knows a time on its own clock by which every lease it granted has ended.
+//! The end of a lease is a time on the worker's own clock: the clock reading of its last report
+//! plus the length of the lease. A message that is delayed by any time, or sent by an owner that
+//! was paused, therefore extends no lease. For the same reason the owner knows a time on its own
+//! clock by which every lease that it granted has expired.
 
 use std::time::Duration;
 
-/// Where a worker stands towards this owner.
+/// Whether a worker has acknowledged this owner's epoch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FenceState {
-    /// It has not answered this owner yet.
+    /// The worker has not answered this owner yet.
     Unfenced,
-    /// It has answered under this owner's epoch.
+    /// The worker has answered under this owner's epoch.
     Fenced {
-        /// Its boot number.
+        /// Boot number of the worker.
         boot: u64,
     },
 }
 
-/// Times that a session uses.
+/// Durations that determine a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTerms {
     /// Length of a lease.
     pub lease: Duration,
-    /// Allowance for drift.
+    /// Allowance for clock drift.
     pub margin: Duration,
 }
 
-/// A grant to send: number and end of the lease on the worker's clock.
+/// Lease grant that the next request carries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Grant {
-    /// Number within the epoch.
+    /// Sequence number of the request within the epoch.
     pub seq: u64,
-    /// Boot number expected; 0 for any.
+    /// Expected boot number; 0 for any.
     pub boot: u64,
-    /// End of the lease in milliseconds of the worker's clock; 0 grants nothing.
+    /// End of the lease on the worker's clock, in milliseconds; 0 grants no lease.
     pub until: u64,
 }
 
-/// What a report changes.
+/// Effect of a report on the session.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// First answer under this epoch.
+    /// First report under this epoch.
     Fenced,
-    /// The worker goes on as before.
+    /// Nothing changed.
     Same,
-    /// The worker restarted: nothing of its earlier life runs.
+    /// The worker restarted, so none of its earlier attempts is running.
     Rebooted,
     /// A newer owner has fenced the worker.
     Superseded,
-    /// The answer is older than one that was taken; it says nothing.
+    /// The report is older than one that was already processed, and is ignored.
     Stale,
 }
 
-/// What an answer says of the worker itself.
+/// Part of a report that describes the worker itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReportHeader {
     /// Highest epoch that the worker has seen.
     pub epoch: u64,
-    /// Highest number that it has seen in that epoch.
+    /// Highest sequence number that the worker has seen in that epoch.
     pub seq: u64,
-    /// Its boot number.
+    /// Boot number of the worker.
     pub boot: u64,
-    /// Its clock in milliseconds.
+    /// Reading of the worker's clock, in milliseconds.
     pub clock: u64,
 }
 
-/// One worker's lease.
+/// Lease state of one worker.
 #[derive(Clone, Debug)]
 pub struct Session {
     fence_state: FenceState,
@@ -79,26 +79,26 @@
 }
 
 impl Session {
-    /// A session whose worker may hold leases of earlier owners until `bound`.
+    /// Creates a session whose worker may hold leases of earlier owners until `lease_bound`.
     #[must_use]
-    pub fn new(bound: Duration) -> Self {
+    pub fn new(lease_bound: Duration) -> Self {
         Self {
             fence_state: FenceState::Unfenced,
             seq: 0,
             last_seq: 0,
             past_boots: Vec::new(),
             last_report: None,
-            lease_bound: bound,
+            lease_bound,
         }
     }
 
-    /// Where the worker stands.
+    /// Returns whether the worker has acknowledged this owner's epoch.
     #[must_use]
     pub fn fence_state(&self) -> FenceState {
         self.fence_state
     }
 
-    /// Boot number, once known.
+    /// Returns the worker's boot number, once known.
     #[must_use]
     pub fn boot(&self) -> Option<u64> {
         match self.fence_state {
@@ -107,20 +107,20 @@
         }
     }
 
-    /// Time by which every lease granted so far has ended.
+    /// Returns the time by which every lease granted so far has expired.
     #[must_use]
     pub fn lease_bound(&self) -> Duration {
         self.lease_bound
     }
 
-    /// Age of the last answer.
+    /// Returns the time since the last report, or `now` if there was none.
     #[must_use]
     pub fn since_last_report(&self, now: Duration) -> Duration {
         self.last_report
             .map_or(now, |(_, at)| now.saturating_sub(at))
     }
 
-    /// Prepares the next grant. Without `renew` it grants nothing new.
+    /// Prepares the next grant. Without `renew` it does not extend the lease.
     pub fn grant(&mut self, terms: &LeaseTerms, renew: bool) -> Grant {
         self.seq += 1;
         let boot = self.boot().unwrap_or(0);
@@ -140,48 +140,48 @@
         }
     }
 
-    /// Takes an answer that arrived at `now`; `epoch` is this owner's.
+    /// Processes a report that arrived at `now`; `epoch` is the epoch of this owner.
     pub fn handle_report(
         &mut self,
         epoch: u64,
-        answer: ReportHeader,
+        header: ReportHeader,
         terms: &LeaseTerms,
         now: Duration,
     ) -> Change {
-        if answer.epoch > epoch {
+        if header.epoch > epoch {
             return Change::Superseded;
         }
-        if self.is_stale(epoch, answer) {
+        if self.is_stale(epoch, header) {
             return Change::Stale;
         }
-        let fenced = answer.epoch == epoch;
+        let fenced = header.epoch == epoch;
         let change = match self.fence_state {
-            FenceState::Fenced { boot } if boot != answer.boot => Change::Rebooted,
+            FenceState::Fenced { boot } if boot != header.boot => Change::Rebooted,
             FenceState::Unfenced if fenced => Change::Fenced,
             _ => Change::Same,
         };
         if fenced {
-            self.last_seq = answer.seq;
+            self.last_seq = header.seq;
         }
         if change == Change::Rebooted {
             self.past_boots.extend(self.boot());
         }
         if change == Change::Fenced {
-            // Leases of earlier owners were granted before this clock reading.
+            // Earlier owners granted their leases before this clock reading.
             self.lease_bound = now + terms.lease + terms.margin;
         }
         if fenced || change == Change::Rebooted {
-            self.fence_state = FenceState::Fenced { boot: answer.boot };
-            self.last_report = Some((answer.clock, now));
+            self.fence_state = FenceState::Fenced { boot: header.boot };
+            self.last_report = Some((header.clock, now));
         }
         change
     }
 
-    /// Answers may overtake each other. Within an epoch their numbers tell; a life
-    /// of the worker that has ended does not come back.
-    fn is_stale(&self, epoch: u64, answer: ReportHeader) -> bool {
-        let older = answer.epoch == epoch && answer.seq <= self.last_seq;
-        let rebooted = self.boot().is_some_and(|boot| boot != answer.boot);
-        self.past_boots.contains(&answer.boot) || (older && !rebooted)
+    /// Returns whether a report arrived out of order. Within an epoch the sequence numbers show the
+    /// order; a past boot number does not come back.
+    fn is_stale(&self, epoch: u64, header: ReportHeader) -> bool {
+        let older = header.epoch == epoch && header.seq <= self.last_seq;
+        let rebooted = self.boot().is_some_and(|boot| boot != header.boot);
+        self.past_boots.contains(&header.boot) || (older && !rebooted)
     }
 }
