--- a/ashtiller/src/task/agent.rs
+++ b/ashtiller/src/task/agent.rs
@@ -1,8 +1,8 @@
-//! A worker, as a cell's owner talks to it.
+//! Protocol between a cell's owner and its workers.
 //!
-//! One call carries everything for one worker: the lease, commands for tasks and
-//! acknowledgements; the answer reports everything that runs. It is level
-//! triggered: what an answer lacks is sent again with the next call.
+//! One request carries everything for a worker: the lease, commands for tasks and acknowledgements.
+//! The response reports every running attempt. The protocol is level-triggered: a command whose
+//! effect is missing from the response is sent again with the next request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,82 +16,82 @@
 use crate::store::Called;
 use crate::web;
 
-/// Path of the call.
+/// HTTP path of the request.
 const SYNC_PATH: &str = "/v1/sync";
 
-/// What a worker is told to do.
+/// Command for a worker.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Command {
-    /// Run an attempt.
+    /// Starts an attempt.
     Start {
-        /// Task.
+        /// Name of the task.
         task: Arc<str>,
-        /// Attempt, counted from 1.
+        /// Attempt number, counted from 1.
         attempt: u32,
         /// Progress to resume from, in milliseconds of run time.
         progress: u64,
         /// Declared run time in milliseconds; 0 runs until stopped.
         length: u64,
     },
-    /// Write a checkpoint and stop.
+    /// Writes a checkpoint and stops the attempt.
     Evict {
-        /// Task.
+        /// Name of the task.
         task: Arc<str>,
-        /// Attempt.
+        /// Attempt number.
         attempt: u32,
     },
-    /// Stop without a checkpoint.
+    /// Stops the attempt without a checkpoint.
     Stop {
-        /// Task.
+        /// Name of the task.
         task: Arc<str>,
-        /// Attempt.
+        /// Attempt number.
         attempt: u32,
     },
-    /// Run at a share of full speed.
+    /// Limits the attempt to a share of full speed.
     Throttle {
-        /// Task.
+        /// Name of the task.
         task: Arc<str>,
-        /// Attempt.
+        /// Attempt number.
         attempt: u32,
         /// Share of full speed in percent, 1 to 100.
         percent: u32,
     },
 }
 
-/// Everything for one worker.
+/// Request that carries everything for one worker.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SyncRequest {
     /// Epoch of the cell's owner.
     pub epoch: u64,
-    /// Number of this call within the epoch.
+    /// Sequence number of this request within the epoch.
     pub seq: u64,
-    /// Boot number expected; 0 for any. Another life of the worker refuses it.
+    /// Expected boot number; 0 for any. A worker with another boot number refuses the request.
     pub boot: u64,
     /// End of the lease on the worker's clock, in milliseconds; 0 for none.
     pub until: u64,
-    /// Digest of the last report that was taken; 0 for none. A worker whose running
-    /// attempts have this digest need not list them again.
+    /// Digest of the last report that was processed; 0 for none. A worker whose running attempts
+    /// have this digest need not list them again.
     pub known: u64,
     /// Commands, in order.
     pub commands: Vec<Command>,
-    /// Ended attempts that the log has.
+    /// Ended attempts that are durable in the log, by task and attempt number.
     pub acks: Vec<(Arc<str>, u32)>,
 }
 
-/// How the worker says that an attempt ended.
+/// How an attempt ended, as the worker reports it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportedEnd {
-    /// All of its work is done.
+    /// The attempt completed its work.
     Finished,
-    /// It failed by itself.
+    /// The attempt failed.
     Failed,
-    /// It was stopped after a checkpoint.
+    /// The attempt was stopped after a checkpoint.
     Evicted,
-    /// It was stopped on command.
+    /// The attempt was stopped on command.
     Stopped,
-    /// The lease ended.
+    /// The worker's lease expired.
     Lapsed,
 }
 
@@ -99,17 +99,17 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Running {
-    /// Task.
+    /// Name of the task.
     pub task: Arc<str>,
-    /// Attempt.
+    /// Attempt number.
     pub attempt: u32,
-    /// Work done in milliseconds of run time.
+    /// Completed work in milliseconds of run time.
     pub progress: u64,
     /// Speed in percent of full speed.
     pub speed: u32,
     /// Tail latency of a service in microseconds, if it was measured.
     pub latency: Option<u64>,
-    /// Load of a service in percent of what it can do.
+    /// Load of a service in percent of its capacity.
     pub load: u32,
 }
 
@@ -129,9 +129,9 @@
 /// An ended attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ended {
-    /// Task.
+    /// Name of the task.
     pub task: Arc<str>,
-    /// Attempt.
+    /// Attempt number.
     pub attempt: u32,
     /// How it ended.
     pub end: ReportedEnd,
@@ -139,16 +139,16 @@
     pub progress: u64,
 }
 
-/// What a worker answers.
+/// Response of a worker.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Report {
-    /// Boot number.
+    /// Boot number of the worker.
     pub boot: u64,
     /// The worker's clock in milliseconds.
     pub clock: u64,
     /// Highest epoch seen.
     pub epoch: u64,
-    /// Highest number seen in that epoch.
+    /// Highest sequence number seen in that epoch.
     pub seq: u64,
     /// Age of the measurements in milliseconds.
     #[serde(default)]
@@ -156,19 +156,19 @@
     /// The worker's own digest of its running attempts and their speeds.
     #[serde(default)]
     pub digest: u64,
-    /// Whether the running attempts are those of the digest that the caller knows;
-    /// then only services with measurements are listed.
+    /// Whether the running attempts match the digest that the caller knows; in that case only
+    /// services with measurements are listed.
     #[serde(default)]
     pub unchanged: bool,
     /// Running attempts.
     pub running: Vec<Running>,
-    /// Ended attempts that are not acknowledged.
+    /// Ended attempts that are not yet acknowledged.
     pub ended: Vec<Ended>,
 }
 
-/// A worker.
+/// Client for calls to workers.
 pub trait WorkerClient: Send + std::marker::Sync {
-    /// Makes one call.
+    /// Sends one request to a worker and returns its report.
     fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report>;
 }
 
@@ -177,7 +177,7 @@
     limit: Duration,
 }
 
-/// Opens a client that talks JSON over HTTP; each call may take `limit`.
+/// Creates a client that sends JSON over HTTP; `limit` is the timeout of a call.
 #[must_use]
 pub fn open(limit: Duration) -> Arc<dyn WorkerClient> {
     Arc::new(HttpWorkerClient {
@@ -202,7 +202,7 @@
                     self.limit,
                 )
                 .await?;
-            // A refusal carries a report too.
+            // A refusal (409 Conflict) carries a report as well.
             if answer.status != StatusCode::OK && answer.status != StatusCode::CONFLICT {
                 return Err(Failure::unknown_effect("sync", worker, answer.status));
             }
--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -226,7 +226,7 @@
             class: job.submission.class,
             kind: job.kind_id,
         };
-        // The planner has checked `Pool::grants` before it created this record.
+        // The planner has checked `Pool::can_allocate` before it created this record.
         self.workers
             .entry(placement.worker.clone())
             .or_default()
--- a/ashtiller/src/task/explain.rs
+++ b/ashtiller/src/task/explain.rs
@@ -1,4 +1,4 @@
-//! A cell, an account or a job in words for operators.
+//! JSON description of a cell, an account or a job for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::resources::Resources;
 use crate::session::LeaseTerms;
 
-/// Entries of a list that are shown.
+/// Maximum number of entries in a list.
 const LIST_MAX: usize = 100;
 
 #[derive(Serialize)]
@@ -68,8 +68,8 @@
     waits: Option<String>,
 }
 
-/// Shows a cell, or only what belongs to `account` and `job`; empty names show
-/// all. Lists are cut at 100 entries.
+/// Describes a cell as JSON, or only what belongs to `account` and `job`; an empty name selects
+/// all. Lists are truncated after 100 entries.
 #[must_use]
 pub fn show(
     name: &Arc<str>,
@@ -80,17 +80,17 @@
     now: Duration,
 ) -> String {
     let wanted = |found: &str, asked: &str| asked.is_empty() || found == asked;
-    let whole = account.is_empty();
-    let rank = |rank: Priority| cell.backlog().priority_len(rank);
+    let whole_cell = account.is_empty();
+    let queued = |priority: Priority| cell.backlog().priority_len(priority);
     let view = CellView {
         cell: name.clone(),
         running: cell.running(),
         queued: cell.backlog().len(),
-        queued_urgent: rank(PRIORITIES[0]),
-        queued_critical: rank(PRIORITIES[1]),
-        queued_batch: rank(PRIORITIES[2]),
+        queued_urgent: queued(PRIORITIES[0]),
+        queued_critical: queued(PRIORITIES[1]),
+        queued_batch: queued(PRIORITIES[2]),
         counts: cell.counts(),
-        workers: if whole {
+        workers: if whole_cell {
             show_workers(cell, terms, now)
         } else {
             Vec::new()
@@ -112,18 +112,18 @@
 fn show_workers(cell: &Cell, terms: &LeaseTerms, now: Duration) -> Vec<WorkerView> {
     let shown = cell.workers.iter().take(LIST_MAX);
     shown
-        .map(|(worker, host)| WorkerView {
+        .map(|(worker, worker_state)| WorkerView {
             worker: worker.clone(),
             state: match () {
-                () if host.is_quarantined() => "quarantined",
-                () if host.absent_since.is_some() => "absent",
-                () if host.session.boot().is_none() => "not reached",
-                () if host.accepts_attempts(now, terms) => "live",
+                () if worker_state.is_quarantined() => "quarantined",
+                () if worker_state.absent_since.is_some() => "absent",
+                () if worker_state.session.boot().is_none() => "not reached",
+                () if worker_state.accepts_attempts(now, terms) => "live",
                 () => "leaving or silent",
             },
-            tasks: host.tasks.len(),
-            taken: host.pool().allocated().to_string(),
-            whole: host.pool().capacity().to_string(),
+            tasks: worker_state.tasks.len(),
+            taken: worker_state.pool().allocated().to_string(),
+            whole: worker_state.pool().capacity().to_string(),
         })
         .collect()
 }
@@ -135,12 +135,12 @@
         .filter(|(name, _)| wanted(name))
         .take(LIST_MAX);
     accounts
-        .map(|(name, held)| AccountView {
+        .map(|(name, usage)| AccountView {
             account: name.clone(),
-            taken: held.pool.allocated().to_string(),
-            quota: held.pool.capacity().to_string(),
+            taken: usage.pool.allocated().to_string(),
+            quota: usage.pool.capacity().to_string(),
             queued: cell.backlog().account_len(name),
-            evictions: held.eviction_times.len(),
+            evictions: usage.eviction_times.len(),
         })
         .collect()
 }
@@ -172,7 +172,7 @@
     }
 }
 
-/// Why a task waits, in one line; `None` when it does not.
+/// Describes in one line why a task waits; returns `None` if it does not wait.
 #[must_use]
 pub fn waiting_reason(
     cell: &Cell,
@@ -197,36 +197,40 @@
 ) -> String {
     let needs = submission.needs;
     if task.retry_at > now {
-        let pause = task.retry_at.saturating_sub(now).as_secs() + 1;
-        return format!("failed {} times; tried again in {pause} s", task.failures);
+        let wait_secs = task.retry_at.saturating_sub(now).as_secs() + 1;
+        return format!(
+            "failed {} times; tried again in {wait_secs} s",
+            task.failures
+        );
     }
-    let held = cell.accounts().get(&submission.account);
-    if let Some(held) = held.filter(|held| !held.pool.can_allocate(&needs)) {
-        let (taken, quota) = (held.pool.allocated(), held.pool.capacity());
+    let usage = cell.accounts().get(&submission.account);
+    if let Some(usage) = usage.filter(|usage| !usage.pool.can_allocate(&needs)) {
+        let (taken, quota) = (usage.pool.allocated(), usage.pool.capacity());
         return format!("over quota: needs {needs}; {taken} of {quota} taken");
     }
     let live = || {
         cell.workers
             .values()
-            .filter(|host| host.accepts_attempts(now, terms))
+            .filter(|worker_state| worker_state.accepts_attempts(now, terms))
     };
     if live().next().is_none() {
         return "no live worker in this cell".to_owned();
     }
-    if live().any(|host| host.pool().can_allocate(&needs)) {
-        let rank = Priority::of(submission);
-        let queued = cell.backlog().queued(rank, &submission.account);
+    if live().any(|worker_state| worker_state.pool().can_allocate(&needs)) {
+        let priority = Priority::of(submission);
+        let queued = cell.backlog().queued(priority, &submission.account);
         let ahead = queued.take_while(|queued| *queued != id).count();
         return format!("in turn: {ahead} tasks of the account are before it");
     }
-    let most = live()
-        .map(|host| host.pool().free())
-        .fold(Resources::default(), |most, free| {
-            if free.processors > most.processors {
+    let largest = live().map(|worker_state| worker_state.pool().free()).fold(
+        Resources::default(),
+        |largest, free| {
+            if free.processors > largest.processors {
                 free
             } else {
-                most
+                largest
             }
-        });
-    format!("no worker has {needs} free; the most is {most}")
+        },
+    );
+    format!("no worker has {needs} free; the most is {largest}")
 }
--- a/ashtiller/src/task/fact.rs
+++ b/ashtiller/src/task/fact.rs
@@ -1,4 +1,4 @@
-//! What a cell's log records.
+//! Entries of a cell's log.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 use crate::peer::Submission;
 
-/// A task of a job of one cell.
+/// Identifier of a task within its cell.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TaskId {
     /// Number of the job within the cell.
@@ -22,42 +22,42 @@
     }
 }
 
-/// One run of a task; attempts count from 1.
+/// One attempt to run a task.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Attempt {
-    /// Task.
+    /// Identifier of the task.
     pub task: TaskId,
-    /// Number of the attempt.
+    /// Attempt number, counted from 1.
     pub number: u32,
 }
 
-/// How an attempt ended.
+/// How an attempt ended, as recorded in the log.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum End {
-    /// All of its work is done.
+    /// The attempt completed its work.
     Finished,
-    /// It failed by itself.
+    /// The attempt failed.
     Failed,
-    /// It was stopped after a checkpoint with this progress in milliseconds.
+    /// The attempt was stopped after a checkpoint with this progress in milliseconds.
     Evicted(u64),
-    /// It was stopped on command.
+    /// The attempt was stopped on command.
     Stopped,
-    /// Its worker restarted, or lost its lease for certain.
+    /// The worker restarted, or its lease has certainly expired.
     Lost,
 }
 
-/// One recorded event.
+/// One event recorded in the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Fact {
     /// A job was accepted; it gets the next number.
     Submitted(Box<Submission>),
     /// A job was cancelled.
     Cancelled(u32),
-    /// An attempt was given to a worker in this life of the worker.
+    /// An attempt was placed on a worker that has this boot number.
     Placed {
-        /// Attempt.
+        /// Attempt that was placed.
         attempt: Attempt,
-        /// Worker.
+        /// Name of the worker.
         worker: Arc<str>,
         /// Boot number of the worker.
         boot: u64,
@@ -66,27 +66,27 @@
     Evicting(Attempt),
     /// An attempt ended.
     Ended(Attempt, End),
-    /// An ended job is forgotten.
+    /// An ended job was removed.
     Forgotten(u32),
 }
 
-/// What one log entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Body {
-    /// A new owner begins; times are those that it uses towards workers.
+    /// A new owner took over; the durations are those that it uses for leases to workers.
     Seal {
-        /// Owner.
+        /// Name of the owner.
         owner: Arc<str>,
-        /// Lease in milliseconds.
+        /// Length of a lease plus the drift margin, in milliseconds.
         lease: u64,
         /// Renewal horizon in milliseconds.
         horizon: u64,
-        /// Seconds since the Unix epoch, to know a seal's age.
+        /// Seconds since the Unix epoch, from which the age of the seal is computed.
         at: u64,
     },
     /// Events, in order.
     Facts(Vec<Fact>),
-    /// The owner has ended in a planned way and renews no lease any more.
+    /// The owner has handed the cell over and renews no leases.
     Handover,
 }
 
@@ -95,8 +95,8 @@
 pub struct Entry {
     /// Epoch of the writer.
     pub epoch: u64,
-    /// Random number of the writer's life, to tell its own entries.
+    /// Random number of this incarnation of the writer, by which it recognizes its own entries.
     pub writer: u64,
-    /// What happened.
+    /// Content of the entry.
     pub body: Body,
 }
--- a/ashtiller/src/task/job.rs
+++ b/ashtiller/src/task/job.rs
@@ -8,38 +8,38 @@
 use crate::interference_model::Kind;
 use crate::peer::Submission;
 
-/// Where a task stands.
+/// Phase of a task.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Phase {
-    /// It waits for a worker.
+    /// The task waits for a worker.
     Queued,
-    /// An attempt was given to a worker.
+    /// An attempt was placed on a worker.
     Placed(Placement),
     /// The attempt is to be checkpointed and stopped.
     Evicting(Placement),
     /// The attempt is to be stopped, because the job was cancelled.
     Stopping(Placement),
-    /// Its work is done.
+    /// The task completed its work.
     Finished,
-    /// It failed too often.
+    /// The task reached its failure limit.
     GivenUp,
-    /// It was cancelled and does not run any more.
+    /// The task was cancelled and no longer runs.
     Cancelled,
 }
 
-/// Where an attempt was placed.
+/// Worker and log position of a placed attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Placement {
-    /// Worker.
+    /// Name of the worker.
     pub worker: Arc<str>,
     /// Boot number of the worker.
     pub boot: u64,
-    /// Position of the newest log entry about it; it is acted on once that is durable.
+    /// Position of the newest log entry about the attempt; commands are sent once it is durable.
     pub position: u64,
 }
 
 impl Phase {
-    /// The place of an attempt that may run.
+    /// Returns the placement of an attempt that may be running.
     #[must_use]
     pub fn placement(&self) -> Option<&Placement> {
         match self {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Whether the task has ended for good.
+    /// Returns whether the task has ended for good.
     #[must_use]
     pub fn is_over(&self) -> bool {
         matches!(self, Self::Finished | Self::GivenUp | Self::Cancelled)
     }
 
-    /// The phase in one word, for operators.
+    /// Returns the name of the phase that operators see.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -69,26 +69,27 @@
     }
 }
 
-/// One task.
+/// State of one task.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Task {
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempt: u32,
     /// Progress of the last checkpoint in milliseconds.
     pub progress: u64,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failures: u32,
-    /// Workers on which it failed.
+    /// Workers on which an attempt failed.
     pub failed_on: Vec<Arc<str>>,
-    /// Not before this time on the owner's clock; begins anew with each owner.
+    /// Earliest time of the next attempt on the owner's clock; it is not stored, so a new owner
+    /// retries immediately.
     #[serde(skip)]
     pub retry_at: Duration,
 }
 
 impl Task {
-    /// A task that never ran.
+    /// Creates a task that has not run yet.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -108,27 +109,27 @@
     }
 }
 
-/// One job.
+/// State of one job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Job {
-    /// What was submitted.
+    /// Submission that created the job.
     pub submission: Submission,
-    /// Its tasks.
+    /// Tasks of the job.
     pub tasks: Vec<Task>,
-    /// Whether it was cancelled.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Tasks that have ended for good.
+    /// Number of tasks that have ended for good.
     pub over: u32,
-    /// When it ended, on the owner's clock.
+    /// Time at which the job ended, on the owner's clock; it is not stored.
     #[serde(skip)]
     pub ended_at: Option<Duration>,
-    /// Number of its kind of work in this owner.
+    /// Number of the job's kind of work, which each owner assigns anew.
     #[serde(skip)]
     pub kind_id: Kind,
 }
 
 impl Job {
-    /// A job whose tasks all wait.
+    /// Creates a job whose tasks are all queued.
     #[must_use]
     pub fn new(submission: Submission) -> Self {
         let tasks = (0..submission.tasks).map(|_| Task::new()).collect();
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Whether every task has ended for good.
+    /// Returns whether every task has ended for good.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.over as usize == self.tasks.len()
--- a/ashtiller/src/task/job_forwarder.rs
+++ b/ashtiller/src/task/job_forwarder.rs
@@ -1,4 +1,4 @@
-//! Jobs on their way from a gateway to the cell that owns them.
+//! Forwarding of job requests from a gateway to the owner of the account's cell.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,31 +23,31 @@
 
 /// Prefix of the keys that name each account's home cell.
 pub const HOMES: &str = "ashtiller/homes/";
-/// Time limit of one submission.
+/// Time limit of a submission or cancellation with all retries, and of reading the list of workers.
 const ASK_TIMEOUT: Duration = Duration::from_secs(8);
-/// Pause before another scheduler is asked.
+/// Pause before the schedulers are asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Forwards jobs.
+/// Forwarder of job requests to the owners of cells.
 pub struct JobForwarder {
     /// Key-value service.
     pub store: Arc<dyn Store>,
-    /// The platform's list.
+    /// The platform's list of instances.
     pub roster: Arc<dyn Roster>,
     /// Service whose instances are workers.
     pub workers: Arc<str>,
-    /// Templates.
+    /// Configuration that contains the templates.
     pub config: Arc<Config>,
-    /// Schedulers.
+    /// Membership, from which the schedulers are known.
     pub membership: Arc<Membership>,
-    /// Wire to them.
+    /// Connections to the schedulers.
     pub wire: Wire,
-    /// Home cells that were read.
+    /// Cache of home cells by account.
     pub home_cells: Mutex<BTreeMap<Arc<str>, Arc<str>>>,
 }
 
 impl JobForwarder {
-    /// Carries out a command on jobs; `None` when it is none.
+    /// Executes a command on jobs; returns `None` for any other command.
     pub async fn command(&self, command: &Command) -> Option<Said> {
         let path: Vec<&str> = command.path.iter().map(|part| &**part).collect();
         match (&command.method, path.as_slice()) {
@@ -75,7 +75,7 @@
     async fn submit(&self, command: &Command, account: &Arc<str>, job: &Arc<str>) -> Said {
         let submission = match self.submission(command, account, job) {
             Ok(submission) => submission,
-            Err(said) => return said,
+            Err(error_response) => return error_response,
         };
         let cell = match self.home_cell(account).await {
             Ok(cell) => cell,
@@ -96,40 +96,40 @@
         account: &Arc<str>,
         job: &Arc<str>,
     ) -> Result<Submission, Said> {
-        let wrong = |reason: &str| response(StatusCode::BAD_REQUEST, Outcome::NotRun, reason);
+        let bad_request = |reason: &str| response(StatusCode::BAD_REQUEST, Outcome::NotRun, reason);
         if !crate::document::is_name(job) {
-            return Err(wrong(
+            return Err(bad_request(
                 "a job's name needs 1 to 63 letters, digits, `-`, `_` or `.`",
             ));
         }
-        let force = self.config.force();
-        let template = force
+        let active_config = self.config.force();
+        let template = active_config
             .templates
             .get(account)
-            .ok_or_else(|| wrong("this client account is not known"))?;
+            .ok_or_else(|| bad_request("this client account is not known"))?;
         let kind = command
             .param("kind")
-            .ok_or_else(|| wrong("the parameter `kind` is missing"))?;
-        let (kind, found) = template
+            .ok_or_else(|| bad_request("the parameter `kind` is missing"))?;
+        let (kind, template_job) = template
             .jobs
             .get_key_value(kind)
-            .ok_or_else(|| wrong("the template has no job of this kind"))?;
+            .ok_or_else(|| bad_request("the template has no job of this kind"))?;
         let tasks = match command.param("tasks").map(str::parse) {
-            None => found.tasks,
+            None => template_job.tasks,
             Some(Ok(tasks)) if (1..=10_000).contains(&tasks) => tasks,
-            Some(_) => return Err(wrong("`tasks` is a whole number from 1 to 10000")),
+            Some(_) => return Err(bad_request("`tasks` is a whole number from 1 to 10000")),
         };
         Ok(Submission {
             account: account.clone(),
             job: job.clone(),
             kind: kind.clone(),
-            class: found.class,
-            urgent: found.urgent,
+            class: template_job.class,
+            urgent: template_job.urgent,
             tasks,
-            needs: found.needs,
-            length: found.length,
-            target: found.target,
-            attempts: found.attempts,
+            needs: template_job.needs,
+            length: template_job.length,
+            target: template_job.target,
+            attempts: template_job.attempts,
             quota: template.quota,
             evictions: template.evictions,
         })
@@ -158,43 +158,43 @@
 
     async fn show_cell(&self, cell: &Arc<str>, account: &Arc<str>, job: &Arc<str>) -> Said {
         for peer in self.candidates(cell) {
-            let shown = peer.show(cell.clone(), account.clone(), job.clone()).await;
-            if let Some(json) = shown.ok().filter(|json| !json.is_empty()) {
+            let view = peer.show(cell.clone(), account.clone(), job.clone()).await;
+            if let Some(json) = view.ok().filter(|json| !json.is_empty()) {
                 return (StatusCode::OK, json);
             }
         }
         unavailable("no scheduler owns the cell just now")
     }
 
-    /// The cell that admits an account's jobs: chosen once, and kept in the store.
+    /// Returns the cell that admits an account's jobs. It is chosen once and kept in the store.
     ///
     /// # Errors
-    /// The store or the list of instances cannot be read, or is empty.
+    /// The store or the list of instances cannot be read, or the list is empty.
     pub async fn home_cell(&self, account: &Arc<str>) -> Result<Arc<str>, Failure> {
         if let Some(cell) = self.home_cells.lock().get(account) {
             return Ok(cell.clone());
         }
         let key = format!("{HOMES}{account}");
-        let mut found = self.store.get(&key).await?;
-        if found.is_none() {
+        let mut stored = self.store.get(&key).await?;
+        if stored.is_none() {
             let cell = self.choose_home_cell(account).await?;
             let value = Bytes::copy_from_slice(cell.as_bytes());
-            // Whoever wrote first decides; the key is read back in any case.
+            // The first writer wins; the key is read back in any case.
             match self.store.swap(&key, value, 0).await {
                 Err(failure) if failure.effect == RemoteEffect::None => return Err(failure),
-                _ => found = self.store.get(&key).await?,
+                _ => stored = self.store.get(&key).await?,
             }
         }
         let missing = || Failure::no_effect("home cell", account, "it was not recorded");
-        let value = found.ok_or_else(missing)?.value;
+        let value = stored.ok_or_else(missing)?.value;
         let cell: Arc<str> = String::from_utf8_lossy(&value).into();
         self.home_cells.lock().insert(account.clone(), cell.clone());
         Ok(cell)
     }
 
     async fn choose_home_cell(&self, account: &str) -> Result<Arc<str>, Failure> {
-        let listed = self.roster.watch(&self.workers, 0, ASK_TIMEOUT).await?;
-        let cells: BTreeSet<Arc<str>> = listed
+        let workers = self.roster.watch(&self.workers, 0, ASK_TIMEOUT).await?;
+        let cells: BTreeSet<Arc<str>> = workers
             .instances
             .into_iter()
             .map(|worker| worker.zone)
@@ -203,7 +203,7 @@
         rendezvous::first(account, &cells).ok_or_else(none)
     }
 
-    /// Schedulers that may own a cell, most likely first.
+    /// Returns the schedulers that may own a cell, most likely first.
     fn candidates(&self, cell: &str) -> Vec<Arc<dyn Peer>> {
         let members = self.membership.members();
         let owner = members.owner(cell).map(|known| known.member.name.clone());
@@ -219,20 +219,20 @@
             .collect()
     }
 
-    /// Asks until an owner gives a verdict. Asking twice is harmless: the same job
-    /// under the same name is one job.
+    /// Asks the schedulers until an owner gives a verdict. Repeating the request is safe: the same
+    /// job under the same name is one job.
     async fn ask_owner<F>(&self, cell: &str, ask: impl Fn(Arc<dyn Peer>) -> F) -> Verdict
     where
         F: Future<Output = Result<Verdict, Failure>>,
     {
-        let until = time::Instant::now() + ASK_TIMEOUT;
+        let deadline = time::Instant::now() + ASK_TIMEOUT;
         let mut may_have_run = false;
-        while time::Instant::now() < until {
+        while time::Instant::now() < deadline {
             for peer in self.candidates(cell) {
                 match ask(peer).await {
                     Ok(Verdict::NotOwner(_)) => {}
                     Ok(Verdict::Known) if !may_have_run => return Verdict::Known,
-                    // It is known because an earlier question of ours was heard.
+                    // The job is known because an earlier request of this loop was applied.
                     Ok(Verdict::Known) => return Verdict::Accepted,
                     Ok(verdict) => return verdict,
                     Err(failure) => may_have_run |= failure.effect == RemoteEffect::Unknown,
@@ -258,7 +258,7 @@
     response(StatusCode::SERVICE_UNAVAILABLE, Outcome::NotRun, reason)
 }
 
-/// A verdict as an operator's answer.
+/// Converts a verdict to an HTTP response.
 fn verdict_response(verdict: &Verdict) -> Said {
     match verdict {
         Verdict::Accepted => (
--- a/ashtiller/src/task/mod.rs
+++ b/ashtiller/src/task/mod.rs
@@ -1,4 +1,4 @@
-//! Tasks on workers in cells with one owner each: the scheduler role.
+//! Scheduler role: runs tasks on the workers of cells, each of which has one owner.
 
 pub mod agent;
 pub mod backlog;
--- a/ashtiller/src/task/record.rs
+++ b/ashtiller/src/task/record.rs
@@ -1,20 +1,21 @@
-//! Bytes of log entries and snapshots: a version, a checksum and a body.
+//! Binary format of log entries and snapshots: a version, a checksum and a body.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Version that this code writes.
+/// Format version that this program reads and writes.
 const VERSION: u8 = 1;
-/// Bytes before the body: version and CRC-32 of the body.
+/// Number of bytes before the body: version (1 byte) and CRC-32 of the body (4 bytes, little
+/// endian).
 const PREFIX_BYTES: usize = 5;
 
-/// Why a record cannot be used.
+/// Error in encoding or decoding a record.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum RecordError {
-    /// Shorter than its prefix.
+    /// The record is shorter than its prefix.
     #[error("the record has {0} bytes, fewer than its prefix")]
     Short(usize),
-    /// Written by a newer program.
+    /// The record was written by a newer program.
     #[error("the record has version {0}; this program reads version {VERSION}")]
     Version(u8),
     /// The checksum does not match.
@@ -28,7 +29,7 @@
 /// Encodes a record.
 ///
 /// # Errors
-/// The value cannot be written.
+/// The value cannot be serialized.
 pub fn encode(value: &impl Serialize) -> Result<Vec<u8>, RecordError> {
     let body = postcard::to_stdvec(value).map_err(|error| RecordError::Body(error.to_string()))?;
     let mut record = Vec::with_capacity(PREFIX_BYTES + body.len());
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler role: owns cells and runs their tasks.
+//! Scheduler role: owns cells and runs their tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -34,22 +34,22 @@
 use crate::store::{Called, Store};
 use crate::wire;
 
-/// Time limit of a call to another process; a job's answer waits for the log.
+/// Timeout of a call to another process; the reply to a job request waits for the log.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Least time between two cells handed to others.
+/// Minimum interval between handovers of cells to other schedulers.
 const HANDOVER_INTERVAL: Duration = Duration::from_secs(5);
-/// Time after the start before cells are taken over, so that heartbeats are heard.
+/// Delay between start and the first takeover, in which heartbeats of other members arrive.
 const STARTUP_DELAY: Duration = Duration::from_millis(1500);
-/// Longest wait for the log in a planned stop.
+/// Maximum time to wait for the log during a graceful stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often a damaged cell is tried again.
+/// Interval at which opening a damaged cell is retried.
 const DAMAGED_RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
 struct Shared {
     settings: Settings,
     store: Arc<dyn Store>,
     roster: Arc<dyn Roster>,
-    worker: Arc<dyn WorkerClient>,
+    worker_client: Arc<dyn WorkerClient>,
     config: Arc<Config>,
     registry: Registry,
     metrics: Arc<SchedulerMetrics>,
@@ -60,32 +60,33 @@
     membership: OnceLock<Arc<Membership>>,
 }
 
-/// What to do about a cell.
+/// Action for a cell.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CellAction {
-    /// Leave it as it is.
+    /// Keep the ownership as it is.
     Keep,
-    /// Take it over.
+    /// Take the cell over.
     Open,
-    /// Hand it to the scheduler that should own it.
+    /// Hand the cell over to the scheduler that should own it.
     HandOver,
 }
 
-/// Decides about one cell. `owner` is the present scheduler that says it owns it.
+/// Returns the action for one cell. `owner` is another present scheduler that claims to own the
+/// cell, `preferred` is the scheduler that should own it.
 #[must_use]
-pub fn decide(own: &str, owns: bool, owner: Option<&str>, first: Option<&str>) -> CellAction {
-    // While another says that it owns the cell, the log decides between the two.
+pub fn decide(own: &str, owns: bool, owner: Option<&str>, preferred: Option<&str>) -> CellAction {
+    // While another scheduler claims to own the cell, the log decides between the two.
     if owner.is_some() {
         return CellAction::Keep;
     }
-    match (owns, first) {
-        (true, Some(first)) if first != own => CellAction::HandOver,
-        (false, Some(first)) if first == own => CellAction::Open,
+    match (owns, preferred) {
+        (true, Some(preferred)) if preferred != own => CellAction::HandOver,
+        (false, Some(preferred)) if preferred == own => CellAction::Open,
         _ => CellAction::Keep,
     }
 }
 
-/// A running scheduler; dropping it cuts everything, as a kill does.
+/// Running scheduler; dropping it stops everything without a handover, as a killed process would.
 pub struct Scheduler {
     shared: Arc<Shared>,
     ops: Ops,
@@ -93,7 +94,7 @@
     _tasks: JoinSet<()>,
 }
 
-/// Starts a scheduler; it keeps trying while the store is down.
+/// Starts a scheduler, which keeps retrying while the store is down.
 ///
 /// # Errors
 /// A port cannot be bound.
@@ -107,7 +108,7 @@
     let shared = Arc::new(Shared {
         store: store.clone(),
         roster: consul,
-        worker: agent::open(limit),
+        worker_client: agent::open(limit),
         config: config.clone(),
         metrics: SchedulerMetrics::register(&registry)?,
         registry,
@@ -158,42 +159,42 @@
 }
 
 impl Scheduler {
-    /// Where operators connect.
+    /// Returns the address for operators.
     #[must_use]
     pub fn operators(&self) -> SocketAddr {
         self.ops.address()
     }
 
-    /// Bytes that passed to and from other processes.
+    /// Returns the number of bytes sent to and received from other processes.
     #[must_use]
     pub fn wire_bytes(&self) -> u64 {
         let bytes = self.served.bytes();
         bytes.sent.load(Ordering::Relaxed) + bytes.received.load(Ordering::Relaxed)
     }
 
-    /// Where other processes connect.
+    /// Returns the address for other processes.
     #[must_use]
     pub fn peers(&self) -> SocketAddr {
         self.served.address()
     }
 
-    /// Cells owned now.
+    /// Returns the cells that this scheduler owns.
     #[must_use]
     pub fn cells(&self) -> Vec<Arc<str>> {
         self.shared.cells()
     }
 
-    /// Stops in a planned way: hands every cell over, then leaves.
+    /// Stops gracefully: hands every cell over, then leaves the membership.
     pub async fn stop(self) {
         self.shared.leaving.store(true, Ordering::SeqCst);
         let handles: Vec<OwnerHandle> = self.shared.owned.lock().values().cloned().collect();
-        let mut moves = JoinSet::new();
+        let mut handovers = JoinSet::new();
         for handle in handles {
-            moves.spawn(async move { handle.hand_over().await });
+            handovers.spawn(async move { handle.hand_over().await });
         }
-        let _ = time::timeout(STOP_TIMEOUT, moves.join_all()).await;
+        let _ = time::timeout(STOP_TIMEOUT, handovers.join_all()).await;
         if let Some(membership) = self.shared.membership.get() {
-            // So that others take the cells over at once.
+            // Other schedulers take the cells over at once when they learn of this.
             membership.spread().await;
             membership.leave().await;
         }
@@ -259,13 +260,13 @@
         if !present.contains(own) {
             present.push(own.clone());
         }
-        let first = rendezvous::first(cell, &present);
+        let preferred = rendezvous::first(cell, &present);
         let owner = members
             .owner(cell)
             .map(|known| known.member.name.clone())
             .filter(|name| name != own && present.contains(name));
         let owns = self.handle(cell).is_some();
-        decide(own, owns, owner.as_deref(), first.as_deref())
+        decide(own, owns, owner.as_deref(), preferred.as_deref())
     }
 
     async fn open(&self, cell: &Arc<str>) {
@@ -286,12 +287,12 @@
                 self.spread().await;
             }
             Err(error @ OpenError::Damaged { .. }) => {
-                tracing::error!(%cell, %error, "the cell stays closed");
+                tracing::error!(%cell, %error, "cell is damaged and was not opened");
                 let until = self.clock.now() + DAMAGED_RETRY_INTERVAL;
                 let mut damaged = self.damaged.lock();
                 damaged.insert(cell.clone(), (error.to_string(), until));
             }
-            Err(error) => tracing::debug!(%cell, %error, "cell not opened"),
+            Err(error) => tracing::debug!(%cell, %error, "cell could not be opened; will retry"),
         }
     }
 
@@ -299,7 +300,7 @@
         OwnerDeps {
             name: cell.clone(),
             settings: self.settings.scheduler.clone(),
-            worker_client: self.worker.clone(),
+            worker_client: self.worker_client.clone(),
             clock: self.clock.clone(),
             metrics: self.metrics.clone(),
         }
@@ -312,7 +313,7 @@
     }
 }
 
-/// Keeps owned cells in step with the members and the platform's list.
+/// Keeps the owned cells consistent with the members and the platform's list of workers.
 async fn reconcile_cells(shared: Arc<Shared>) {
     time::sleep(STARTUP_DELAY).await;
     let mut ticks = time::interval(shared.settings.platform.refresh);
@@ -323,7 +324,7 @@
     );
     let follower = follow::spawn(roster, workers, shared.settings.platform.refresh);
     let mut cells: BTreeMap<Arc<str>, Vec<Instance>> = BTreeMap::new();
-    let mut moved: Option<Duration> = None;
+    let mut last_handover: Option<Duration> = None;
     loop {
         ticks.tick().await;
         if shared.leaving.load(Ordering::SeqCst) {
@@ -339,8 +340,8 @@
                 CellAction::Open if shared.may_open(cell) => shared.open(cell).await,
                 CellAction::HandOver => {
                     let now = shared.clock.now();
-                    if moved.is_none_or(|last| now >= last + HANDOVER_INTERVAL) {
-                        moved = Some(now);
+                    if last_handover.is_none_or(|last| now >= last + HANDOVER_INTERVAL) {
+                        last_handover = Some(now);
                         if let Some(handle) = shared.handle(cell) {
                             handle.hand_over().await;
                             shared.spread().await;
@@ -356,7 +357,7 @@
     }
 }
 
-/// A cell that lost its last worker stays known.
+/// Groups the workers by cell. A cell that lost its last worker is kept with an empty list.
 fn group_by_cell(cells: &mut BTreeMap<Arc<str>, Vec<Instance>>, workers: &[Instance]) {
     for listed in cells.values_mut() {
         listed.clear();
@@ -379,7 +380,7 @@
     });
 }
 
-/// The scheduler as other processes and operators see it.
+/// Interface of the scheduler to other processes and operators.
 struct SchedulerService {
     shared: Arc<Shared>,
 }
@@ -412,9 +413,9 @@
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
             };
-            let lost =
+            let released =
                 || Failure::unknown_effect("submit", &cell, "the cell was released meanwhile");
-            handle.submit(job).await.ok_or_else(lost)
+            handle.submit(job).await.ok_or_else(released)
         })
     }
 
@@ -423,9 +424,9 @@
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
             };
-            let lost =
+            let released =
                 || Failure::unknown_effect("cancel", &cell, "the cell was released meanwhile");
-            handle.cancel(account, job).await.ok_or_else(lost)
+            handle.cancel(account, job).await.ok_or_else(released)
         })
     }
 
@@ -462,7 +463,7 @@
             let (&Method::GET, ["v1", "cells", cell]) = (&command.method, path.as_slice()) else {
                 return None;
             };
-            let shown = match self.shared.handle(cell) {
+            let view = match self.shared.handle(cell) {
                 Some(handle) => handle.show("".into(), "".into()).await,
                 None => None,
             };
@@ -472,7 +473,7 @@
                     json!({ "error": "not owned here" }).to_string(),
                 )
             };
-            Some(shown.map_or_else(missing, |shown| (StatusCode::OK, shown)))
+            Some(view.map_or_else(missing, |view| (StatusCode::OK, view)))
         })
     }
 }
@@ -482,9 +483,9 @@
     let owned: Vec<Arc<str>> = shared.cells();
     for cell in owned {
         if let Some(handle) = shared.handle(&cell) {
-            let shown = handle.show("".into(), "".into()).await.unwrap_or_default();
-            let shown: serde_json::Value = serde_json::from_str(&shown).unwrap_or_default();
-            cells.insert(cell, shown);
+            let view = handle.show("".into(), "".into()).await.unwrap_or_default();
+            let view: serde_json::Value = serde_json::from_str(&view).unwrap_or_default();
+            cells.insert(cell, view);
         }
     }
     let damaged: BTreeMap<Arc<str>, String> = {
--- a/ashtiller/src/task/worker_state.rs
+++ b/ashtiller/src/task/worker_state.rs
@@ -1,4 +1,4 @@
-//! One worker as a cell's owner sees it.
+//! State of one worker as its cell's owner knows it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,59 +14,60 @@
 use crate::template::Class;
 use crate::throttling::ThrottleController;
 
-/// Failures in a row, of different tasks, after which a worker is quarantined.
+/// Number of consecutive failures, of different tasks, after which a worker is quarantined.
 const QUARANTINE_FAILURES: usize = 3;
-/// First quarantine; each further one doubles.
+/// Duration of the first quarantine; it doubles with each further one.
 const QUARANTINE_FIRST: Duration = Duration::from_secs(30);
-/// Longest quarantine.
+/// Maximum duration of a quarantine.
 const QUARANTINE_MAX: Duration = Duration::from_mins(30);
 
-/// What kind of work a task is.
+/// Class and kind of a task's work.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Work {
-    /// Class.
+    /// Scheduling class.
     pub class: Class,
     /// Kind, by its number in the cell.
     pub kind: Kind,
 }
 
-/// One worker.
+/// State of one worker.
 #[derive(Clone, Debug)]
 pub struct WorkerState {
     pool: Pool,
-    /// Tasks that may run on it.
+    /// Tasks that may be running on the worker.
     pub tasks: BTreeSet<TaskId>,
-    /// Address, once the platform lists it.
+    /// Address, once the platform has listed the worker.
     pub address: Option<SocketAddr>,
-    /// Where it stands in the platform's list.
+    /// Phase of the worker in the platform's list.
     pub listed_phase: Phase,
-    /// Since when the platform's list lacks it.
+    /// Time since which the platform's list does not contain the worker.
     pub absent_since: Option<Duration>,
-    /// Rack.
+    /// Rack of the worker.
     pub rack: Arc<str>,
-    /// Lease and contact.
+    /// Lease state.
     pub session: Session,
-    /// When it was last called.
+    /// Time of the last call.
     pub last_called: Option<Duration>,
-    /// Whether a call is under way.
+    /// Whether a call is in flight.
     pub call_in_flight: bool,
-    /// Tasks that the last report showed running, with their speed in percent.
+    /// Running tasks in the last report, with their speed in percent.
     pub reported_speeds: BTreeMap<TaskId, u32>,
-    /// Digest of the report that `seen` was taken from; 0 for none.
+    /// Digest of the report that `reported_speeds` was taken from; 0 for none.
     pub digest: u64,
-    /// Work that may run on it, with the number of its tasks.
+    /// Number of tasks that may be running, by class and kind of work.
     pub work_counts: BTreeMap<Work, u32>,
-    /// Last reported load of its services, 0 to 1.
+    /// Last reported load of the worker's services, 0 to 1.
     pub loads: BTreeMap<Kind, f64>,
-    /// Largest ratio of latency to target that its services last showed.
+    /// Highest ratio of latency to target among the services in the last report.
     pub worst_latency_ratio: f64,
-    /// Harm to fear from tasks placed too lately to show in a report, and when.
+    /// Placement time and expected interference of tasks that were placed too recently to appear in
+    /// a report.
     pub pending_interference: Vec<(Duration, f64)>,
-    /// Services over their target, and what is done about it.
+    /// Reaction to services that are over their latency target.
     pub guard: ThrottleController,
-    /// Attempts that the last report showed running and the log does not place here.
+    /// Running attempts in the last report that the log does not place on this worker.
     pub unknown_attempts: Vec<(Arc<str>, u32)>,
-    /// Reported ends to be acknowledged.
+    /// Acknowledgements of reported ends.
     pub acks: Vec<Ack>,
     failed_tasks: BTreeSet<TaskId>,
     quarantined_until: Option<Duration>,
@@ -102,25 +103,25 @@
 }
 
 impl WorkerState {
-    /// What it has and has handed out.
+    /// Returns the worker's total and allocated resources.
     #[must_use]
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// The same, to change its size.
+    /// Returns the worker's resources, for resizing.
     pub fn pool_mut(&mut self) -> &mut Pool {
         &mut self.pool
     }
 
-    /// Counts a grant that the log records.
+    /// Adds a task that the log places here, and allocates its resources.
     pub fn add_task(&mut self, task: TaskId, needs: &Resources, work: Work) {
         self.tasks.insert(task);
         *self.work_counts.entry(work).or_default() += 1;
         self.pool.allocate(needs);
     }
 
-    /// Takes back a grant.
+    /// Removes a task and releases its resources.
     pub fn remove_task(&mut self, task: TaskId, needs: &Resources, work: Work) {
         if !self.tasks.remove(&task) {
             return;
@@ -133,14 +134,14 @@
         self.work_counts.retain(|_, count| *count > 0);
     }
 
-    /// Last reported load of a service.
+    /// Returns the last reported load of a service, or 0.5 if none was reported.
     #[must_use]
     pub fn load(&self, kind: Kind) -> f64 {
         self.loads.get(&kind).copied().unwrap_or(0.5)
     }
 
-    /// Whether a new attempt may be placed here: the worker is listed, answers, and
-    /// holds a lease that has not ended.
+    /// Returns whether a new attempt may be placed here: the worker is listed as live, answers,
+    /// holds a lease that has not expired, and is not quarantined.
     #[must_use]
     pub fn accepts_attempts(&self, now: Duration, terms: &LeaseTerms) -> bool {
         self.listed_phase == Phase::Live
@@ -152,7 +153,8 @@
             && self.may_start(now)
     }
 
-    /// After a quarantine one task is let in as a probe.
+    /// Returns whether the quarantine allows a new task. After a quarantine one task is admitted on
+    /// probation.
     fn may_start(&self, now: Duration) -> bool {
         match self.quarantined_until {
             None => true,
@@ -160,27 +162,27 @@
         }
     }
 
-    /// Whether it is in quarantine or on probation.
+    /// Returns whether the worker is in quarantine or on probation after one.
     #[must_use]
     pub fn is_quarantined(&self) -> bool {
         self.quarantined_until.is_some()
     }
 
-    /// An attempt failed here; true when the worker enters quarantine.
+    /// Records a failed attempt; returns true if the worker enters quarantine.
     pub fn record_failure(&mut self, task: TaskId, now: Duration) -> bool {
         self.failed_tasks.insert(task);
-        let probation = self.quarantined_until.is_some();
-        if self.failed_tasks.len() < QUARANTINE_FAILURES && !probation {
+        let on_probation = self.quarantined_until.is_some();
+        if self.failed_tasks.len() < QUARANTINE_FAILURES && !on_probation {
             return false;
         }
-        let time = QUARANTINE_FIRST.saturating_mul(1 << self.quarantine_count.min(10));
-        self.quarantined_until = Some(now + time.min(QUARANTINE_MAX));
+        let duration = QUARANTINE_FIRST.saturating_mul(1 << self.quarantine_count.min(10));
+        self.quarantined_until = Some(now + duration.min(QUARANTINE_MAX));
         self.quarantine_count += 1;
         self.failed_tasks.clear();
         true
     }
 
-    /// An attempt finished here.
+    /// Records a finished attempt, which ends a quarantine.
     pub fn record_success(&mut self) {
         self.failed_tasks.clear();
         self.quarantined_until = None;
