--- a/ashtiller/src/base/clock.rs
+++ b/ashtiller/src/base/clock.rs
@@ -1,4 +1,4 @@
-//! Time since the start of a process, and moments by which proofs are judged.
+//! Clocks: time since the start of a process, and moments that include the time in suspend.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,60 +7,61 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// When something was known: who owns the log, what stands in a list, what a lease allows.
+/// A point in time as of which something is known: the owner of the log, a list, the validity of a
+/// lease.
 ///
-/// While a machine is suspended its monotonic clock stands still, and with it timers. What
-/// others did meanwhile did not: so ages are reckoned by moments, which count that time. The
-/// type keeps them apart from the instants at which timers fire.
+/// The monotonic clock of a machine stops while the machine is suspended, and timers stop with it.
+/// Other machines continue meanwhile, and so ages are computed from moments, which include that
+/// time. The separate type prevents a mix-up with the instants at which timers fire.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Moment(Instant);
 
 impl Moment {
-    /// The present.
+    /// Returns the present moment.
     #[must_use]
     pub fn now() -> Self {
         Self(Instant::now() + suspended())
     }
 
-    /// The moment that is later by `span`.
+    /// Returns the moment that is later by `duration`.
     #[must_use]
-    pub fn plus(self, span: Duration) -> Self {
-        Self(self.0 + span)
+    pub fn plus(self, duration: Duration) -> Self {
+        Self(self.0 + duration)
     }
 
-    /// Time since an earlier moment; nothing if that is later.
+    /// Returns the time since an earlier moment; zero if that is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_duration_since(earlier.0)
     }
 
-    /// Time since this moment.
+    /// Returns the time since this moment.
     #[must_use]
     pub fn elapsed(self) -> Duration {
         Self::now().since(self)
     }
 }
 
-/// For how long the machine has been suspended since it was booted, in whole milliseconds.
+/// Returns how long the machine has been suspended since it was booted, in whole milliseconds.
 ///
-/// Between the readings of two clocks the process may be stopped, so the difference is known
-/// from below only; the largest seen so far holds, and the result never falls.
+/// The process may be stopped between the readings of the two clocks, and so their difference is
+/// only a lower bound. The result is the largest one seen so far, and never decreases.
 fn suspended() -> Duration {
-    static LARGEST: AtomicU64 = AtomicU64::new(0);
-    let boot = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from);
-    let awake = clock_gettime(ClockId::CLOCK_MONOTONIC).map(Duration::from);
-    let (Ok(boot), Ok(awake)) = (boot, awake) else {
-        return Duration::from_millis(LARGEST.load(Ordering::Relaxed));
+    static MAX_SEEN_MS: AtomicU64 = AtomicU64::new(0);
+    let boottime = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from);
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).map(Duration::from);
+    let (Ok(boottime), Ok(monotonic)) = (boottime, monotonic) else {
+        return Duration::from_millis(MAX_SEEN_MS.load(Ordering::Relaxed));
     };
-    let least = boot.saturating_sub(awake).as_millis();
-    let least = u64::try_from(least).unwrap_or(u64::MAX);
-    let before = LARGEST.fetch_max(least, Ordering::Relaxed);
-    Duration::from_millis(before.max(least))
+    let suspended_ms = boottime.saturating_sub(monotonic).as_millis();
+    let suspended_ms = u64::try_from(suspended_ms).unwrap_or(u64::MAX);
+    let max_seen = MAX_SEEN_MS.fetch_max(suspended_ms, Ordering::Relaxed);
+    Duration::from_millis(max_seen.max(suspended_ms))
 }
 
 /// A source of time.
 pub trait Clock: Send + Sync {
-    /// Time since the clock was opened.
+    /// Returns the time since the clock was opened.
     fn now(&self) -> Duration;
 }
 
@@ -74,7 +75,7 @@
     }
 }
 
-/// Opens a clock that starts at nothing and follows the machine's monotonic clock.
+/// Opens a clock that starts at zero and follows the monotonic clock of the machine.
 #[must_use]
 pub fn open() -> Arc<dyn Clock> {
     Arc::new(Monotonic {
--- a/ashtiller/src/base/counters.rs
+++ b/ashtiller/src/base/counters.rs
@@ -1,15 +1,15 @@
-//! Counters and gauges, registered under the project's and a role's name.
+//! Registration of Prometheus counters and gauges under the name of the project and of a role.
 
 use prometheus::{IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
 
-/// Registers one role's counters.
+/// Registers the counters and gauges of one role.
 pub struct Counters<'a> {
     registry: &'a Registry,
     role: &'static str,
 }
 
 impl<'a> Counters<'a> {
-    /// Counters named `ashtiller_ROLE_…`.
+    /// Creates a registrar whose metric names begin with `ashtiller_ROLE_`.
     #[must_use]
     pub fn new(registry: &'a Registry, role: &'static str) -> Self {
         Self { registry, role }
@@ -21,10 +21,10 @@
             .subsystem(self.role)
     }
 
-    /// A counter.
+    /// Registers a counter.
     ///
     /// # Errors
-    /// The name is registered already.
+    /// The name is invalid or registered already.
     pub fn register_counter(
         &self,
         name: &str,
@@ -35,10 +35,10 @@
         Ok(counter)
     }
 
-    /// Counters by one label.
+    /// Registers a family of counters with one label.
     ///
     /// # Errors
-    /// The name is registered already.
+    /// The name is invalid or registered already.
     pub fn register_counter_vec(
         &self,
         name: &str,
@@ -50,20 +50,20 @@
         Ok(counters)
     }
 
-    /// A gauge.
+    /// Registers a gauge.
     ///
     /// # Errors
-    /// The name is registered already.
+    /// The name is invalid or registered already.
     pub fn register_gauge(&self, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
         let gauge = IntGauge::with_opts(self.opts(name, help))?;
         self.registry.register(Box::new(gauge.clone()))?;
         Ok(gauge)
     }
 
-    /// Gauges by labels.
+    /// Registers a family of gauges with labels.
     ///
     /// # Errors
-    /// The name is registered already.
+    /// The name is invalid or registered already.
     pub fn register_gauge_vec(
         &self,
         name: &str,
--- a/ashtiller/src/base/failure.rs
+++ b/ashtiller/src/base/failure.rs
@@ -1,32 +1,32 @@
-//! The error of a step that involved another process.
+//! Error type of steps that involve another process.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// What is known about the effect of a failed step.
+/// Whether a failed step may have taken effect at the peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RemoteEffect {
-    /// Nothing happened at the peer.
+    /// The step had no effect at the peer.
     None,
-    /// The peer may have done it.
+    /// The peer may have executed the step.
     Unknown,
 }
 
-/// A failed step: which one, at which peer, and why.
+/// A failed step, with its peer and its cause.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// What was being done.
+    /// Short description of the step, such as "ask owner".
     pub step: &'static str,
-    /// With whom.
+    /// Address or name of the peer.
     pub peer: Arc<str>,
-    /// Why it failed.
+    /// Message of the error that made the step fail.
     pub cause: Arc<str>,
-    /// Whether the peer may have done it.
+    /// Whether the peer may have executed the step.
     pub effect: RemoteEffect,
 }
 
 impl Failure {
-    /// A step that may have had its effect.
+    /// Creates the failure of a step that may have taken effect.
     pub fn unknown_effect(
         step: &'static str,
         peer: impl fmt::Display,
@@ -35,7 +35,7 @@
         Self::new(step, peer, cause, RemoteEffect::Unknown)
     }
 
-    /// A step that had no effect.
+    /// Creates the failure of a step that had no effect.
     pub fn no_effect(
         step: &'static str,
         peer: impl fmt::Display,
@@ -44,14 +44,14 @@
         Self::new(step, peer, cause, RemoteEffect::None)
     }
 
-    /// Whether the peer said nothing at all; else a connection was refused or broke, or an
-    /// answer could not be read.
+    /// Returns whether the peer did not answer in time. In other cases the connection was refused
+    /// or broke, or the answer could not be decoded.
     #[must_use]
     pub fn is_timeout(&self) -> bool {
         self.cause.contains("in time")
     }
 
-    /// Whether nobody listens at the peer's address: its process has ended.
+    /// Returns whether nothing listens at the peer's address, so that its process has ended.
     #[must_use]
     pub fn is_connection_refused(&self) -> bool {
         self.cause.contains("refused")
--- a/ashtiller/src/base/logs.rs
+++ b/ashtiller/src/base/logs.rs
@@ -1,33 +1,34 @@
-//! Structured logs on standard output that never hold the process up.
+//! Structured logs on standard output that never block the process.
 //!
-//! Lines wait in a bounded queue for a thread that writes them; a line that finds the
-//! queue full is dropped and counted.
+//! A thread writes the lines from a bounded queue. A line that finds the queue full is dropped and
+//! counted.
 
 use std::io::{self, BufWriter, Write};
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that may wait: some seconds of a busy owner's, at 300 bytes each under 3 MB.
-const LINES: usize = 8192;
-/// Bytes that are written at once.
-const BUFFER: usize = 16 << 10;
+/// Capacity of the queue in lines: several seconds of a busy owner. At 300 bytes a line the queue
+/// takes less than 3 MB.
+const MAX_QUEUED_LINES: usize = 8192;
+/// Size of the output buffer in bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Running logs; dropping them writes what waits.
+/// Handle of the running logger; dropping it writes the queued lines.
 pub struct Logs {
     dropped: ErrorCounter,
     _writer: WorkerGuard,
 }
 
 impl Logs {
-    /// Lines that were dropped.
+    /// Returns the counter of dropped lines.
     #[must_use]
     pub fn dropped(&self) -> ErrorCounter {
         self.dropped.clone()
     }
 }
 
-/// Standard output, written in larger pieces.
+/// Buffered standard output.
 struct Output(BufWriter<io::Stdout>);
 
 impl Write for Output {
@@ -40,13 +41,13 @@
     }
 }
 
-/// Begins to log at `level`, unless `ASHTILLER_LOG` says otherwise.
+/// Starts logging at `level`, unless `ASHTILLER_LOG` sets another filter.
 #[must_use]
 pub fn open(level: &str) -> Logs {
     let filter = EnvFilter::try_from_env("ASHTILLER_LOG").unwrap_or_else(|_| EnvFilter::new(level));
-    let output = Output(BufWriter::with_capacity(BUFFER, io::stdout()));
+    let output = Output(BufWriter::with_capacity(BUFFER_BYTES, io::stdout()));
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(LINES)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .lossy(true)
         .finish(output);
     let dropped = writer.error_counter();
--- a/ashtiller/src/base/mod.rs
+++ b/ashtiller/src/base/mod.rs
@@ -1,4 +1,4 @@
-//! What everything else stands on.
+//! Basic types and utilities that all other modules use.
 
 pub mod clock;
 pub mod counters;
--- a/ashtiller/src/base/rendezvous.rs
+++ b/ashtiller/src/base/rendezvous.rs
@@ -1,29 +1,29 @@
-//! Rendezvous hashing: who comes first for a key among the present names.
+//! Rendezvous hashing: ranks names for a key, such that a change of the names moves few keys.
 
 use std::sync::Arc;
 
 use xxhash_rust::xxh3;
 
-/// Names in the order of their weight for `key`, heaviest first.
+/// Returns the names in the order of their weights for `key`, the highest first.
 #[must_use]
 pub fn rank(key: &str, names: &[Arc<str>]) -> Vec<Arc<str>> {
-    let mut ranked: Vec<_> = names
+    let mut weighted: Vec<_> = names
         .iter()
-        .map(|name| (weigh(key, name), name.clone()))
+        .map(|name| (weight_of(key, name), name.clone()))
         .collect();
-    ranked.sort_by(|one, other| other.cmp(one));
-    ranked.into_iter().map(|(_, name)| name).collect()
+    weighted.sort_by(|one, other| other.cmp(one));
+    weighted.into_iter().map(|(_, name)| name).collect()
 }
 
-/// The heaviest name for `key`.
+/// Returns the name with the highest weight for `key`; `None` if there are no names.
 #[must_use]
 pub fn first<'a>(key: &str, names: impl IntoIterator<Item = &'a Arc<str>>) -> Option<Arc<str>> {
     names
         .into_iter()
-        .max_by_key(|name| (weigh(key, name), (*name).clone()))
+        .max_by_key(|name| (weight_of(key, name), (*name).clone()))
         .cloned()
 }
 
-fn weigh(key: &str, name: &str) -> u64 {
+fn weight_of(key: &str, name: &str) -> u64 {
     xxh3::xxh3_64_with_seed(key.as_bytes(), xxh3::xxh3_64(name.as_bytes()))
 }
--- a/ashtiller/src/base/resources.rs
+++ b/ashtiller/src/base/resources.rs
@@ -1,4 +1,4 @@
-//! Processors, memory and accelerators, and the one place where they are granted.
+//! Processors, memory and accelerators, and the pool from which alone they are allocated.
 
 use std::fmt;
 
@@ -6,19 +6,19 @@
 
 use crate::unit;
 
-/// An amount of what an instance has.
+/// Amounts of processors, memory and accelerators.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Resources {
     /// Processors in thousandths.
     pub processors: u64,
     /// Memory in bytes.
     pub memory: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Whether this amount is within `limit` in every respect.
+    /// Returns whether no amount exceeds that of `limit`.
     #[must_use]
     pub fn fits_within(&self, limit: &Self) -> bool {
         self.processors <= limit.processors
@@ -26,7 +26,7 @@
             && self.accelerators <= limit.accelerators
     }
 
-    /// The sum of two amounts, saturating.
+    /// Adds the amounts, saturating.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// What is left of this amount, never below nothing.
+    /// Subtracts the amounts, saturating at zero.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
         Self {
@@ -46,40 +46,44 @@
         }
     }
 
-    /// The largest of the three shares of `whole`; infinite when `whole` has none.
+    /// Returns the largest of the three shares of `capacity`: the dominant share. It is infinite if
+    /// `capacity` lacks a resource that is needed here.
     #[must_use]
     #[expect(
         clippy::cast_precision_loss,
         reason = "a share needs no more than 52 bits"
     )]
-    pub fn dominant_share_of(&self, whole: &Self) -> f64 {
-        let share = |part: u64, whole: u64| match (part, whole) {
+    pub fn dominant_share_of(&self, capacity: &Self) -> f64 {
+        let share = |amount: u64, capacity: u64| match (amount, capacity) {
             (0, _) => 0.0,
             (_, 0) => f64::INFINITY,
-            (part, whole) => part as f64 / whole as f64,
+            (amount, capacity) => amount as f64 / capacity as f64,
         };
-        share(self.processors, whole.processors)
-            .max(share(self.memory, whole.memory))
-            .max(share(self.accelerators.into(), whole.accelerators.into()))
+        share(self.processors, capacity.processors)
+            .max(share(self.memory, capacity.memory))
+            .max(share(
+                self.accelerators.into(),
+                capacity.accelerators.into(),
+            ))
     }
 }
 
 impl fmt::Display for Resources {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = self.processors / 1000;
-        let part = self.processors % 1000;
-        write!(f, "{whole}")?;
-        if part > 0 {
-            write!(f, ".{part:03}")?;
+        let units = self.processors / 1000;
+        let thousandths = self.processors % 1000;
+        write!(f, "{units}")?;
+        if thousandths > 0 {
+            write!(f, ".{thousandths:03}")?;
         }
         write!(f, " processors, {} memory", unit::show_size(self.memory))?;
         write!(f, ", {} accelerators", self.accelerators)
     }
 }
 
-/// What an instance or a quota holds and has handed out.
+/// Capacity of an instance or a quota, and what is allocated of it.
 ///
-/// Every placement of the project asks [`Pool::grants`] before it is recorded.
+/// Every placement is checked by [`Pool::can_allocate`] before it is recorded.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Pool {
     capacity: Resources,
@@ -87,51 +91,50 @@
 }
 
 impl Pool {
-    /// A pool with nothing taken.
+    /// Creates a pool without allocations.
     #[must_use]
-    pub fn new(whole: Resources) -> Self {
+    pub fn new(capacity: Resources) -> Self {
         Self {
-            capacity: whole,
+            capacity,
             allocated: Resources::default(),
         }
     }
 
-    /// All there is.
+    /// Returns the total capacity.
     #[must_use]
     pub fn capacity(&self) -> &Resources {
         &self.capacity
     }
 
-    /// What is handed out.
+    /// Returns the allocated amount.
     #[must_use]
     pub fn allocated(&self) -> &Resources {
         &self.allocated
     }
 
-    /// What is left.
+    /// Returns the capacity that is not allocated.
     #[must_use]
     pub fn free(&self) -> Resources {
         self.capacity.minus(&self.allocated)
     }
 
-    /// Changes the size; what is taken stays taken, even beyond a smaller size.
-    pub fn resize(&mut self, whole: Resources) {
-        self.capacity = whole;
+    /// Changes the capacity. Allocations stay, even if they exceed a smaller capacity.
+    pub fn resize(&mut self, capacity: Resources) {
+        self.capacity = capacity;
     }
 
-    /// Whether `amount` may be handed out. Every placement asks here, and nothing
-    /// else decides it.
+    /// Returns whether `amount` may be allocated. Every placement is checked here and nowhere else.
     #[must_use]
     pub fn can_allocate(&self, amount: &Resources) -> bool {
         self.allocated.plus(amount).fits_within(&self.capacity)
     }
 
-    /// Counts an amount whose grant the log records.
+    /// Adds an allocation that the log records.
     pub fn allocate(&mut self, amount: &Resources) {
         self.allocated = self.allocated.plus(amount);
     }
 
-    /// Takes back `amount`.
+    /// Releases an allocation of `amount`.
     pub fn release(&mut self, amount: &Resources) {
         self.allocated = self.allocated.minus(amount);
     }
--- a/ashtiller/src/interference/placement.rs
+++ b/ashtiller/src/interference/placement.rs
@@ -1,4 +1,4 @@
-//! Ways to choose a worker for a task.
+//! Policies that choose a worker for a task.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use crate::throttling;
 use crate::worker_state::{Work, WorkerState};
 
-/// Least speed in percent at which batch work is placed beside a service.
-const SPEED_MIN: u32 = 40;
-/// Weight of harm against an even use of the worker.
-const HARM_WEIGHT: f64 = 4.0;
+/// Least speed in percent at which batch work may start beside a service.
+const MIN_START_PERCENT: u32 = 40;
+/// Weight of the interference relative to the utilization of the worker.
+const INTERFERENCE_WEIGHT: f64 = 4.0;
 
-/// What is known where a task is to be placed.
+/// A worker that may get a task, with what its cost depends on.
 pub struct CandidateHost<'a> {
-    /// The worker, whose free resources suffice.
+    /// The worker; its free resources suffice for the task.
     pub host: &'a WorkerState,
-    /// What the task needs.
+    /// Resources that the task needs.
     pub needs: &'a Resources,
-    /// What kind of work it is.
+    /// Class and kind of the task.
     pub work: Work,
-    /// What was learned of harm.
+    /// Model of the interference between tasks.
     pub model: &'a InterferenceModel,
-    /// Time.
+    /// Present time.
     pub now: Duration,
 }
 
 impl CandidateHost<'_> {
-    /// Share of the worker that is taken with this task.
+    /// Returns the dominant share of the worker that is allocated once the task runs there.
     #[must_use]
     pub fn utilization(&self) -> f64 {
         self.host
@@ -38,41 +38,42 @@
             .dominant_share_of(self.host.pool().capacity())
     }
 
-    /// Accelerators that the task would keep from those that need them.
+    /// Returns the accelerators that a task without need for them would make unavailable to others.
     #[must_use]
     pub fn stranded_accelerators(&self) -> f64 {
-        let spare = self.needs.accelerators == 0;
-        if spare {
+        let needs_none = self.needs.accelerators == 0;
+        if needs_none {
             f64::from(self.host.pool().capacity().accelerators)
         } else {
             0.0
         }
     }
 
-    /// Harm to fear between this task and the work beside it, summed.
+    /// Returns the sum of the upper bounds of the interference between this task and the work
+    /// beside it.
     #[must_use]
     pub fn expected_interference(&self) -> f64 {
-        let beside = self
+        let colocated = self
             .host
             .work_counts
             .iter()
             .filter(|(other, _)| other.class != self.work.class);
-        let fears = beside.map(|(other, count)| {
-            let (service, batch, times) = match self.work.class {
+        let bounds = colocated.map(|(other, count)| {
+            let (service, batch, task_count) = match self.work.class {
                 Class::Batch => (other.kind, self.work.kind, 1.0),
                 Class::LatencyCritical => (self.work.kind, other.kind, f64::from(*count)),
             };
-            times
+            task_count
                 * self
                     .model
                     .upper_bound(service, batch, self.host.load(service), self.now)
         });
-        fears.sum()
+        bounds.sum()
     }
 }
 
 impl CandidateHost<'_> {
-    /// Speed in percent at which batch work may begin here by what was learned.
+    /// Returns the speed in percent at which batch work may start here according to the model.
     #[must_use]
     pub fn starting_percent(&self) -> u32 {
         let services = self
@@ -80,55 +81,59 @@
             .work_counts
             .keys()
             .filter(|work| work.class == Class::LatencyCritical);
-        let coming: f64 = self
+        let pending: f64 = self
             .host
             .pending_interference
             .iter()
-            .map(|(_, harm)| harm)
+            .map(|(_, interference)| interference)
             .sum();
         let speeds = services.map(|service| {
             let load = self.host.load(service.kind);
-            let fear = self
+            let bound = self
                 .model
                 .upper_bound(service.kind, self.work.kind, load, self.now);
-            throttling::sustainable_percent(self.host.worst_latency_ratio + coming, fear, 0)
+            throttling::sustainable_percent(self.host.worst_latency_ratio + pending, bound, 0)
         });
         speeds.min().unwrap_or(100)
     }
 }
 
-/// A way to choose a worker; `docs/DESIGN.md` compares them.
+/// A policy that chooses a worker; `docs/DESIGN.md` compares them.
 pub trait PlacementPolicy: Send + Sync {
-    /// Cost of placing a task at a site, the least is chosen; `None` forbids it.
-    fn cost(&self, site: &CandidateHost) -> Option<f64>;
+    /// Returns the cost of placing a task on a candidate, of which the least is chosen; `None`
+    /// forbids it.
+    fn cost(&self, candidate: &CandidateHost) -> Option<f64>;
 
-    /// Speed in percent at which a batch task begins at the site that was chosen.
+    /// Returns the speed in percent at which a batch task starts on the chosen candidate.
     fn starting_percent(&self, _: &CandidateHost) -> u32 {
         100
     }
 }
 
-/// Keeps services and batch work apart where harm was learned; fills the fullest
-/// worker with batch work and spreads latency-critical tasks.
+/// Separates services and batch work that interfere according to the model. Packs batch work onto
+/// the fullest worker, and spreads latency-critical tasks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InterferenceAware;
 
 impl PlacementPolicy for InterferenceAware {
-    fn cost(&self, site: &CandidateHost) -> Option<f64> {
-        let sum = site.expected_interference();
-        match site.work.class {
+    fn cost(&self, candidate: &CandidateHost) -> Option<f64> {
+        let interference = candidate.expected_interference();
+        match candidate.work.class {
             // A service must run somewhere; batch work can wait for a better place.
-            Class::LatencyCritical => {
-                Some(site.utilization() + site.stranded_accelerators() + HARM_WEIGHT * sum)
-            }
-            Class::Batch if site.starting_percent() < SPEED_MIN => None,
-            Class::Batch => {
-                Some(site.stranded_accelerators() - site.utilization() + HARM_WEIGHT * sum)
-            }
+            Class::LatencyCritical => Some(
+                candidate.utilization()
+                    + candidate.stranded_accelerators()
+                    + INTERFERENCE_WEIGHT * interference,
+            ),
+            Class::Batch if candidate.starting_percent() < MIN_START_PERCENT => None,
+            Class::Batch => Some(
+                candidate.stranded_accelerators() - candidate.utilization()
+                    + INTERFERENCE_WEIGHT * interference,
+            ),
         }
     }
 
-    fn starting_percent(&self, site: &CandidateHost) -> u32 {
-        site.starting_percent().max(SPEED_MIN)
+    fn starting_percent(&self, candidate: &CandidateHost) -> u32 {
+        candidate.starting_percent().max(MIN_START_PERCENT)
     }
 }
--- a/ashtiller/src/interference/throttling.rs
+++ b/ashtiller/src/interference/throttling.rs
@@ -1,96 +1,100 @@
-//! What is done when a service on a worker is over its target.
+//! Throttling and eviction of batch tasks on a worker where a service misses its target.
 //!
-//! The suspect is slowed first, because that is cheap and shows soon who it was;
-//! only one that is slowed already and still suspect is evicted. Reports lag, so
-//! nothing is done again before the last step can be seen in them. Relief must
-//! last before a task is let back, and longer each time.
+//! A suspect is throttled first, because that is cheap and soon shows whether it caused the
+//! interference. Only a suspect that is already at the least speed is evicted. Reports lag, so that
+//! there is no further action before the effect of the last one can be visible in them. A throttled
+//! task is sped up again only after the services have met the goal for some time, which doubles
+//! with each relapse.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::fact::TaskId;
 
-/// Ratio of latency to target above which a service is over.
-const OVER: f64 = 1.0;
-/// Ratio that speeds are chosen for.
-const AIM: f64 = 0.92;
-/// Reports in a row above the target before something is done.
-const OVER_ROW: u32 = 2;
-/// Reports in a row below the aim before something is undone.
-const EASE_ROW: u32 = 3;
-/// Least speed of a slowed task in percent; one that is still suspect is evicted.
-const SLOWEST: u32 = 20;
-/// A change of speed below this is not worth a step.
-const STEP: u32 = 10;
-/// First time before a slowed task is sped up; doubles with each relapse.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Longest such time.
-const PATIENCE_MAX: Duration = Duration::from_mins(8);
-/// Time beyond the reports' lag that a step takes to show.
-const SETTLE: Duration = Duration::from_secs(4);
+/// Ratio of latency to target above which a service misses its target.
+const TARGET_RATIO: f64 = 1.0;
+/// Ratio for which speeds are chosen.
+const GOAL_RATIO: f64 = 0.92;
+/// Consecutive reports above the target before a task is throttled or evicted.
+const REPORTS_BEFORE_ACTION: u32 = 2;
+/// Consecutive reports below the goal before a task is sped up.
+const REPORTS_BEFORE_RELEASE: u32 = 3;
+/// Least speed of a throttled task in percent; a task that is still suspect there is evicted.
+const MIN_PERCENT: u32 = 20;
+/// Least increase of the speed in percent; smaller ones are not worth an action.
+const MIN_STEP_PERCENT: u32 = 10;
+/// Initial delay before a throttled task is sped up; doubles with each relapse.
+const RELEASE_DELAY: Duration = Duration::from_secs(30);
+/// Longest delay before a throttled task is sped up.
+const MAX_RELEASE_DELAY: Duration = Duration::from_mins(8);
+/// Time beyond the lag of the reports until the effect of an action is visible in them.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// What to do next on a worker.
+/// Next action on a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Nothing.
+    /// No action.
     Nothing,
-    /// Run a task at this speed in percent.
+    /// Run the task at this speed in percent.
     Throttle(TaskId, u32),
-    /// Checkpoint a task and stop it.
+    /// Checkpoint the task and stop it.
     Evict(TaskId),
 }
 
-/// A batch task on the worker, as a suspect.
+/// A batch task that may cause interference on the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Suspect {
-    /// Task.
+    /// Id of the task.
     pub task: TaskId,
-    /// Harm to the services beside it that is to be feared at full speed.
+    /// Upper bound of its interference with any service beside it, at full speed.
     pub interference: f64,
-    /// Whether its account may lose it to an eviction.
+    /// Whether the eviction budget of its account allows to evict it.
     pub evictable: bool,
 }
 
-/// A report about a worker.
+/// Figures of one report about a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation<'a> {
     /// Largest ratio of latency to target among the services.
     pub worst_ratio: f64,
-    /// Age of the figures.
+    /// Age of the figures in the report.
     pub lag: Duration,
-    /// Batch tasks beside them.
+    /// Batch tasks beside the services.
     pub suspects: &'a [Suspect],
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Slowed {
+/// Speed of a throttled task, when it was set, and how often the task was throttled again.
+struct Throttled {
     percent: u32,
     since: Duration,
     relapses: u32,
 }
 
-/// What is going on at one worker.
+/// Controller of the speeds of the batch tasks on one worker.
 #[derive(Clone, Debug, Default)]
 pub struct ThrottleController {
     reports_over_target: u32,
     reports_below_goal: u32,
-    acted: Option<Duration>,
-    slowed: BTreeMap<TaskId, Slowed>,
+    last_action: Option<Duration>,
+    throttled: BTreeMap<TaskId, Throttled>,
 }
 
 impl ThrottleController {
-    /// Speed at which a task should run, in percent.
+    /// Returns the speed at which a task should run, in percent.
     #[must_use]
     pub fn percent(&self, task: TaskId) -> u32 {
-        self.slowed.get(&task).map_or(100, |slowed| slowed.percent)
+        self.throttled
+            .get(&task)
+            .map_or(100, |throttled| throttled.percent)
     }
 
-    /// A task begins at this speed, because of harm learned before.
+    /// Records that a task starts at this speed because of the interference expected by the model.
     pub fn start_throttled(&mut self, task: TaskId, percent: u32, now: Duration) {
         if percent < 100 {
-            self.slowed.insert(
+            self.throttled.insert(
                 task,
-                Slowed {
+                Throttled {
                     percent,
                     since: now,
                     relapses: 0,
@@ -99,70 +103,74 @@
         }
     }
 
-    /// Decides after a report.
-    pub fn decide(&mut self, sight: Observation, now: Duration) -> Action {
-        self.reports_over_target = if sight.worst_ratio > OVER {
+    /// Decides on the next action after a report.
+    pub fn decide(&mut self, observation: Observation, now: Duration) -> Action {
+        self.reports_over_target = if observation.worst_ratio > TARGET_RATIO {
             self.reports_over_target + 1
         } else {
             0
         };
-        self.reports_below_goal = if sight.worst_ratio < AIM {
+        self.reports_below_goal = if observation.worst_ratio < GOAL_RATIO {
             self.reports_below_goal + 1
         } else {
             0
         };
-        let shown = self
-            .acted
-            .is_none_or(|acted| now >= acted + sight.lag + SETTLE);
-        if !shown {
+        let effect_visible = self
+            .last_action
+            .is_none_or(|last_action| now >= last_action + observation.lag + SETTLE_TIME);
+        if !effect_visible {
             return Action::Nothing;
         }
-        let act = if self.reports_over_target >= OVER_ROW {
-            self.restrain(sight, now)
-        } else if self.reports_below_goal >= EASE_ROW {
-            self.let_back(sight, now)
+        let action = if self.reports_over_target >= REPORTS_BEFORE_ACTION {
+            self.throttle_or_evict(observation, now)
+        } else if self.reports_below_goal >= REPORTS_BEFORE_RELEASE {
+            self.release(observation, now)
         } else {
             Action::Nothing
         };
-        if act != Action::Nothing {
-            self.acted = Some(now);
+        if action != Action::Nothing {
+            self.last_action = Some(now);
             self.reports_over_target = 0;
             self.reports_below_goal = 0;
         }
-        act
+        action
     }
 
-    /// A task has left the worker.
+    /// Removes a task that has left the worker.
     pub fn remove_task(&mut self, task: TaskId) {
-        self.slowed.remove(&task);
+        self.throttled.remove(&task);
     }
 
-    /// Slows the suspect that does most harm at its speed; evicts it when it is at
-    /// the least speed.
-    fn restrain(&mut self, sight: Observation, now: Duration) -> Action {
-        let doing =
+    /// Throttles the suspect with the most interference at its current speed. If all suspects are
+    /// at the least speed, evicts the worst of those that may be evicted.
+    fn throttle_or_evict(&mut self, observation: Observation, now: Duration) -> Action {
+        let impact =
             |suspect: &&Suspect| suspect.interference * f64::from(self.percent(suspect.task));
-        let fast = |suspect: &&Suspect| self.percent(suspect.task) > SLOWEST;
-        let most = |one: &&Suspect, other: &&Suspect| doing(one).total_cmp(&doing(other));
+        let can_slow = |suspect: &&Suspect| self.percent(suspect.task) > MIN_PERCENT;
+        let by_impact = |one: &&Suspect, other: &&Suspect| impact(one).total_cmp(&impact(other));
         let suspects = || {
-            sight
+            observation
                 .suspects
                 .iter()
                 .filter(|suspect| suspect.interference > 0.0)
         };
-        if let Some(suspect) = suspects().filter(fast).max_by(most) {
-            let now_at = self.percent(suspect.task);
-            // At most half, so that each step shows.
-            let percent = sustainable_percent(sight.worst_ratio, suspect.interference, now_at)
-                .min(now_at / 2)
-                .max(SLOWEST);
+        if let Some(suspect) = suspects().filter(can_slow).max_by(by_impact) {
+            let current_percent = self.percent(suspect.task);
+            // At least halves the speed, so that the effect of each action is visible.
+            let percent = sustainable_percent(
+                observation.worst_ratio,
+                suspect.interference,
+                current_percent,
+            )
+            .min(current_percent / 2)
+            .max(MIN_PERCENT);
             let relapses = self
-                .slowed
+                .throttled
                 .get(&suspect.task)
-                .map_or(0, |slowed| slowed.relapses + 1);
-            self.slowed.insert(
+                .map_or(0, |throttled| throttled.relapses + 1);
+            self.throttled.insert(
                 suspect.task,
-                Slowed {
+                Throttled {
                     percent,
                     since: now,
                     relapses,
@@ -170,48 +178,54 @@
             );
             return Action::Throttle(suspect.task, percent);
         }
-        let evictable = suspects().filter(|suspect| suspect.evictable).max_by(most);
+        let evictable = suspects()
+            .filter(|suspect| suspect.evictable)
+            .max_by(by_impact);
         evictable.map_or(Action::Nothing, |suspect| Action::Evict(suspect.task))
     }
 
-    /// Speeds up the least feared of those that have waited long enough, as far as
-    /// the services can bear.
-    fn let_back(&mut self, sight: Observation, now: Duration) -> Action {
+    /// Speeds up the suspect with the least interference among those whose delay has passed, as
+    /// far as the services stay at the goal.
+    fn release(&mut self, observation: Observation, now: Duration) -> Action {
         let mut best: Option<(f64, TaskId, u32)> = None;
-        for suspect in sight.suspects {
-            let Some(slowed) = self.slowed.get(&suspect.task) else {
+        for suspect in observation.suspects {
+            let Some(throttled) = self.throttled.get(&suspect.task) else {
                 continue;
             };
-            let patience = PATIENCE
-                .saturating_mul(1 << slowed.relapses.min(8))
-                .min(PATIENCE_MAX);
-            let percent =
-                sustainable_percent(sight.worst_ratio, suspect.interference, slowed.percent);
-            let worth = percent >= slowed.percent + STEP && now >= slowed.since + patience;
-            if worth && best.is_none_or(|(least, _, _)| suspect.interference < least) {
+            let delay = RELEASE_DELAY
+                .saturating_mul(1 << throttled.relapses.min(8))
+                .min(MAX_RELEASE_DELAY);
+            let percent = sustainable_percent(
+                observation.worst_ratio,
+                suspect.interference,
+                throttled.percent,
+            );
+            let eligible =
+                percent >= throttled.percent + MIN_STEP_PERCENT && now >= throttled.since + delay;
+            if eligible && best.is_none_or(|(lowest, _, _)| suspect.interference < lowest) {
                 best = Some((suspect.interference, suspect.task, percent));
             }
         }
         let Some((_, task, percent)) = best else {
             return Action::Nothing;
         };
-        if let Some(slowed) = self.slowed.get_mut(&task) {
-            slowed.percent = percent;
-            slowed.since = now;
+        if let Some(throttled) = self.throttled.get_mut(&task) {
+            throttled.percent = percent;
+            throttled.since = now;
         }
         Action::Throttle(task, percent)
     }
 }
 
-/// Speed in percent at which a task of this harm, now at `percent`, keeps the worst
-/// service at the aim.
+/// Returns the speed in percent at which a task with this interference, now at `percent`, keeps the
+/// worst service at the goal.
 #[must_use]
-pub fn sustainable_percent(worst: f64, harm: f64, percent: u32) -> u32 {
-    if harm <= 0.0 {
+pub fn sustainable_percent(worst: f64, interference: f64, percent: u32) -> u32 {
+    if interference <= 0.0 {
         return 100;
     }
-    let without = worst - harm * f64::from(percent) / 100.0;
-    let speed = ((AIM - without) / harm * 10.0).floor() * 10.0;
+    let without_task = worst - interference * f64::from(percent) / 100.0;
+    let speed = ((GOAL_RATIO - without_task) / interference * 10.0).floor() * 10.0;
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
--- a/ashtiller/src/interference/worker_report.rs
+++ b/ashtiller/src/interference/worker_report.rs
@@ -1,4 +1,4 @@
-//! What a worker's report says about harm, and what is done about it.
+//! Evaluates a worker's report: updates the interference model and decides on throttling.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,58 +13,52 @@
 use crate::template::Class;
 use crate::throttling::{Action, Observation, Suspect};
 
-/// Time beyond a report's lag after which a placed task shows in it.
-const SHOWN: Duration = Duration::from_secs(4);
+/// Time beyond a report's lag after which the effect of a placed task is visible in it.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// A service in a report.
+/// Measurement of a service in a report.
 struct Service {
     kind: Kind,
     ratio: f64,
     load: f64,
 }
 
-/// A batch task in a report.
+/// Speed of a batch task in a report.
 struct Batch {
     task: TaskId,
     kind: Kind,
     speed: f64,
 }
 
-/// Learns from a report and decides what to do on its worker.
+/// Updates the model from a report and returns the next action on its worker.
 pub fn process_report(
     cell: &mut Cell,
-    harm: &mut InterferenceModel,
+    model: &mut InterferenceModel,
     worker: &Arc<str>,
     report: &Report,
     now: Duration,
 ) -> Action {
-    let (services, batches) = sort_running(cell, worker, report);
+    let (services, batches) = classify_running(cell, worker, report);
     if services.is_empty() {
         return Action::Nothing;
     }
-    let beside = sum_kinds(&batches);
-    for service in &services {
-        harm.learn(service.kind, &beside, service.load, service.ratio, now);
+    let colocated = sum_by_kind(&batches);
+    for it in &services {
+        model.learn(it.kind, &colocated, it.load, it.ratio, now);
     }
     let suspects: Vec<Suspect> = batches
         .iter()
-        .filter_map(|batch| suspect(cell, harm, &services, batch, now))
+        .filter_map(|batch| to_suspect(cell, model, &services, batch, now))
         .collect();
-    let worst = services
-        .iter()
-        .map(|service| service.ratio)
-        .fold(0.0, f64::max);
+    let worst = services.iter().map(|it| it.ratio).fold(0.0, f64::max);
     let Some(host) = cell.workers.get_mut(worker) else {
         return Action::Nothing;
     };
-    host.loads = services
-        .iter()
-        .map(|service| (service.kind, service.load))
-        .collect();
+    host.loads = services.iter().map(|it| (it.kind, it.load)).collect();
     let lag = Duration::from_millis(report.lag);
     host.worst_latency_ratio = worst;
     host.pending_interference
-        .retain(|(placed, _)| *placed + lag + SHOWN > now);
+        .retain(|(placed, _)| *placed + lag + SETTLE_TIME > now);
     host.guard.decide(
         Observation {
             worst_ratio: worst,
@@ -75,13 +69,13 @@
     )
 }
 
-/// Services that were measured, and the batch tasks beside them: those in the report,
-/// or those of the last list when the report says that it is unchanged.
-fn sort_running(cell: &Cell, worker: &str, report: &Report) -> (Vec<Service>, Vec<Batch>) {
+/// Returns the measured services and the batch tasks beside them: those in the report, or those of
+/// the last list if the report says that it is unchanged.
+fn classify_running(cell: &Cell, worker: &str, report: &Report) -> (Vec<Service>, Vec<Batch>) {
     let services = report
         .running
         .iter()
-        .filter_map(|running| service(cell, worker, running));
+        .filter_map(|running| to_service(cell, worker, running));
     let listed = report.running.iter().filter_map(|running| {
         let id = reconcile::parse_task_name(&running.task)?;
         let (task, _) = cell.task(id)?;
@@ -93,21 +87,21 @@
         .flat_map(|host| host.reported_speeds.iter().map(|(id, speed)| (*id, *speed)));
     let batches = listed
         .chain(known)
-        .filter_map(|(id, speed)| batch(cell, worker, id, speed));
+        .filter_map(|(id, speed)| to_batch(cell, worker, id, speed));
     (services.collect(), batches.collect())
 }
 
-fn is_here(task: &Task, worker: &str) -> bool {
+fn is_placed_on(task: &Task, worker: &str) -> bool {
     task.phase
         .placement()
         .is_some_and(|place| &*place.worker == worker)
 }
 
 #[expect(clippy::cast_precision_loss, reason = "microseconds of a latency")]
-fn service(cell: &Cell, worker: &str, running: &Running) -> Option<Service> {
+fn to_service(cell: &Cell, worker: &str, running: &Running) -> Option<Service> {
     let id = reconcile::parse_task_name(&running.task)?;
     let (task, submission) = cell.task(id)?;
-    let current = is_here(task, worker) && task.attempt == running.attempt;
+    let current = is_placed_on(task, worker) && task.attempt == running.attempt;
     let (latency, target) = running.latency.zip(submission.target).filter(|_| current)?;
     Some(Service {
         kind: cell.job(id.job)?.kind_id,
@@ -116,9 +110,9 @@
     })
 }
 
-fn batch(cell: &Cell, worker: &str, id: TaskId, speed: u32) -> Option<Batch> {
+fn to_batch(cell: &Cell, worker: &str, id: TaskId, speed: u32) -> Option<Batch> {
     let (task, submission) = cell.task(id)?;
-    let counts = submission.class == Class::Batch && is_here(task, worker);
+    let counts = submission.class == Class::Batch && is_placed_on(task, worker);
     let kind = cell.job(id.job)?.kind_id;
     counts.then(|| Batch {
         task: id,
@@ -127,23 +121,23 @@
     })
 }
 
-fn sum_kinds(batches: &[Batch]) -> Vec<ColocatedBatch> {
-    let mut beside: Vec<ColocatedBatch> = Vec::new();
+fn sum_by_kind(batches: &[Batch]) -> Vec<ColocatedBatch> {
+    let mut colocated: Vec<ColocatedBatch> = Vec::new();
     for batch in batches {
-        match beside.iter_mut().find(|other| other.kind == batch.kind) {
+        match colocated.iter_mut().find(|other| other.kind == batch.kind) {
             Some(other) => other.speed += batch.speed,
-            None => beside.push(ColocatedBatch {
+            None => colocated.push(ColocatedBatch {
                 kind: batch.kind,
                 speed: batch.speed,
             }),
         }
     }
-    beside
+    colocated
 }
 
-fn suspect(
+fn to_suspect(
     cell: &Cell,
-    harm: &InterferenceModel,
+    model: &InterferenceModel,
     services: &[Service],
     batch: &Batch,
     now: Duration,
@@ -152,13 +146,13 @@
     if !matches!(task.phase, Phase::Placed(_)) {
         return None;
     }
-    let feared = services
+    let bounds = services
         .iter()
-        .map(|service| harm.upper_bound(service.kind, batch.kind, service.load, now));
+        .map(|it| model.upper_bound(it.kind, batch.kind, it.load, now));
     let evictable = evict::has_budget(cell, batch.task, now);
     Some(Suspect {
         task: batch.task,
-        interference: feared.fold(0.0, f64::max),
+        interference: bounds.fold(0.0, f64::max),
         evictable,
     })
 }
--- a/ashtiller/src/workflow/log/compaction.rs
+++ b/ashtiller/src/workflow/log/compaction.rs
@@ -99,9 +99,9 @@
         Ok(())
     }
 
-    /// Makes this the newest snapshot, on the condition that the head is still at `revision`. Without
-    /// this condition a slow snapshot, or a write that takes effect late, could replace a newer
-    /// snapshot whose entries are already removed.
+    /// Makes this the newest snapshot, on the condition that the head is still at `revision`.
+    /// Without this condition a slow snapshot, or a write that takes effect late, could replace a
+    /// newer snapshot whose entries are already removed.
     async fn write_head(
         &self,
         epoch: u64,
--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -93,7 +93,8 @@
 }
 
 impl Log {
-    /// Returns the log whose keys begin with `prefix`; `incarnation` marks the writes of this process.
+    /// Returns the log whose keys begin with `prefix`; `incarnation` marks the writes of this
+    /// process.
     #[must_use]
     pub fn new(store: Arc<dyn Store>, prefix: &str, incarnation: u64) -> Self {
         Self {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Replays the whole log. Only the owner may call this: for any other process the log could grow
-    /// during the replay.
+    /// Replays the whole log. Only the owner may call this: for any other process the log could
+    /// grow during the replay.
     ///
     /// # Errors
     /// The store did not answer, or the snapshot or an entry cannot be decoded.
@@ -184,7 +185,11 @@
                 after = item.key.to_string();
                 // Positions have no gaps; any other key is not an entry of this log.
                 if position_of(&item.key) != Some(next) {
-                    tracing::warn!(key = %item.key, next, "skipping a key that is not the next entry of the log");
+                    tracing::warn!(
+                        key = %item.key,
+                        next,
+                        "skipping a key that is not the next entry of the log"
+                    );
                     continue;
                 }
                 let entry: Entry = postcard::from_bytes(&item.value)
@@ -293,7 +298,7 @@
                 Err(failure) => {
                     tries += 1;
                     if tries == 1 {
-                        tracing::warn!(position, %failure, "entry not confirmed; retrying the write");
+                        tracing::warn!(position, %failure, "entry not confirmed; retrying");
                     }
                     time::sleep(RETRY_DELAY).await;
                 }
@@ -339,7 +344,7 @@
 /// and is replaced like any owner that has ended.
 fn decode_lead(key: &str, value: &[u8], revision: u64) -> LogOwner {
     let lead = postcard::from_bytes(value).unwrap_or_else(|error| {
-        tracing::error!(key, revision, %error, "failed to decode the lead key; treating the log as not owned");
+        tracing::error!(key, revision, %error, "lead key cannot be decoded; the log has no owner");
         LogOwner {
             name: "".into(),
             address: UNREACHABLE_ADDRESS,
--- a/ashtiller/src/workflow/membership/election.rs
+++ b/ashtiller/src/workflow/membership/election.rs
@@ -232,7 +232,7 @@
             if let Loss::Silent(tail) = loss
                 && is_still_writing(node, lead, tail).await
             {
-                tracing::info!(owner = %lead.name, "owner still writes to the log; not replacing it");
+                tracing::info!(owner = %lead.name, "owner still writes; not replacing it");
                 return;
             }
             try_acquire(node, Some(lead.as_former())).await;
--- a/ashtiller/src/workflow/membership/failover_order.rs
+++ b/ashtiller/src/workflow/membership/failover_order.rs
@@ -22,7 +22,8 @@
     (Reverse(processors), hash, name.clone())
 }
 
-/// Returns how many eligible members other than `lost_owner` precede an instance of this size and name.
+/// Returns how many eligible members other than `lost_owner` precede an instance of this size and
+/// name.
 #[must_use]
 pub fn rank(processors: u64, name: &Arc<str>, lost_owner: &str, members: &[Member]) -> usize {
     let own_key = order_key(processors, name);
--- a/ashtiller/src/workflow/membership/handover.rs
+++ b/ashtiller/src/workflow/membership/handover.rs
@@ -40,7 +40,7 @@
     pub stalled: Duration,
     /// Time since the store last answered any call.
     pub store_age: Duration,
-    /// Whether the store answers responsive enough for a handover to a larger instance.
+    /// Whether the store answers fast enough for a handover to a larger instance.
     pub is_stable: bool,
 }
 
@@ -48,8 +48,8 @@
     /// Returns why the log should be handed over, or `None` if it should stay.
     #[must_use]
     pub fn reason(&self) -> Option<HandoverReason> {
-        // If the store answers other calls, the answer to the entry is delayed by a queue that this
-        // owner's own_name load causes. A successor would cause the same queue, after a replay of the
+        // If the store answers other calls, the answer to the entry is delayed by a queue that the
+        // load of this owner causes. A successor would cause the same queue, after a replay of the
         // log.
         let cut_off = self.store_age.saturating_add(LATE_REPLY_MARGIN) >= self.stalled;
         match () {
--- a/ashtiller/src/workflow/membership/members.rs
+++ b/ashtiller/src/workflow/membership/members.rs
@@ -38,7 +38,7 @@
     version: Version,
     /// Version up to which this process knew the changes of the previous owner.
     inherited: Version,
-    /// Version from which on all changes are tracked; some of the earlier ones are not.
+    /// Version from which on all changes are known; some of the earlier ones are not.
     complete_since: Version,
     last_expiry: Option<Moment>,
 }
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Returns the update for a follower that holds the list as of `since`; `None` if it is current.
+    /// Returns the update for a follower that holds the list as of `since`; `None` if that is the
+    /// current version.
     #[must_use]
     pub fn changes_since(&self, since: Version) -> Option<MembershipUpdate> {
         if since == self.version {
@@ -142,7 +143,7 @@
         })
     }
 
-    /// Returns whether each change after `since` is tracked.
+    /// Returns whether each change after `since` is known.
     fn has_changes_since(&self, since: Version) -> bool {
         let own = since.epoch == self.version.epoch;
         // The previous owner may have sent later changes to others than to this process.
--- a/ashtiller/src/workflow/node/forward.rs
+++ b/ashtiller/src/workflow/node/forward.rs
@@ -1,4 +1,4 @@
-//! Questions to whoever owns the log.
+//! Forwards requests to the owner of the log.
 
 use std::time::Duration;
 
@@ -10,70 +10,86 @@
 use crate::workflow::node::Node;
 use crate::workflow::owner::OwnerRequest;
 
-/// Pause between two tries to reach the owner.
-const AGAIN: Duration = Duration::from_millis(40);
-/// Time limit of one question to the owner.
-pub(super) const ASK_LIMIT: Duration = Duration::from_millis(1500);
+/// Delay between two attempts to reach the owner.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// Timeout of one request to the owner.
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Node {
-    /// Asks the owner of the log, wherever it is, and goes on until `deadline`.
-    pub async fn ask_owner(&self, ask: &PeerRequest, deadline: Instant) -> Reply {
-        // Epoch of the last owner that may have done it.
-        let mut doubt = None;
+    /// Sends a request to the owner of the log, in this process or another one, and retries until
+    /// `deadline`. Returns `Unknown` if the request may have taken effect.
+    pub async fn ask_owner(&self, request: &PeerRequest, deadline: Instant) -> Reply {
+        // Epoch of the last owner that may have executed the request.
+        let mut uncertain_epoch = None;
         loop {
             let epoch = self.lead().map_or(0, |lead| lead.epoch);
-            match self.try_owner(ask, deadline).await {
+            match self.send_to_owner(request, deadline).await {
                 Ok(Reply::NotOwner) => {}
-                Ok(Reply::Unknown) => doubt = Some(epoch),
-                // The earlier call may yet reach the same owner; a later owner has the
-                // whole log, and its refusal holds.
-                Ok(Reply::Refused(_)) if doubt == Some(epoch) => {}
+                Ok(Reply::Unknown) => uncertain_epoch = Some(epoch),
+                // The earlier call may still reach the same owner. The refusal of a later owner is
+                // final, because it has the whole log.
+                Ok(Reply::Refused(_)) if uncertain_epoch == Some(epoch) => {}
                 Ok(reply) => return reply,
                 Err(failure) => {
                     if failure.effect == RemoteEffect::Unknown {
-                        doubt = Some(epoch);
+                        uncertain_epoch = Some(epoch);
                     }
-                    tracing::debug!(%failure, "owner not reached");
+                    tracing::debug!(%failure, "failed to reach the owner");
                 }
             }
-            if Instant::now() + AGAIN >= deadline {
-                let retry = self.settings.tuning.retry.as_millis();
-                return if doubt.is_some() {
+            if Instant::now() + RETRY_DELAY >= deadline {
+                let retry_after = self.settings.tuning.retry.as_millis();
+                return if uncertain_epoch.is_some() {
                     Reply::Unknown
                 } else {
-                    Reply::Refused(u32::try_from(retry).unwrap_or(u32::MAX))
+                    Reply::Refused(u32::try_from(retry_after).unwrap_or(u32::MAX))
                 };
             }
             let mut lead = self.watch_lead();
-            let _ = time::timeout(AGAIN, lead.changed()).await;
+            let _ = time::timeout(RETRY_DELAY, lead.changed()).await;
         }
     }
 
-    async fn try_owner(&self, ask: &PeerRequest, deadline: Instant) -> Result<Reply, Failure> {
-        let left = deadline.saturating_duration_since(Instant::now());
+    async fn send_to_owner(
+        &self,
+        request: &PeerRequest,
+        deadline: Instant,
+    ) -> Result<Reply, Failure> {
+        let remaining = deadline.saturating_duration_since(Instant::now());
         if self.owns() {
-            return Ok(self.ask_local_owner(ask.clone(), left).await);
+            return Ok(self.ask_local_owner(request.clone(), remaining).await);
         }
         let Some(lead) = self.lead().filter(|lead| lead.incarnation != self.life) else {
             return Ok(Reply::NotOwner);
         };
         self.links
-            .ask("ask owner", lead.address, ask, left.min(ASK_LIMIT))
+            .ask(
+                "ask owner",
+                lead.address,
+                request,
+                remaining.min(REQUEST_TIMEOUT),
+            )
             .await
     }
 
-    /// Asks the log that this process owns.
-    pub(super) async fn ask_local_owner(&self, ask: PeerRequest, limit: Duration) -> Reply {
+    /// Sends a request to the owner of the log in this process.
+    pub(super) async fn ask_local_owner(&self, request: PeerRequest, timeout: Duration) -> Reply {
         let Some(owner) = self.owner.borrow().clone() else {
             return Reply::NotOwner;
         };
         let (sender, reply) = oneshot::channel();
-        if owner.try_send(OwnerRequest { ask, reply: sender }).is_err() {
+        if owner
+            .try_send(OwnerRequest {
+                ask: request,
+                reply: sender,
+            })
+            .is_err()
+        {
             return Reply::Refused(1000);
         }
-        match time::timeout(limit, reply).await {
+        match time::timeout(timeout, reply).await {
             Ok(Ok(reply)) => reply,
-            // The owner ended before it decided, or is still at it.
+            // The owner ended before it decided, or has not decided yet.
             Ok(Err(_)) | Err(_) => Reply::Unknown,
         }
     }
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -1,4 +1,4 @@
-//! One entry instance: takes clients' calls, and owns the log or follows who does.
+//! One entry instance: serves clients' calls, and owns the log or follows its owner.
 
 mod forward;
 mod peer_handler;
@@ -36,34 +36,34 @@
 use crate::workflow::relay::server::RelayServer;
 use crate::workflow::settings::Settings;
 
-/// Prefix of everything that this project keeps in the store.
-const PREFIX: &str = "ashtiller/flow/";
+/// Prefix of all keys that this project writes to the store.
+const STORE_PREFIX: &str = "ashtiller/flow/";
 
-/// What every part of the process shares.
+/// State that all parts of the process share.
 pub struct Node {
-    /// Settings.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// Key-value service.
+    /// Client of the key-value service.
     pub store: Arc<dyn Store>,
-    /// Workers.
+    /// Client that calls workers directly.
     pub agents: Arc<dyn WorkerClient>,
-    /// Advisor on workers, if there is one.
+    /// Advisor on the choice of workers, if the settings name one.
     pub advisor: Option<Arc<dyn Advisor>>,
-    /// Machines, if there is an interface to them.
+    /// Client of the machine interface, if the settings name one.
     pub machines: Option<Arc<dyn Machines>>,
-    /// Reader of what the platform keeps in the store.
+    /// Codec of the entries that the platform keeps in the store.
     pub dialect: Arc<dyn PlatformCodec>,
     /// Connections to other instances.
     pub links: Rc<PeerConnections>,
-    /// Calls to workers for owners elsewhere.
+    /// Executor of calls to workers on behalf of an owner on another instance.
     pub relay_server: Rc<RelayServer>,
-    /// Calls to workers for the owner here.
+    /// Client that calls workers for the owner in this process, directly or over relays.
     pub worker_client: Rc<RelayClient>,
-    /// Counters and histograms.
+    /// Counters and histograms of this process.
     pub metrics: Metrics,
-    /// The log.
+    /// Log of records in the store.
     pub log: Log,
-    /// Random number of this process's life.
+    /// Random number that identifies this process until it ends.
     pub life: u64,
     lead: watch::Sender<Option<LogOwner>>,
     config: watch::Sender<Arc<Config>>,
@@ -79,26 +79,26 @@
     dump: watch::Sender<Arc<str>>,
 }
 
-/// What the process reaches outside.
+/// Clients of the services that the process depends on.
 pub struct Dependencies {
-    /// Key-value service.
+    /// Client of the key-value service.
     pub store: Arc<dyn Store>,
-    /// Workers.
+    /// Client that calls workers directly.
     pub agents: Arc<dyn WorkerClient>,
-    /// Advisor on workers, if there is one.
+    /// Advisor on the choice of workers, if the settings name one.
     pub advisor: Option<Arc<dyn Advisor>>,
-    /// Machines, if there is an interface to them.
+    /// Client of the machine interface, if the settings name one.
     pub machines: Option<Arc<dyn Machines>>,
-    /// Reader of what the platform keeps in the store.
+    /// Codec of the entries that the platform keeps in the store.
     pub dialect: Arc<dyn PlatformCodec>,
 }
 
 impl Node {
-    /// A process that has not begun to act.
+    /// Creates the state of a process; [`Node::spawn`] starts its tasks.
     ///
     /// # Errors
-    /// The metrics cannot be registered.
-    pub fn open(settings: Settings, outside: Dependencies) -> anyhow::Result<Rc<Self>> {
+    /// A metric is registered already.
+    pub fn open(settings: Settings, dependencies: Dependencies) -> anyhow::Result<Rc<Self>> {
         let life = rand::random::<u64>();
         let Dependencies {
             store,
@@ -106,11 +106,11 @@
             advisor,
             machines,
             dialect,
-        } = outside;
+        } = dependencies;
         let metrics = Metrics::open()?;
         let links = PeerConnections::over(Rc::new(Tcp), metrics.silent_links());
         Ok(Rc::new(Self {
-            log: Log::new(store.clone(), PREFIX, life),
+            log: Log::new(store.clone(), STORE_PREFIX, life),
             store,
             advisor,
             machines,
@@ -137,32 +137,33 @@
         }))
     }
 
-    /// Begins to follow the configuration, to watch the store and to campaign.
+    /// Spawns the tasks that follow the configuration, probe the store and elect the owner.
     pub fn spawn(self: &Rc<Self>) {
         task::spawn_local(self.clone().follow_config());
         task::spawn_local(self.clone().probe_store());
         task::spawn_local(election::run(self.clone()));
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> Arc<Config> {
         self.config.borrow().clone()
     }
 
-    /// Follows the configuration in force.
+    /// Subscribes to the configuration in force.
     #[must_use]
     pub fn watch_config(&self) -> watch::Receiver<Arc<Config>> {
         self.config.subscribe()
     }
 
-    /// Whether clients can be served.
+    /// Returns whether clients can be served.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.leaving.get() && self.config.borrow().version > 0
     }
 
-    /// The state of the log as its owner here last showed it.
+    /// Returns the state of this process for operators, with the state of the log as last published
+    /// if this process owns it.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
         let lead = self.lead();
@@ -185,23 +186,23 @@
         })
     }
 
-    /// Shows the state of the log that this process owns.
+    /// Publishes the state of the log that this process owns, for [`Node::dump`].
     pub fn publish_dump(&self, dump: &serde_json::Value) {
         self.dump.send_replace(dump.to_string().into());
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned shutdown has begun.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// Begins a planned stop.
+    /// Begins a planned shutdown.
     pub fn begin_shutdown(&self) {
         self.leaving.set(true);
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Puts a configuration in force, unless it has a newer one.
     pub fn adopt_config(&self, config: &Arc<Config>) {
         let version = config.version;
         let adopted = self.config.send_if_modified(|current| {
@@ -222,31 +223,31 @@
         });
     }
 
-    /// Follows the waves of upkeep that operators ask for.
+    /// Subscribes to the upkeep waves that operators request.
     #[must_use]
     pub fn watch_waves(&self) -> watch::Receiver<BTreeMap<u64, Wave>> {
         self.waves.subscribe()
     }
 
-    /// Follows which availability zones operators evacuate.
+    /// Subscribes to the availability zones that operators evacuate.
     #[must_use]
     pub fn watch_evacuations(&self) -> watch::Receiver<Evacuations> {
         self.evacuations.subscribe()
     }
 
-    /// Who owns the log, as far as is known.
+    /// Returns the last known owner of the log.
     #[must_use]
     pub fn lead(&self) -> Option<LogOwner> {
         self.lead.borrow().clone()
     }
 
-    /// Follows who owns the log.
+    /// Subscribes to the owner of the log.
     #[must_use]
     pub fn watch_lead(&self) -> watch::Receiver<Option<LogOwner>> {
         self.lead.subscribe()
     }
 
-    /// Takes note of an owner, unless a later one is known.
+    /// Records an owner of the log, unless a later one is known.
     pub fn adopt_lead(&self, lead: &LogOwner) {
         let adopted = self.lead.send_if_modified(|current| {
             let newer = current
@@ -262,7 +263,8 @@
         }
     }
 
-    /// This process as an owner in place of `former`, at an epoch that is not known yet.
+    /// Returns the record that makes this process the owner in place of `former`. Its epoch is 0
+    /// until the store has assigned one.
     #[must_use]
     pub fn as_lead(&self, former: Option<PreviousOwner>) -> LogOwner {
         LogOwner {
@@ -275,14 +277,14 @@
         }
     }
 
-    /// Processors of the largest instance that is known, in thousandths.
+    /// Returns the processors of the largest known instance, in thousandths.
     fn largest(&self) -> u64 {
         let members = self.members.borrow();
         let others = members.iter().map(|member| member.processors);
         others.fold(self.settings.entry.processors, u64::max)
     }
 
-    /// This process as others should see it.
+    /// Returns the entry of this process in the list of members.
     #[must_use]
     pub fn as_member(&self) -> Member {
         let age = self.store_age().as_millis();
@@ -297,62 +299,63 @@
         }
     }
 
-    /// The other instances, as the owner last told.
+    /// Returns the members as of the last update of the owner.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         self.members.borrow().iter().cloned().collect()
     }
 
-    /// Whether some other instance is like this.
-    pub fn any_member(&self, like: impl Fn(&Member) -> bool) -> bool {
-        self.members.borrow().iter().any(like)
+    /// Returns whether any member satisfies the predicate.
+    pub fn any_member(&self, predicate: impl Fn(&Member) -> bool) -> bool {
+        self.members.borrow().iter().any(predicate)
     }
 
-    /// As of when the members are known.
+    /// Returns the version of the list of members.
     #[must_use]
     pub fn members_version(&self) -> Version {
         self.members.borrow().version()
     }
 
-    /// Takes what the owner tells of the members.
-    pub fn apply_membership_update(&self, news: MembershipUpdate, version: Version) {
-        self.members.borrow_mut().apply_update(news, version);
+    /// Applies an update of the owner to the list of members.
+    pub fn apply_membership_update(&self, update: MembershipUpdate, version: Version) {
+        self.members.borrow_mut().apply_update(update, version);
     }
 
-    /// Keeps the list of members from now on, as the owner at this epoch.
+    /// Maintains the list of members from now on, as the owner at this epoch.
     pub fn own_member_list(&self, epoch: u64) {
         self.members.borrow_mut().begin_ownership(epoch);
     }
 
-    /// Takes note of a heartbeat; the result is what the sender has missed of the members, and
-    /// as of when it knows them then.
-    fn record_heartbeat(&self, hello: &Heartbeat) -> (Option<MembershipUpdate>, Version) {
+    /// Records a heartbeat; returns the changes to the list of members that the sender lacks, and
+    /// the version of the list after them.
+    fn record_heartbeat(&self, heartbeat: &Heartbeat) -> (Option<MembershipUpdate>, Version) {
         let mut members = self.members.borrow_mut();
-        members.record_heartbeat(hello.member.clone());
-        (members.changes_since(hello.members), members.version())
+        members.record_heartbeat(heartbeat.member.clone());
+        (members.changes_since(heartbeat.members), members.version())
     }
 
-    /// Where other instances may be reached: members first, then seeds.
+    /// Returns the addresses of the other instances: members first, then seeds.
     #[must_use]
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         let port = self.settings.entry.peers.port();
-        let mut others: Vec<SocketAddr> = self
+        let mut addresses: Vec<SocketAddr> = self
             .members
             .borrow()
             .iter()
             .map(|member| member.address)
             .collect();
-        // Ports are alike on all instances; seeds name another port of theirs.
+        // All instances use the same port for peers; the seeds name another port of theirs.
         let seeds = self.settings.entry.seeds.iter();
-        others.extend(seeds.map(|seed| SocketAddr::new(seed.ip(), port)));
-        others.retain(|address| *address != self.settings.entry.peers);
+        addresses.extend(seeds.map(|seed| SocketAddr::new(seed.ip(), port)));
+        addresses.retain(|address| *address != self.settings.entry.peers);
         let mut seen = HashSet::new();
-        others.retain(|address| seen.insert(*address));
-        others
+        addresses.retain(|address| seen.insert(*address));
+        addresses
     }
 
-    /// Installs or removes the queue of questions to the own log. While this process owns
-    /// the log nobody else brings it news, so its watches wait for a short time only.
+    /// Installs or removes the queue of requests to the owner in this process. While this process
+    /// owns the log, no other instance sends it updates, and so its long polls of the store wait
+    /// for a short time only.
     pub fn set_owner(&self, owner: Option<mpsc::Sender<OwnerRequest>>) {
         self.long_poll_wait.send_replace(match owner {
             Some(_) => self.settings.tuning.watch_wait(),
@@ -361,37 +364,37 @@
         *self.owner.borrow_mut() = owner;
     }
 
-    /// Whether this process owns the log.
+    /// Returns whether this process owns the log.
     #[must_use]
     pub fn owns(&self) -> bool {
         self.owner.borrow().is_some()
     }
 
-    /// Follows how long one watch of the store may wait.
+    /// Subscribes to the time that one long poll of the store may wait.
     #[must_use]
     pub fn watch_long_poll_wait(&self) -> watch::Receiver<Duration> {
         self.long_poll_wait.subscribe()
     }
 
-    /// Time since the store last answered this process.
+    /// Returns the time since the store last answered this process.
     #[must_use]
     pub fn store_age(&self) -> Duration {
-        let seen = self.last_store_contact.get();
-        seen.map_or(Duration::MAX, Moment::elapsed)
+        let contact = self.last_store_contact.get();
+        contact.map_or(Duration::MAX, Moment::elapsed)
     }
 
-    /// The store has answered.
+    /// Records that the store has answered.
     pub fn note_store_contact(&self) {
         self.last_store_contact.set(Some(Moment::now()));
     }
 
-    /// Position of the newest entry that this process knows to be durable.
+    /// Returns the position of the newest entry that this process knows to be durable.
     #[must_use]
     pub fn position(&self) -> u64 {
         self.position.get()
     }
 
-    /// Takes note of a durable entry.
+    /// Records the position of a durable entry.
     pub fn note_position(&self, position: u64) {
         self.position.set(self.position.get().max(position));
     }
--- a/ashtiller/src/workflow/node/peer_handler.rs
+++ b/ashtiller/src/workflow/node/peer_handler.rs
@@ -1,4 +1,4 @@
-//! Answers to other instances.
+//! Handles requests of other instances.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,27 +10,28 @@
 use crate::workflow::membership::member::Version;
 use crate::workflow::message::{Heartbeat, HeartbeatReply, PeerRequest, Reply};
 use crate::workflow::node::Node;
-use crate::workflow::node::forward::ASK_LIMIT;
+use crate::workflow::node::forward::REQUEST_TIMEOUT;
 
 impl Node {
-    fn welcome(&self, hello: &Heartbeat) -> HeartbeatReply {
+    /// Builds the reply to a heartbeat.
+    fn reply_to_heartbeat(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let config = self.config();
-        if hello.config > config.version {
-            // The sender's own heartbeat brings it when it sees our version.
+        if heartbeat.config > config.version {
+            // The sender sends it to the owner when it sees this version in the reply.
             tracing::debug!(
-                theirs = hello.config,
+                theirs = heartbeat.config,
                 ours = config.version,
                 "a member has a newer configuration"
             );
         }
         let owns = self.owns();
-        // Who does not own the log knows no members to tell of.
+        // Only the owner of the log maintains the list of members.
         let (members, list) = if owns {
-            self.record_heartbeat(hello)
+            self.record_heartbeat(heartbeat)
         } else {
             (None, Version::default())
         };
-        let newer = config.version > hello.config;
+        let newer = config.version > heartbeat.config;
         HeartbeatReply {
             epoch: if owns {
                 self.lead().map_or(0, |lead| lead.epoch)
@@ -48,16 +49,18 @@
 }
 
 impl RequestHandler for Node {
-    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
+    fn answer(self: Rc<Self>, request: PeerRequest) -> LocalBoxFuture<'static, Reply> {
         Box::pin(async move {
-            match ask {
-                PeerRequest::Heartbeat(hello) => Reply::Welcome(Box::new(self.welcome(&hello))),
+            match request {
+                PeerRequest::Heartbeat(heartbeat) => {
+                    Reply::Welcome(Box::new(self.reply_to_heartbeat(&heartbeat)))
+                }
                 PeerRequest::Lead => Reply::Lead(self.lead()),
                 PeerRequest::OwnerIs(lead) => {
                     self.adopt_lead(&lead);
                     Reply::Noted
                 }
-                // One that begins late finds the log replaced before it does anything.
+                // An owner that starts later finds that the log has another owner before it acts.
                 PeerRequest::HasEnded(former) => {
                     Reply::Ended(former.incarnation != self.life || !self.owns())
                 }
@@ -69,15 +72,15 @@
                     election::take_over(&self, &lead).await;
                     Reply::Lead(self.lead())
                 }
-                PeerRequest::RelayCalls(parcels) => {
-                    self.relay_server.execute_batch(*parcels);
+                PeerRequest::RelayCalls(batch) => {
+                    self.relay_server.execute_batch(*batch);
                     Reply::Noted
                 }
                 PeerRequest::RelayResults(results) => {
                     self.worker_client.deliver_results(*results);
                     Reply::Noted
                 }
-                ask => self.ask_local_owner(ask, ASK_LIMIT).await,
+                request => self.ask_local_owner(request, REQUEST_TIMEOUT).await,
             }
         })
     }
--- a/ashtiller/src/workflow/node/store_watch.rs
+++ b/ashtiller/src/workflow/node/store_watch.rs
@@ -1,4 +1,4 @@
-//! What the store tells every instance: the configuration, and who owns the log.
+//! Watches the store for the configuration and for the owner of the log, on every instance.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use crate::workflow::kv::{Change, Item};
 use crate::workflow::node::Node;
 
-/// How often the store is asked for the lead, which also tells that it is there.
-const PROBE: Duration = Duration::from_millis(500);
+/// Interval at which the lead key is read, which also checks that the store is reachable.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Node {
     pub(super) async fn follow_config(self: Rc<Self>) {
-        let (sender, mut seen) = mpsc::channel(16);
+        let (sender, mut updates) = mpsc::channel(16);
         let prefix = self.dialect.operator_prefix();
         task::spawn_local(follow::follow(
             self.store.clone(),
@@ -26,14 +26,14 @@
             self.watch_long_poll_wait(),
             sender,
         ));
-        while let Some(seen) = seen.recv().await {
+        while let Some(update) = updates.recv().await {
             self.note_store_contact();
             self.evacuations
-                .send_modify(|known| known.take(&*self.dialect, &seen));
-            let items = match seen {
+                .send_modify(|known| known.take(&*self.dialect, &update));
+            let items = match update {
                 StoreUpdate::All { items, .. } => items,
                 StoreUpdate::Changes { changes, .. } => {
-                    changes.into_iter().filter_map(put_of).collect()
+                    changes.into_iter().filter_map(into_put).collect()
                 }
             };
             for item in items {
@@ -43,7 +43,7 @@
                     Ok(OperatorEntry::Other) => {}
                     Err(error) => {
                         tracing::error!(key = %item.key, revision = item.revision, %error,
-                            "configuration cannot be read; the last good one stays");
+                            "failed to parse the configuration; keeping the last valid one");
                     }
                 }
             }
@@ -73,12 +73,12 @@
                     failed = true;
                 }
             }
-            time::sleep(PROBE).await;
+            time::sleep(PROBE_INTERVAL).await;
         }
     }
 }
 
-fn put_of(change: Change) -> Option<Item> {
+fn into_put(change: Change) -> Option<Item> {
     match change {
         Change::Put(item) => Some(item),
         Change::Gone(_) => None,
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -16,8 +16,8 @@
 const MAX_STABLE_STALL: Duration = Duration::from_millis(100);
 
 impl Owner {
-    /// Starts a handover if this instance is shutting down or cannot reach the store, or if a larger
-    /// instance is available.
+    /// Starts a handover if this instance is shutting down or cannot reach the store, or if a
+    /// larger instance is available.
     pub(super) fn consider_hand_over(&mut self, now: Now) {
         let health = self.owner_health(now);
         let Some(reason) = health.reason() else {
--- a/ashtiller/src/workflow/relay/client.rs
+++ b/ashtiller/src/workflow/relay/client.rs
@@ -1,4 +1,4 @@
-//! The owner's side: gives calls to relays, and gets what came of them.
+//! Owner side: sends calls to workers over relays or directly, and receives the results.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -19,98 +19,107 @@
 use crate::workflow::peers::PeerConnections;
 use crate::workflow::relay::route::Routes;
 use crate::workflow::relay::{
-    BATCH_DELAY, Call, CallBatch, MAX_QUEUE_DELAY, MESSAGE_LIMIT, Outcome, RelayedCall, ResultBatch,
+    BATCH_DELAY, Call, CallBatch, MAX_QUEUE_DELAY, MESSAGE_TIMEOUT, Outcome, RelayedCall,
+    ResultBatch,
 };
 
-/// Workers from which on calls go over relays. With fewer, one instance's conversation takes
-/// under a tenth of a core, and the way over another only costs.
+/// Number of workers from which on calls go over relays. With fewer workers, the calls of one
+/// instance take less than a tenth of a core, and relays would only add cost.
 pub const MIN_RELAYED_WORKERS: usize = 120;
-/// Time that the way over a relay may take beyond the worker's own: two gatherings, and two
-/// ways between zones.
-const DETOUR: Duration = Duration::from_millis(150);
-/// How often relays are chosen anew.
-const CHOOSE: Duration = Duration::from_millis(250);
+/// Time added to the timeout of a call over a relay: two batching delays, and two trips between
+/// availability zones.
+const RELAY_OVERHEAD: Duration = Duration::from_millis(150);
+/// Interval at which relays are chosen again.
+const CHOICE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Calls that wait to go to one relay.
+/// Calls that are queued for one relay.
 #[derive(Default)]
 struct Queue {
     session: u64,
-    /// Calls that wait, since when.
-    parcels: Vec<(Moment, RelayedCall)>,
+    /// Queued calls, with the time at which they were queued.
+    calls: Vec<(Moment, RelayedCall)>,
     payloads: Vec<(Arc<str>, Arc<str>)>,
-    /// Jobs whose payloads the relay has.
-    known: HashSet<Arc<str>>,
+    /// Jobs whose payloads were sent or are queued in this session.
+    sent_payloads: HashSet<Arc<str>>,
     sending: bool,
 }
 
-/// A call under way.
-struct Waiting {
+/// A call in flight.
+struct PendingCall {
     relay: SocketAddr,
     answer: oneshot::Sender<Outcome>,
 }
 
-/// Calls to workers, directly or over relays.
+/// Client for calls to workers, made directly or over relays.
 pub struct RelayClient {
     agents: Arc<dyn WorkerClient>,
     links: Rc<PeerConnections>,
-    own: SocketAddr,
+    own_address: SocketAddr,
     routes: RefCell<Routes>,
-    chosen: Cell<Option<Instant>>,
-    /// Whether the fleet had enough workers for relays when they were last chosen.
+    last_choice: Cell<Option<Instant>>,
+    /// Whether the fleet had enough workers for relays at the last choice.
     large: Cell<bool>,
     queues: RefCell<HashMap<SocketAddr, Queue>>,
-    waiting: RefCell<HashMap<u64, Waiting>>,
-    next: Cell<u64>,
+    pending: RefCell<HashMap<u64, PendingCall>>,
+    next_number: Cell<u64>,
     relayed_count: Cell<u64>,
 }
 
 impl RelayClient {
-    /// Calls go directly until relays are chosen; results come to `own`.
+    /// Creates a client that calls workers directly until relays are chosen. Relays send results
+    /// to the address `own_address`.
     #[must_use]
     pub fn new(
         agents: Arc<dyn WorkerClient>,
         links: Rc<PeerConnections>,
-        own: SocketAddr,
+        own_address: SocketAddr,
     ) -> Rc<Self> {
         Rc::new(Self {
             agents,
             links,
-            own,
+            own_address,
             routes: RefCell::default(),
-            chosen: Cell::default(),
+            last_choice: Cell::default(),
             large: Cell::default(),
             queues: RefCell::default(),
-            waiting: RefCell::default(),
-            next: Cell::new(1),
+            pending: RefCell::default(),
+            next_number: Cell::new(1),
             relayed_count: Cell::default(),
         })
     }
 
-    /// Whether relays are to be chosen anew for a fleet of so many workers: now and then, and at
-    /// once when it has become large. A new owner knows no workers at first; without relays when
-    /// the first list comes it opened connections of its own: 4,169 files with 3,000 workers.
+    /// Returns whether relays should be chosen again for a fleet of this size: at regular
+    /// intervals, and at once when the fleet has become large. A new owner knows no workers at
+    /// first. When it got the first list without having relays, it opened connections of its own:
+    /// 4,169 files with 3,000 workers.
     #[must_use]
     pub fn is_relay_choice_due(&self, workers: usize) -> bool {
         let grown = workers >= MIN_RELAYED_WORKERS && !self.large.get();
-        grown || self.chosen.get().is_none_or(|at| at.elapsed() >= CHOOSE)
+        grown
+            || self
+                .last_choice
+                .get()
+                .is_none_or(|at| at.elapsed() >= CHOICE_INTERVAL)
     }
 
-    /// Chooses relays for a fleet of so many workers.
+    /// Chooses relays for a fleet with this number of workers.
     pub fn choose_relays(&self, workers: usize, members: &[Member]) {
         let now = Instant::now();
-        self.chosen.set(Some(now));
+        self.last_choice.set(Some(now));
         self.large.set(workers >= MIN_RELAYED_WORKERS);
         let members = if self.large.get() { members } else { &[] };
-        self.routes.borrow_mut().choose(members, self.own, now);
+        self.routes
+            .borrow_mut()
+            .choose(members, self.own_address, now);
     }
 
-    /// Calls that went over relays so far.
+    /// Returns the number of calls that were sent to relays.
     #[must_use]
     pub fn relayed_count(&self) -> u64 {
         self.relayed_count.get()
     }
 
-    /// Relays by availability zone, for a dump.
+    /// Returns the relays by availability zone, for the dump.
     #[must_use]
     pub fn relays(&self) -> Vec<(String, String)> {
         let routes = self.routes.borrow();
@@ -120,39 +129,39 @@
             .collect()
     }
 
-    /// Gives a worker an order.
+    /// Sends an order to a worker.
     ///
     /// # Errors
-    /// As [`Agents::order`]; over a relay, also when the relay is lost.
+    /// As [`WorkerClient::order`]; over a relay also when the relay fails.
     pub async fn order(self: &Rc<Self>, to: &Target, order: &Order) -> Result<OrderReply, Failure> {
         let Some(relay) = self.relay_for(to) else {
-            let said = self.agents.order(to, order).await;
-            self.note_direct_answer(to, said.is_ok());
-            return said;
+            let reply = self.agents.order(to, order).await;
+            self.note_direct_answer(to, reply.is_ok());
+            return reply;
         };
         let step = order.kind();
         let call = Call::Order(order.clone());
         match self.call(step, relay, to, call, to.timeout).await? {
-            Outcome::Said(said) => Ok(said),
-            outcome => Err(fail(step, to, &outcome)),
+            Outcome::Said(reply) => Ok(reply),
+            outcome => Err(into_failure(step, to, &outcome)),
         }
     }
 
-    /// Looks at a worker.
+    /// Polls a worker.
     ///
     /// # Errors
-    /// As [`Agents::look`]; over a relay, also when the relay is lost.
+    /// As [`WorkerClient::poll`]; over a relay also when the relay fails.
     pub async fn look(self: &Rc<Self>, to: &Target, look: &Poll) -> Result<PollReply, Failure> {
         let Some(relay) = self.relay_for(to) else {
-            let looked = self.agents.poll(to, look).await;
-            self.note_direct_answer(to, looked.is_ok());
-            return looked;
+            let reply = self.agents.poll(to, look).await;
+            self.note_direct_answer(to, reply.is_ok());
+            return reply;
         };
-        let limit = look.wait + to.timeout;
+        let timeout = look.wait + to.timeout;
         let call = Call::Look(look.clone());
-        match self.call("look", relay, to, call, limit).await? {
-            Outcome::Looked(looked) => Ok(looked),
-            outcome => Err(fail("look", to, &outcome)),
+        match self.call("look", relay, to, call, timeout).await? {
+            Outcome::Looked(reply) => Ok(reply),
+            outcome => Err(into_failure("look", to, &outcome)),
         }
     }
 
@@ -175,13 +184,13 @@
         relay: SocketAddr,
         to: &Target,
         call: Call,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Outcome, Failure> {
-        let number = self.next.get();
-        self.next.set(number + 1);
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let (answer, outcome) = oneshot::channel();
-        let waiting = Waiting { relay, answer };
-        self.waiting.borrow_mut().insert(number, waiting);
+        let pending = PendingCall { relay, answer };
+        self.pending.borrow_mut().insert(number, pending);
         self.enqueue(
             relay,
             RelayedCall {
@@ -190,8 +199,8 @@
                 call,
             },
         );
-        let outcome = time::timeout(limit + DETOUR, outcome).await;
-        self.waiting.borrow_mut().remove(&number);
+        let outcome = time::timeout(timeout + RELAY_OVERHEAD, outcome).await;
+        self.pending.borrow_mut().remove(&number);
         let mut routes = self.routes.borrow_mut();
         match outcome {
             Ok(Ok(outcome)) => {
@@ -199,7 +208,7 @@
                     Outcome::Failed(..) => {
                         routes.note_failure(relay, to.incarnation.id(), Instant::now());
                     }
-                    Outcome::Unknown => self.renew(relay),
+                    Outcome::Unknown => self.reset_session(relay),
                     Outcome::Said(_) | Outcome::Looked(_) => routes.note_answer(relay),
                 }
                 Ok(outcome)
@@ -220,110 +229,111 @@
         }
     }
 
-    /// Puts a call into the next message to a relay.
-    fn enqueue(self: &Rc<Self>, relay: SocketAddr, mut parcel: RelayedCall) {
+    /// Queues a call for the next message to a relay.
+    fn enqueue(self: &Rc<Self>, relay: SocketAddr, mut relayed: RelayedCall) {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(relay).or_insert_with(|| Queue {
             session: rand::random(),
             ..Queue::default()
         });
-        if let Call::Order(Order::Start(start)) = &mut parcel.call {
+        if let Call::Order(Order::Start(start)) = &mut relayed.call {
             let payload = std::mem::replace(&mut start.payload, Arc::from(""));
-            if queue.known.insert(start.name.job.clone()) {
+            if queue.sent_payloads.insert(start.name.job.clone()) {
                 queue.payloads.push((start.name.job.clone(), payload));
             }
         }
-        queue.parcels.push((Moment::now(), parcel));
+        queue.calls.push((Moment::now(), relayed));
         if std::mem::replace(&mut queue.sending, true) {
             return;
         }
-        let sender = self.clone();
+        let client = self.clone();
         task::spawn_local(async move {
             time::sleep(BATCH_DELAY).await;
-            sender.send(relay).await;
+            client.send(relay).await;
         });
     }
 
-    /// Sends what waits for a relay, one message after the other: while one is under way, the
-    /// next gathers, so that a busy instance gets fewer and larger ones.
+    /// Sends the queued calls to a relay, one message after the other. While one is in flight,
+    /// calls are collected for the next, so that a busy relay gets fewer and larger messages.
     async fn send(&self, relay: SocketAddr) {
-        while let Some(parcels) = self.take_parcels(relay) {
-            let count = parcels.calls.len() as u64;
-            let ask = PeerRequest::RelayCalls(Box::new(parcels));
+        while let Some(batch) = self.take_batch(relay) {
+            let count = batch.calls.len() as u64;
+            let request = PeerRequest::RelayCalls(Box::new(batch));
             match self
                 .links
-                .ask("give calls", relay, &ask, MESSAGE_LIMIT)
+                .ask("send calls", relay, &request, MESSAGE_TIMEOUT)
                 .await
             {
                 Ok(_) => self.relayed_count.set(self.relayed_count.get() + count),
                 Err(failure) => {
-                    tracing::info!(%failure, count, "calls not given to a relay");
-                    self.lose(relay);
+                    tracing::info!(%failure, count, "failed to send calls to a relay");
+                    self.drop_relay(relay);
                 }
             }
         }
     }
 
-    /// What waits for a relay; with nothing, the next call begins a message of its own.
-    fn take_parcels(&self, relay: SocketAddr) -> Option<CallBatch> {
+    /// Takes the queued calls for a relay. Without any, it ends the sending task, so that the next
+    /// call starts another one.
+    fn take_batch(&self, relay: SocketAddr) -> Option<CallBatch> {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.get_mut(&relay)?;
-        // While the process was stopped, what a call was decided on may have changed.
+        // If the process was suspended, the state on which a call was decided may have changed.
         queue
-            .parcels
-            .retain(|(since, _)| since.elapsed() + MESSAGE_LIMIT <= MAX_QUEUE_DELAY);
-        if queue.parcels.is_empty() {
+            .calls
+            .retain(|(since, _)| since.elapsed() + MESSAGE_TIMEOUT <= MAX_QUEUE_DELAY);
+        if queue.calls.is_empty() {
             queue.sending = false;
             return None;
         }
         Some(CallBatch {
-            owner: self.own,
+            owner: self.own_address,
             session: queue.session,
             payloads: std::mem::take(&mut queue.payloads),
-            calls: queue.parcels.drain(..).map(|(_, parcel)| parcel).collect(),
+            calls: queue.calls.drain(..).map(|(_, relayed)| relayed).collect(),
         })
     }
 
-    /// A relay is lost: its calls have ended, and their workers are called otherwise.
-    fn lose(&self, relay: SocketAddr) {
+    /// Handles the failure of a relay: its calls fail, and its workers are called another way.
+    fn drop_relay(&self, relay: SocketAddr) {
         self.routes
             .borrow_mut()
             .exclude_relay(relay, Instant::now());
-        self.renew(relay);
+        self.reset_session(relay);
         if let Some(queue) = self.queues.borrow_mut().get_mut(&relay) {
-            queue.parcels.clear();
+            queue.calls.clear();
         }
-        self.waiting
+        self.pending
             .borrow_mut()
-            .retain(|_, waiting| waiting.relay != relay);
+            .retain(|_, pending| pending.relay != relay);
     }
 
-    /// What a relay knows of payloads is in doubt.
-    fn renew(&self, relay: SocketAddr) {
+    /// Starts another session with a relay, because the payloads that it holds are unknown.
+    fn reset_session(&self, relay: SocketAddr) {
         if let Some(queue) = self.queues.borrow_mut().get_mut(&relay) {
             queue.session = rand::random();
-            queue.known.clear();
+            queue.sent_payloads.clear();
             queue.payloads.clear();
-            // Their payloads were with the session that is over.
+            // Their payloads belonged to the previous session.
             queue
-                .parcels
-                .retain(|(_, parcel)| !matches!(parcel.call, Call::Order(Order::Start(_))));
+                .calls
+                .retain(|(_, relayed)| !matches!(relayed.call, Call::Order(Order::Start(_))));
         }
     }
 
-    /// Takes what came of calls.
+    /// Delivers the results of calls to their callers.
     pub fn deliver_results(&self, results: ResultBatch) {
-        let mut waiting = self.waiting.borrow_mut();
+        let mut pending = self.pending.borrow_mut();
         for (number, outcome) in results.results {
-            if let Some(waiting) = waiting.remove(&number) {
+            if let Some(pending) = pending.remove(&number) {
                 // The caller may have given up.
-                let _ = waiting.answer.send(outcome);
+                let _ = pending.answer.send(outcome);
             }
         }
     }
 }
 
-fn fail(step: &'static str, to: &Target, outcome: &Outcome) -> Failure {
+fn into_failure(step: &'static str, to: &Target, outcome: &Outcome) -> Failure {
     match outcome {
         Outcome::Failed(cause, true) => Failure::unknown_effect(step, to.address, cause),
         Outcome::Failed(cause, false) => Failure::no_effect(step, to.address, cause),
--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -1,13 +1,14 @@
-//! Other instances carry the owner's conversation with workers.
+//! Relays: other instances that make the owner's calls to workers.
 //!
-//! One instance's link and processor do not bear what a fleet of hundreds of workers says and
-//! is told. So the owner gives calls to one instance in each availability zone ([`sender`]),
-//! which makes them and gives back what came of them ([`carrier`]), many in one message.
+//! The network link and the processor of one instance cannot carry the traffic of a fleet of
+//! hundreds of workers. The owner therefore sends calls in batches to one instance in each
+//! availability zone ([`client`]), which makes them and returns the results in batches
+//! ([`server`]).
 //!
-//! A relay decides nothing and keeps nothing that matters. Each call is whole: it names the
-//! worker's life, the owner's fence, and the end of the lease on the worker's own clock. A
-//! relay that is slow, cut off or under a former owner is a way on which calls are late or
-//! lost, which the owner's decisions bear anyway.
+//! A relay makes no decisions and keeps no state that must survive. Each call is self-contained: it
+//! names the worker's incarnation, the owner's fencing token, and the end of the lease on the
+//! worker's own clock. A relay that is slow, partitioned or works for a former owner only delays or
+//! loses calls, which the owner's decisions tolerate anyway.
 
 pub mod client;
 mod route;
@@ -22,21 +23,24 @@
 use crate::failure::{Failure, RemoteEffect};
 use crate::workflow::agents::{Order, OrderReply, Poll, PollReply, Target};
 
-/// For how long calls and results are gathered, so that one message carries many: a tenth
-/// of the time for which facts are gathered into an entry, twice over.
+/// Time for which calls or results are collected into one message. It is twice a
+/// tenth of the time for which records are collected into an entry.
 pub const BATCH_DELAY: Duration = Duration::from_millis(6);
-/// Time limit of a message between an owner and its relay, which only takes note of it.
-pub const MESSAGE_LIMIT: Duration = Duration::from_millis(700);
-/// Longest time from a call's decision until its relay begins to make it: it waits for the
-/// message under way, and goes with the next one.
-pub const MAX_QUEUE_DELAY: Duration = MESSAGE_LIMIT.saturating_mul(2).saturating_add(BATCH_DELAY);
+/// Timeout of a message between an owner and its relay; the receiver acknowledges it before it
+/// makes the calls.
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Longest time from the decision on a call until its relay starts it: the call waits for the
+/// message in flight, and goes out with the next one.
+pub const MAX_QUEUE_DELAY: Duration = MESSAGE_TIMEOUT
+    .saturating_mul(2)
+    .saturating_add(BATCH_DELAY);
 
 /// A call to a worker.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Call {
-    /// Give it an order.
+    /// Order to start, stop or pace a task.
     Order(Order),
-    /// Look at it.
+    /// Poll of the tasks that run there.
     Look(Poll),
 }
 
@@ -45,41 +49,41 @@
 pub struct RelayedCall {
     /// Number of the call in its session.
     pub number: u64,
-    /// Worker.
+    /// Worker to call.
     pub to: Target,
-    /// Call; starts lack the payload of their job.
+    /// Call; starts do not contain the payload of their job.
     pub call: Call,
 }
 
-/// Calls from an owner.
+/// A batch of calls from an owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallBatch {
-    /// Where results go.
+    /// Address to which results are sent.
     pub owner: SocketAddr,
-    /// Number of the session, within which payloads are sent once.
+    /// Session of the owner, within which each payload is sent once.
     pub session: u64,
-    /// Payloads of jobs by their ids, for the starts from here on.
+    /// Payloads of jobs by job id, for the starts in this and later batches.
     pub payloads: Vec<(Arc<str>, Arc<str>)>,
-    /// Calls.
+    /// Calls to make.
     #[serde(rename = "parcels")]
     pub calls: Vec<RelayedCall>,
 }
 
-/// What came of a call.
+/// Result of a relayed call.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Outcome {
     /// The worker's answer to an order.
     Said(OrderReply),
-    /// The worker's answer to a look.
+    /// The worker's answer to a poll.
     Looked(PollReply),
-    /// It failed for this cause; whether the worker may have done it.
+    /// The cause of a failure, and whether the worker may have executed the call.
     Failed(Arc<str>, bool),
-    /// The relay lacks the payload of the job; nothing was done.
+    /// The relay lacks the payload of the job; no call was made.
     Unknown,
 }
 
 impl Outcome {
-    fn of<T>(answer: Result<T, Failure>, wrap: impl FnOnce(T) -> Self) -> Self {
+    fn from_result<T>(answer: Result<T, Failure>, wrap: impl FnOnce(T) -> Self) -> Self {
         match answer {
             Ok(answer) => wrap(answer),
             Err(failure) => Self::Failed(failure.cause, failure.effect == RemoteEffect::Unknown),
@@ -87,11 +91,11 @@
     }
 }
 
-/// What came of calls.
+/// A batch of results for an owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ResultBatch {
-    /// Number of the session.
+    /// Session of the owner.
     pub session: u64,
-    /// Calls by their numbers.
+    /// Results by the numbers of their calls.
     pub results: Vec<(u64, Outcome)>,
 }
--- a/ashtiller/src/workflow/relay/server.rs
+++ b/ashtiller/src/workflow/relay/server.rs
@@ -1,4 +1,4 @@
-//! The relay's side: makes the calls that an owner gives it.
+//! Relay side: makes the calls that an owner sends.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -13,110 +13,118 @@
 use crate::workflow::message::PeerRequest;
 use crate::workflow::peers::PeerConnections;
 use crate::workflow::relay::{
-    BATCH_DELAY, Call, CallBatch, MESSAGE_LIMIT, Outcome, RelayedCall, ResultBatch,
+    BATCH_DELAY, Call, CallBatch, MESSAGE_TIMEOUT, Outcome, RelayedCall, ResultBatch,
 };
 
-/// Payloads kept of one session; a job's tasks start within seconds of each other.
-const PAYLOADS_MAX: usize = 4096;
-/// Sessions kept: the owner's, and those of former ones whose calls are under way.
-const SESSIONS_MAX: usize = 4;
+/// Payloads kept for one session. The tasks of a job start within seconds of each other, so that
+/// older payloads are not needed.
+const MAX_PAYLOADS: usize = 4096;
+/// Sessions kept: that of the owner, and those of former owners whose calls are in flight.
+const MAX_SESSIONS: usize = 4;
 
-/// What one owner sent.
+/// State of one session of an owner.
 #[derive(Default)]
 struct Session {
     payloads: HashMap<Arc<str>, Arc<str>>,
-    order: VecDeque<Arc<str>>,
+    /// Jobs in the order of their payloads, oldest first.
+    payload_order: VecDeque<Arc<str>>,
     results: Vec<(u64, Outcome)>,
-    /// Whether a message with results is about to go out.
+    /// Whether a task that sends the results is running.
     sending: bool,
 }
 
 impl Session {
-    fn learn(&mut self, payloads: Vec<(Arc<str>, Arc<str>)>) {
+    fn add_payloads(&mut self, payloads: Vec<(Arc<str>, Arc<str>)>) {
         for (job, payload) in payloads {
             if self.payloads.insert(job.clone(), payload).is_none() {
-                self.order.push_back(job);
+                self.payload_order.push_back(job);
             }
         }
-        while self.order.len() > PAYLOADS_MAX {
-            if let Some(job) = self.order.pop_front() {
+        while self.payload_order.len() > MAX_PAYLOADS {
+            if let Some(job) = self.payload_order.pop_front() {
                 self.payloads.remove(&job);
             }
         }
     }
 }
 
-/// Makes calls for owners.
+/// Makes calls to workers on behalf of owners.
 pub struct RelayServer {
     agents: Arc<dyn WorkerClient>,
     links: Rc<PeerConnections>,
     sessions: RefCell<BTreeMap<u64, Session>>,
     /// Sessions, oldest first.
-    order: RefCell<VecDeque<u64>>,
+    session_order: RefCell<VecDeque<u64>>,
 }
 
 impl RelayServer {
-    /// A relay that has no calls yet.
+    /// Creates a relay without sessions.
     #[must_use]
     pub fn new(agents: Arc<dyn WorkerClient>, links: Rc<PeerConnections>) -> Rc<Self> {
         Rc::new(Self {
             agents,
             links,
             sessions: RefCell::default(),
-            order: RefCell::default(),
+            session_order: RefCell::default(),
         })
     }
 
-    /// Begins to make the calls, each on its own.
-    pub fn execute_batch(self: &Rc<Self>, parcels: CallBatch) {
-        let (owner, session) = (parcels.owner, parcels.session);
-        self.open_session(session, parcels.payloads);
-        for parcel in parcels.calls {
-            let carrier = self.clone();
+    /// Starts the calls of a batch, each in a task of its own.
+    pub fn execute_batch(self: &Rc<Self>, batch: CallBatch) {
+        let (owner, session) = (batch.owner, batch.session);
+        self.open_session(session, batch.payloads);
+        for relayed in batch.calls {
+            let server = self.clone();
             task::spawn_local(async move {
-                let number = parcel.number;
-                let outcome = carrier.call(session, parcel).await;
-                carrier.give_back(owner, session, number, outcome);
+                let number = relayed.number;
+                let outcome = server.call(session, relayed).await;
+                server.queue_result(owner, session, number, outcome);
             });
         }
     }
 
     fn open_session(&self, session: u64, payloads: Vec<(Arc<str>, Arc<str>)>) {
         let mut sessions = self.sessions.borrow_mut();
-        let mut order = self.order.borrow_mut();
+        let mut order = self.session_order.borrow_mut();
         if !sessions.contains_key(&session) {
             order.push_back(session);
-            if order.len() > SESSIONS_MAX
+            if order.len() > MAX_SESSIONS
                 && let Some(old) = order.pop_front()
             {
                 sessions.remove(&old);
             }
         }
-        sessions.entry(session).or_default().learn(payloads);
+        sessions.entry(session).or_default().add_payloads(payloads);
     }
 
-    async fn call(&self, session: u64, parcel: RelayedCall) -> Outcome {
-        match parcel.call {
+    async fn call(&self, session: u64, relayed: RelayedCall) -> Outcome {
+        match relayed.call {
             Call::Order(mut order) => {
                 if let Order::Start(start) = &mut order {
                     let sessions = self.sessions.borrow();
-                    let known = sessions.get(&session);
-                    let payload = known.and_then(|it| it.payloads.get(&start.name.job));
+                    let session = sessions.get(&session);
+                    let payload = session.and_then(|it| it.payloads.get(&start.name.job));
                     let Some(payload) = payload else {
                         return Outcome::Unknown;
                     };
                     start.payload = payload.clone();
                 }
-                Outcome::of(self.agents.order(&parcel.to, &order).await, Outcome::Said)
+                Outcome::from_result(self.agents.order(&relayed.to, &order).await, Outcome::Said)
             }
             Call::Look(look) => {
-                Outcome::of(self.agents.poll(&parcel.to, &look).await, Outcome::Looked)
+                Outcome::from_result(self.agents.poll(&relayed.to, &look).await, Outcome::Looked)
             }
         }
     }
 
-    /// Puts a result into the next message to the owner.
-    fn give_back(self: &Rc<Self>, owner: SocketAddr, session: u64, number: u64, outcome: Outcome) {
+    /// Queues a result for the next message to the owner.
+    fn queue_result(
+        self: &Rc<Self>,
+        owner: SocketAddr,
+        session: u64,
+        number: u64,
+        outcome: Outcome,
+    ) {
         let mut sessions = self.sessions.borrow_mut();
         let Some(state) = sessions.get_mut(&session) else {
             return;
@@ -125,30 +133,32 @@
         if std::mem::replace(&mut state.sending, true) {
             return;
         }
-        let carrier = self.clone();
+        let server = self.clone();
         task::spawn_local(async move {
             time::sleep(BATCH_DELAY).await;
-            carrier.send(owner, session).await;
+            server.send(owner, session).await;
         });
     }
 
-    /// Gives back what waits, one message after the other, as calls are given.
+    /// Sends the queued results, one message after the other, as the owner does with its calls.
     async fn send(&self, owner: SocketAddr, session: u64) {
         while let Some(results) = self.take_results(session) {
             let count = results.len();
-            let ask = PeerRequest::RelayResults(Box::new(ResultBatch { session, results }));
-            // The owner asks again for what it misses: ends stay listed until acknowledged.
+            let request = PeerRequest::RelayResults(Box::new(ResultBatch { session, results }));
+            // The owner polls again for lost results: finished runs stay listed until they are
+            // acknowledged.
             if let Err(failure) = self
                 .links
-                .ask("give results", owner, &ask, MESSAGE_LIMIT)
+                .ask("send results", owner, &request, MESSAGE_TIMEOUT)
                 .await
             {
-                tracing::info!(%failure, count, "results not given to the owner");
+                tracing::info!(%failure, count, "failed to send results to the owner");
             }
         }
     }
 
-    /// What waits for an owner; with nothing, the next result begins a message of its own.
+    /// Takes the queued results for an owner. Without any, it ends the sending task, so that the
+    /// next result starts another one.
     fn take_results(&self, session: u64) -> Option<Vec<(u64, Outcome)>> {
         let mut sessions = self.sessions.borrow_mut();
         let state = sessions.get_mut(&session)?;
