--- a/ashtiller/src/workflow/membership/election.rs
+++ b/ashtiller/src/workflow/membership/election.rs
@@ -57,15 +57,15 @@
             continue;
         }
         match node.lead() {
-            Some(lead) if lead.incarnation != node.life => {
-                let loss = follow(&node, &lead).await;
+            Some(owner) if owner.incarnation != node.life => {
+                let loss = follow(&node, &owner).await;
                 if loss != Loss::Replaced {
-                    tracing::warn!(owner = %lead.name, epoch = lead.epoch, ?loss, "owner lost");
-                    replace(&node, &lead, loss).await;
+                    tracing::warn!(owner = %owner.name, epoch = owner.epoch, ?loss, "owner lost");
+                    replace(&node, &owner, loss).await;
                 }
             }
             // A write of the lead key whose answer was lost made this process the owner.
-            Some(lead) => owner::spawn(&node, lead),
+            Some(owner) => owner::spawn(&node, owner),
             None => bootstrap(&node).await,
         }
     }
@@ -74,7 +74,7 @@
 /// Looks the owner up in the store, or asks the peers if the store does not answer.
 async fn find_owner(node: &Rc<Node>) {
     match node.log.read_lead(false).await {
-        Ok(Some(lead)) => node.adopt_lead(&lead),
+        Ok(Some(owner)) => node.adopt_lead(&owner),
         Ok(None) => {}
         Err(failure) => {
             tracing::info!(%failure, "failed to read the lead key");
@@ -95,7 +95,7 @@
             )
             .await
         {
-            Ok(Reply::Lead(Some(lead))) => node.adopt_lead(&lead),
+            Ok(Reply::Lead(Some(owner))) => node.adopt_lead(&owner),
             Ok(_) => {}
             Err(failure) => tracing::debug!(%failure, "failed to ask a peer for the owner"),
         }
@@ -103,10 +103,10 @@
 }
 
 /// Sends heartbeats until the owner is lost; returns why.
-async fn follow(node: &Rc<Node>, lead: &LogOwner) -> Loss {
+async fn follow(node: &Rc<Node>, owner: &LogOwner) -> Loss {
     let mut grace_end = Instant::now() + NEW_OWNER_GRACE;
     loop {
-        if node.lead().is_none_or(|known| known.epoch != lead.epoch) {
+        if node.lead().is_none_or(|known| known.epoch != owner.epoch) {
             return Loss::Replaced;
         }
         let began = Instant::now();
@@ -115,13 +115,13 @@
             config: node.config().version,
             members: node.members_version(),
         });
-        let (answer, tail) = send_heartbeat(node, lead, &heartbeat).await;
+        let (answer, tail) = send_heartbeat(node, owner, &heartbeat).await;
         match answer {
             Ok(Reply::Welcome(reply)) => {
                 node.note_position(reply.position);
-                if reply.epoch == lead.epoch {
+                if reply.epoch == owner.epoch {
                     grace_end = Instant::now();
-                } else if reply.incarnation != lead.incarnation || Instant::now() >= grace_end {
+                } else if reply.incarnation != owner.incarnation || Instant::now() >= grace_end {
                     return Loss::Ended;
                 }
                 if let Some(config) = reply.config {
@@ -131,7 +131,7 @@
                     node.apply_membership_update(update, reply.list);
                 }
                 if reply.version < node.config().version {
-                    send_config(node, lead).await;
+                    send_config(node, owner).await;
                 }
             }
             Ok(_) => return Loss::Ended,
@@ -153,12 +153,12 @@
 /// Sends one heartbeat; also returns the tail of the log if the answer was late.
 async fn send_heartbeat(
     node: &Rc<Node>,
-    lead: &LogOwner,
+    owner: &LogOwner,
     heartbeat: &PeerRequest,
 ) -> (Result<Reply, Failure>, Option<LogTail>) {
     let answer = node
         .links
-        .ask("greet owner", lead.address, heartbeat, HEARTBEAT_TIMEOUT);
+        .ask("greet owner", owner.address, heartbeat, HEARTBEAT_TIMEOUT);
     tokio::pin!(answer);
     if let Ok(answer) = time::timeout(SUSPICION_DELAY, &mut answer).await {
         return (answer, None);
@@ -189,11 +189,16 @@
     silent.then_some(Loss::Silent(tail))
 }
 
-async fn send_config(node: &Rc<Node>, lead: &LogOwner) {
+async fn send_config(node: &Rc<Node>, owner: &LogOwner) {
     let config = PeerRequest::Config(Box::new((*node.config()).clone()));
     if let Err(failure) = node
         .links
-        .ask("send configuration", lead.address, &config, REQUEST_TIMEOUT)
+        .ask(
+            "send configuration",
+            owner.address,
+            &config,
+            REQUEST_TIMEOUT,
+        )
         .await
     {
         tracing::info!(%failure, "failed to send the newer configuration to the owner");
@@ -201,11 +206,11 @@
 }
 
 /// Returns how long this instance waits for others to replace an owner.
-fn failover_delay(node: &Node, lead: &LogOwner) -> Duration {
+fn failover_delay(node: &Node, owner: &LogOwner) -> Duration {
     let own = node.settings.entry.processors;
     let name = &node.settings.instance.name;
-    let rank = failover_order::rank(own, name, &lead.name, &node.members());
-    let smaller = own * handover::LARGER_RATIO.0 < lead.largest * handover::LARGER_RATIO.1;
+    let rank = failover_order::rank(own, name, &owner.name, &node.members());
+    let smaller = own * handover::LARGER_RATIO.0 < owner.largest * handover::LARGER_RATIO.1;
     let least = if smaller {
         SMALLER_MIN_DELAY
     } else {
@@ -215,27 +220,27 @@
 }
 
 /// Tries to replace a lost owner, unless it still writes to its log.
-async fn replace(node: &Rc<Node>, lead: &LogOwner, loss: Loss) {
+async fn replace(node: &Rc<Node>, owner: &LogOwner, loss: Loss) {
     if node.is_leaving() {
         time::sleep(RETRY_DELAY).await;
         find_owner(node).await;
         return;
     }
-    let wait = failover_delay(node, lead);
+    let wait = failover_delay(node, owner);
     let mut changed = node.watch_lead();
     if time::timeout(wait, changed.changed()).await.is_ok() {
         return;
     }
     match node.log.read_lead(false).await {
-        Ok(Some(known)) if known.epoch != lead.epoch => node.adopt_lead(&known),
+        Ok(Some(known)) if known.epoch != owner.epoch => node.adopt_lead(&known),
         Ok(_) => {
             if let Loss::Silent(tail) = loss
-                && is_still_writing(node, lead, tail).await
+                && is_still_writing(node, owner, tail).await
             {
-                tracing::info!(owner = %lead.name, "owner still writes; not replacing it");
+                tracing::info!(owner = %owner.name, "owner still writes; not replacing it");
                 return;
             }
-            try_acquire(node, Some(lead.as_former())).await;
+            try_acquire(node, Some(owner.as_former())).await;
         }
         Err(failure) => {
             tracing::info!(%failure, "failed to read the lead key");
@@ -247,7 +252,7 @@
 
 /// Returns whether an owner that does not answer this instance still writes to its log; true if
 /// the log cannot be read.
-async fn is_still_writing(node: &Rc<Node>, lead: &LogOwner, tail: Option<LogTail>) -> bool {
+async fn is_still_writing(node: &Rc<Node>, owner: &LogOwner, tail: Option<LogTail>) -> bool {
     let has_grown = async {
         let since = match tail {
             Some(tail) => tail,
@@ -258,7 +263,7 @@
     match has_grown.await {
         Ok(has_grown) => has_grown,
         Err(failure) => {
-            tracing::info!(%failure, epoch = lead.epoch, "failed to read the tail of the log");
+            tracing::info!(%failure, epoch = owner.epoch, "failed to read the tail of the log");
             true
         }
     }
@@ -277,7 +282,7 @@
         return;
     }
     match node.log.read_lead(false).await {
-        Ok(Some(lead)) => node.adopt_lead(&lead),
+        Ok(Some(owner)) => node.adopt_lead(&owner),
         Ok(None) => try_acquire(node, None).await,
         Err(failure) => {
             tracing::info!(%failure, "failed to read the lead key");
@@ -288,23 +293,23 @@
 }
 
 /// Takes over the log at the request of its owner, unless this instance is shutting down.
-pub async fn take_over(node: &Rc<Node>, lead: &LogOwner) {
+pub async fn take_over(node: &Rc<Node>, owner: &LogOwner) {
     if node.owns() || node.is_leaving() {
         return;
     }
-    tracing::info!(owner = %lead.name, epoch = lead.epoch, "asked to take over the log");
-    try_acquire(node, Some(lead.as_former())).await;
+    tracing::info!(owner = %owner.name, epoch = owner.epoch, "asked to take over the log");
+    try_acquire(node, Some(owner.as_former())).await;
 }
 
-async fn try_acquire(node: &Rc<Node>, former: Option<PreviousOwner>) {
-    let mine = node.as_lead(former);
-    let replaced = former.map_or(0, |former| former.epoch);
+async fn try_acquire(node: &Rc<Node>, predecessor: Option<PreviousOwner>) {
+    let mine = node.as_lead(predecessor);
+    let replaced = predecessor.map_or(0, |predecessor| predecessor.epoch);
     match node.log.acquire(&mine, replaced).await {
         Ok(Acquisition::Acquired(epoch)) => {
-            let lead = LogOwner { epoch, ..mine };
-            owner::spawn(node, lead);
+            let owner = LogOwner { epoch, ..mine };
+            owner::spawn(node, owner);
         }
-        Ok(Acquisition::HeldByOther(Some(lead))) => node.adopt_lead(&lead),
+        Ok(Acquisition::HeldByOther(Some(owner))) => node.adopt_lead(&owner),
         Ok(Acquisition::HeldByOther(None)) => {}
         Err(failure) => {
             tracing::warn!(%failure, "acquisition of the log not confirmed");
--- a/ashtiller/src/workflow/node/forward.rs
+++ b/ashtiller/src/workflow/node/forward.rs
@@ -22,7 +22,7 @@
         // Epoch of the last owner that may have executed the request.
         let mut uncertain_epoch = None;
         loop {
-            let epoch = self.lead().map_or(0, |lead| lead.epoch);
+            let epoch = self.lead().map_or(0, |owner| owner.epoch);
             match self.send_to_owner(request, deadline).await {
                 Ok(Reply::NotOwner) => {}
                 Ok(Reply::Unknown) => uncertain_epoch = Some(epoch),
@@ -45,8 +45,8 @@
                     Reply::Refused(u32::try_from(retry_after).unwrap_or(u32::MAX))
                 };
             }
-            let mut lead = self.watch_lead();
-            let _ = time::timeout(RETRY_DELAY, lead.changed()).await;
+            let mut owner = self.watch_lead();
+            let _ = time::timeout(RETRY_DELAY, owner.changed()).await;
         }
     }
 
@@ -59,13 +59,13 @@
         if self.owns() {
             return Ok(self.ask_local_owner(request.clone(), remaining).await);
         }
-        let Some(lead) = self.lead().filter(|lead| lead.incarnation != self.life) else {
+        let Some(owner) = self.lead().filter(|owner| owner.incarnation != self.life) else {
             return Ok(Reply::NotOwner);
         };
         self.links
             .ask(
                 "ask owner",
-                lead.address,
+                owner.address,
                 request,
                 remaining.min(REQUEST_TIMEOUT),
             )
--- a/ashtiller/src/workflow/node/peer_handler.rs
+++ b/ashtiller/src/workflow/node/peer_handler.rs
@@ -34,7 +34,7 @@
         let newer = config.version > heartbeat.config;
         HeartbeatReply {
             epoch: if owns {
-                self.lead().map_or(0, |lead| lead.epoch)
+                self.lead().map_or(0, |owner| owner.epoch)
             } else {
                 0
             },
@@ -56,8 +56,8 @@
                     Reply::Welcome(Box::new(self.reply_to_heartbeat(&heartbeat)))
                 }
                 PeerRequest::Lead => Reply::Lead(self.lead()),
-                PeerRequest::OwnerIs(lead) => {
-                    self.adopt_lead(&lead);
+                PeerRequest::OwnerIs(owner) => {
+                    self.adopt_lead(&owner);
                     Reply::Noted
                 }
                 // An owner that starts later finds that the log has another owner before it acts.
@@ -68,8 +68,8 @@
                     self.adopt_config(&Arc::new(*config));
                     Reply::Noted
                 }
-                PeerRequest::TakeOver(lead) => {
-                    election::take_over(&self, &lead).await;
+                PeerRequest::TakeOver(owner) => {
+                    election::take_over(&self, &owner).await;
                     Reply::Lead(self.lead())
                 }
                 PeerRequest::RelayCalls(batch) => {
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -38,20 +38,20 @@
         tracing::warn!(heir = %successor.name, heir_store_age_ms = successor.store_age, ?reason,
             stalled_ms = health.stalled.as_millis(), store_age_ms = health.store_age.as_millis(),
             "hands over the log");
-        let (node, lead, sender) = (
+        let (node, log_owner, sender) = (
             self.node.clone(),
-            self.lead.clone(),
+            self.log_owner.clone(),
             self.event_sender.clone(),
         );
         task::spawn_local(async move {
-            let request = PeerRequest::TakeOver(lead.clone());
+            let request = PeerRequest::TakeOver(log_owner.clone());
             let handed_over = match node
                 .links
                 .ask("hand over", successor.address, &request, TAKEOVER_TIMEOUT)
                 .await
             {
                 Ok(Reply::Lead(Some(next))) => {
-                    let newer = next.epoch > lead.epoch;
+                    let newer = next.epoch > log_owner.epoch;
                     node.adopt_lead(&next);
                     newer
                 }
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -68,24 +68,24 @@
     PredecessorEnded(u64),
 }
 
-/// Starts the tasks of the owner of the log; `lead` is the record that names this process.
-pub fn spawn(node: &Rc<Node>, lead: LogOwner) {
+/// Starts the tasks of the owner of the log; `log_owner` is the record that names this process.
+pub fn spawn(node: &Rc<Node>, log_owner: LogOwner) {
     // Two attempts to acquire the log may both find this process to be the owner.
     if node.owns() {
         return;
     }
     let (sender, request_receiver) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
     node.set_owner(Some(sender));
-    node.adopt_lead(&lead);
-    node.own_member_list(lead.epoch);
-    task::spawn_local(run(node.clone(), lead, request_receiver));
+    node.adopt_lead(&log_owner);
+    node.own_member_list(log_owner.epoch);
+    task::spawn_local(run(node.clone(), log_owner, request_receiver));
 }
 
-async fn run(node: Rc<Node>, lead: LogOwner, request_receiver: mpsc::Receiver<OwnerRequest>) {
+async fn run(node: Rc<Node>, log_owner: LogOwner, request_receiver: mpsc::Receiver<OwnerRequest>) {
     let start = Moment::now();
-    announce(&node, &lead);
+    announce(&node, &log_owner);
     let replayed = loop {
-        match replay(&node, &lead).await {
+        match replay(&node, &log_owner).await {
             Ok(Some(replayed)) => break replayed,
             Ok(None) => {
                 node.set_owner(None);
@@ -94,7 +94,10 @@
             Err(failure) => {
                 tracing::warn!(%failure, "failed to read the log; retrying");
                 time::sleep(MAX_STEP_INTERVAL * 5).await;
-                if node.lead().is_none_or(|known| known.epoch != lead.epoch) {
+                if node
+                    .lead()
+                    .is_none_or(|known| known.epoch != log_owner.epoch)
+                {
                     node.set_owner(None);
                     return;
                 }
@@ -103,7 +106,7 @@
     };
     node.metrics.note_takeover(start.elapsed());
     tracing::info!(
-        epoch = lead.epoch,
+        epoch = log_owner.epoch,
         next = replayed.next_position,
         jobs = replayed.book.jobs.len(),
         open = replayed.book.open().len(),
@@ -114,14 +117,14 @@
     let now = now_since(start);
     let core = Core::new(
         node.settings.tuning,
-        lead.epoch,
+        log_owner.epoch,
         replayed.book,
         replayed.next_position,
         now,
     );
     let mut owner = Owner {
         node: node.clone(),
-        lead,
+        log_owner,
         core,
         start,
         requests: request_receiver,
@@ -141,7 +144,7 @@
     owner.serve().await;
     let counts = owner.core.counts();
     tracing::warn!(
-        epoch = owner.lead.epoch,
+        epoch = owner.log_owner.epoch,
         ?counts,
         "no longer the owner of the log"
     );
@@ -151,9 +154,9 @@
 }
 
 /// Replays the log; returns `None` if it has another owner by now.
-async fn replay(node: &Rc<Node>, lead: &LogOwner) -> Result<Option<Replayed>, Failure> {
+async fn replay(node: &Rc<Node>, log_owner: &LogOwner) -> Result<Option<Replayed>, Failure> {
     if let Some(known) = node.log.read_lead(false).await?
-        && known.epoch != lead.epoch
+        && known.epoch != log_owner.epoch
     {
         node.adopt_lead(&known);
         return Ok(None);
@@ -171,11 +174,11 @@
     }
 }
 
-fn announce(node: &Rc<Node>, lead: &LogOwner) {
+fn announce(node: &Rc<Node>, log_owner: &LogOwner) {
     for address in node.peer_addresses() {
-        let (node, lead) = (node.clone(), lead.clone());
+        let (node, log_owner) = (node.clone(), log_owner.clone());
         task::spawn_local(async move {
-            let request = PeerRequest::OwnerIs(lead);
+            let request = PeerRequest::OwnerIs(log_owner);
             if let Err(failure) = node
                 .links
                 .ask("announce", address, &request, TAKEOVER_TIMEOUT)
@@ -189,7 +192,7 @@
 
 struct Owner {
     node: Rc<Node>,
-    lead: LogOwner,
+    log_owner: LogOwner,
     core: Core,
     start: Moment,
     requests: mpsc::Receiver<OwnerRequest>,
@@ -257,7 +260,7 @@
             self.stopped |= self
                 .node
                 .lead()
-                .is_none_or(|lead| lead.epoch != self.lead.epoch);
+                .is_none_or(|log_owner| log_owner.epoch != self.log_owner.epoch);
         }
     }
 
--- a/ashtiller/src/workflow/owner/predecessor.rs
+++ b/ashtiller/src/workflow/owner/predecessor.rs
@@ -21,7 +21,7 @@
     /// Sends [`Event::PredecessorEnded`] once the owner that this one replaced is known to have
     /// ended.
     pub(super) fn watch_predecessor(&mut self) {
-        let Some(former) = self.lead.former else {
+        let Some(predecessor) = self.log_owner.former else {
             let now = self.now();
             self.core.note_former_owner_ended(0, now);
             return;
@@ -29,13 +29,13 @@
         let (node, sender) = (self.node.clone(), self.event_sender.clone());
         task::spawn_local(async move {
             let ended = async {
-                while !has_ended(&node, &former).await {
+                while !has_ended(&node, &predecessor).await {
                     time::sleep(QUERY_INTERVAL).await;
                 }
             };
             tokio::select! {
                 () = ended => {
-                    let _ = sender.send(Event::PredecessorEnded(former.epoch)).await;
+                    let _ = sender.send(Event::PredecessorEnded(predecessor.epoch)).await;
                 }
                 () = sender.closed() => {}
             }
@@ -45,14 +45,19 @@
 
 /// Returns whether an owner is known to have ended: its process says so, another process answers
 /// at its address, or nothing listens there any more.
-async fn has_ended(node: &Rc<Node>, former: &PreviousOwner) -> bool {
-    if former.incarnation == node.life {
+async fn has_ended(node: &Rc<Node>, predecessor: &PreviousOwner) -> bool {
+    if predecessor.incarnation == node.life {
         return true;
     }
-    let request = PeerRequest::HasEnded(*former);
+    let request = PeerRequest::HasEnded(*predecessor);
     match node
         .links
-        .ask("ask former owner", former.address, &request, QUERY_TIMEOUT)
+        .ask(
+            "ask former owner",
+            predecessor.address,
+            &request,
+            QUERY_TIMEOUT,
+        )
         .await
     {
         Ok(Reply::Ended(ended)) => ended,
--- a/ashtiller/src/workflow/relay/client.rs
+++ b/ashtiller/src/workflow/relay/client.rs
@@ -94,8 +94,8 @@
     /// 4,169 files with 3,000 workers.
     #[must_use]
     pub fn is_relay_choice_due(&self, workers: usize) -> bool {
-        let grown = workers >= MIN_RELAYED_WORKERS && !self.large.get();
-        grown
+        let has_grown = workers >= MIN_RELAYED_WORKERS && !self.large.get();
+        has_grown
             || self
                 .last_choice
                 .get()
