--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// The store did not answer.
-    pub async fn read_lead(&self, stale: bool) -> Result<Option<LogOwner>, Failure> {
+    pub async fn read_owner(&self, stale: bool) -> Result<Option<LogOwner>, Failure> {
         let key = self.lead_key();
         let Some(item) = self.store.get(&key, stale).await? else {
             return Ok(None);
@@ -174,11 +174,11 @@
     /// # Errors
     /// The store did not answer, or the snapshot or an entry cannot be decoded.
     pub async fn replay(&self, now: Duration) -> Result<Replayed, Failure> {
-        let (mut book, base) = self.read_snapshot().await?;
-        book.index(now);
+        let (mut log_state, head_position) = self.read_snapshot().await?;
+        log_state.index(now);
         let prefix = self.entry_prefix();
-        let mut next = base + 1;
-        let mut after = self.entry_key(base);
+        let mut next = head_position + 1;
+        let mut after = self.entry_key(head_position);
         loop {
             let page = self.store.fetch(&prefix, Some(&after)).await?;
             for item in &page.items {
@@ -195,13 +195,13 @@
                 let entry: Entry = postcard::from_bytes(&item.value)
                     .map_err(|error| Failure::no_effect("decode entry", &item.key, error))?;
                 for record in &entry.records {
-                    book.apply(record, now);
+                    log_state.apply(record, now);
                 }
                 next += 1;
             }
             if !page.more || page.items.is_empty() {
                 return Ok(Replayed {
-                    book,
+                    book: log_state,
                     next_position: next,
                 });
             }
@@ -311,7 +311,7 @@
     /// than the one at which the confirming read was sent.
     async fn confirm_lead(&self, epoch: u64, mut sent: Moment) -> Result<Moment, AppendError> {
         loop {
-            match self.read_lead(false).await {
+            match self.read_owner(false).await {
                 Ok(Some(lead)) if lead.epoch == epoch => return Ok(sent),
                 Ok(_) => return Err(AppendError::Superseded),
                 Err(failure) => {
--- a/ashtiller/src/workflow/membership/election.rs
+++ b/ashtiller/src/workflow/membership/election.rs
@@ -73,8 +73,8 @@
 
 /// Looks the owner up in the store, or asks the peers if the store does not answer.
 async fn find_owner(node: &Rc<Node>) {
-    match node.log.read_lead(false).await {
-        Ok(Some(owner)) => node.adopt_lead(&owner),
+    match node.log.read_owner(false).await {
+        Ok(Some(owner)) => node.adopt_log_owner(&owner),
         Ok(None) => {}
         Err(failure) => {
             tracing::info!(%failure, "failed to read the lead key");
@@ -95,7 +95,7 @@
             )
             .await
         {
-            Ok(Reply::Lead(Some(owner))) => node.adopt_lead(&owner),
+            Ok(Reply::Lead(Some(owner))) => node.adopt_log_owner(&owner),
             Ok(_) => {}
             Err(failure) => tracing::debug!(%failure, "failed to ask a peer for the owner"),
         }
@@ -144,7 +144,7 @@
                 }
             }
         }
-        let mut changed = node.watch_lead();
+        let mut changed = node.watch_log_owner();
         let remaining = HEARTBEAT_INTERVAL.saturating_sub(began.elapsed());
         let _ = time::timeout(remaining, changed.changed()).await;
     }
@@ -227,12 +227,12 @@
         return;
     }
     let wait = failover_delay(node, owner);
-    let mut changed = node.watch_lead();
+    let mut changed = node.watch_log_owner();
     if time::timeout(wait, changed.changed()).await.is_ok() {
         return;
     }
-    match node.log.read_lead(false).await {
-        Ok(Some(known)) if known.epoch != owner.epoch => node.adopt_lead(&known),
+    match node.log.read_owner(false).await {
+        Ok(Some(known)) if known.epoch != owner.epoch => node.adopt_log_owner(&known),
         Ok(_) => {
             if let Loss::Silent(tail) = loss
                 && is_still_writing(node, owner, tail).await
@@ -277,12 +277,12 @@
     let wait = index.map_or(BOOTSTRAP_STEP * 4, |index| {
         BOOTSTRAP_STEP * u32::try_from(index).unwrap_or(0)
     });
-    let mut changed = node.watch_lead();
+    let mut changed = node.watch_log_owner();
     if time::timeout(wait, changed.changed()).await.is_ok() {
         return;
     }
-    match node.log.read_lead(false).await {
-        Ok(Some(owner)) => node.adopt_lead(&owner),
+    match node.log.read_owner(false).await {
+        Ok(Some(owner)) => node.adopt_log_owner(&owner),
         Ok(None) => try_acquire(node, None).await,
         Err(failure) => {
             tracing::info!(%failure, "failed to read the lead key");
@@ -309,7 +309,7 @@
             let owner = LogOwner { epoch, ..mine };
             owner::spawn(node, owner);
         }
-        Ok(Acquisition::HeldByOther(Some(owner))) => node.adopt_lead(&owner),
+        Ok(Acquisition::HeldByOther(Some(owner))) => node.adopt_log_owner(&owner),
         Ok(Acquisition::HeldByOther(None)) => {}
         Err(failure) => {
             tracing::warn!(%failure, "acquisition of the log not confirmed");
--- a/ashtiller/src/workflow/node/forward.rs
+++ b/ashtiller/src/workflow/node/forward.rs
@@ -45,7 +45,7 @@
                     Reply::Refused(u32::try_from(retry_after).unwrap_or(u32::MAX))
                 };
             }
-            let mut owner = self.watch_lead();
+            let mut owner = self.watch_log_owner();
             let _ = time::timeout(RETRY_DELAY, owner.changed()).await;
         }
     }
@@ -80,7 +80,7 @@
         let (sender, reply) = oneshot::channel();
         if owner
             .try_send(OwnerRequest {
-                ask: request,
+                request,
                 reply: sender,
             })
             .is_err()
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -99,7 +99,7 @@
     /// # Errors
     /// A metric is registered already.
     pub fn open(settings: Settings, dependencies: Dependencies) -> anyhow::Result<Rc<Self>> {
-        let life = rand::random::<u64>();
+        let own_incarnation = rand::random::<u64>();
         let Dependencies {
             store,
             agents,
@@ -110,7 +110,7 @@
         let metrics = Metrics::open()?;
         let links = PeerConnections::over(Rc::new(Tcp), metrics.silent_links());
         Ok(Rc::new(Self {
-            log: Log::new(store.clone(), STORE_PREFIX, life),
+            log: Log::new(store.clone(), STORE_PREFIX, own_incarnation),
             store,
             advisor,
             machines,
@@ -121,7 +121,7 @@
             settings,
             agents,
             metrics,
-            life,
+            life: own_incarnation,
             lead: watch::Sender::new(None),
             config: watch::Sender::new(Arc::default()),
             waves: watch::Sender::new(BTreeMap::new()),
@@ -243,12 +243,12 @@
 
     /// Subscribes to the owner of the log.
     #[must_use]
-    pub fn watch_lead(&self) -> watch::Receiver<Option<LogOwner>> {
+    pub fn watch_log_owner(&self) -> watch::Receiver<Option<LogOwner>> {
         self.lead.subscribe()
     }
 
     /// Records an owner of the log, unless a later one is known.
-    pub fn adopt_lead(&self, lead: &LogOwner) {
+    pub fn adopt_log_owner(&self, lead: &LogOwner) {
         let adopted = self.lead.send_if_modified(|current| {
             let newer = current
                 .as_ref()
--- a/ashtiller/src/workflow/node/peer_handler.rs
+++ b/ashtiller/src/workflow/node/peer_handler.rs
@@ -57,7 +57,7 @@
                 }
                 PeerRequest::Lead => Reply::Lead(self.lead()),
                 PeerRequest::OwnerIs(owner) => {
-                    self.adopt_lead(&owner);
+                    self.adopt_log_owner(&owner);
                     Reply::Noted
                 }
                 // An owner that starts later finds that the log has another owner before it acts.
--- a/ashtiller/src/workflow/node/store_watch.rs
+++ b/ashtiller/src/workflow/node/store_watch.rs
@@ -54,7 +54,7 @@
         let mut failed = false;
         loop {
             let began = Instant::now();
-            match self.log.read_lead(true).await {
+            match self.log.read_owner(true).await {
                 Ok(lead) => {
                     self.store_latency.set(began.elapsed());
                     self.note_store_contact();
@@ -63,7 +63,7 @@
                     }
                     failed = false;
                     if let Some(lead) = lead {
-                        self.adopt_lead(&lead);
+                        self.adopt_log_owner(&lead);
                     }
                 }
                 Err(failure) => {
--- a/ashtiller/src/workflow/owner/events.rs
+++ b/ashtiller/src/workflow/owner/events.rs
@@ -153,11 +153,14 @@
     }
 
     pub(super) fn handle_request(&mut self, request: OwnerRequest) {
-        let OwnerRequest { ask, reply: sender } = request;
+        let OwnerRequest {
+            request,
+            reply: sender,
+        } = request;
         let now = self.now();
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        let reply = match ask {
+        let reply = match request {
             PeerRequest::State(id) => self.core.state(&id),
             PeerRequest::Pending(queue) => self.core.count_pending(&queue),
             PeerRequest::Submit(job) => {
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -52,7 +52,7 @@
             {
                 Ok(Reply::Lead(Some(next))) => {
                     let newer = next.epoch > log_owner.epoch;
-                    node.adopt_lead(&next);
+                    node.adopt_log_owner(&next);
                     newer
                 }
                 Ok(_) => false,
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -47,7 +47,7 @@
 /// A request to the owner, and the channel for its reply.
 pub struct OwnerRequest {
     /// Request to the owner.
-    pub ask: PeerRequest,
+    pub request: PeerRequest,
     /// Channel for the reply.
     pub reply: oneshot::Sender<Reply>,
 }
@@ -76,7 +76,7 @@
     }
     let (sender, request_receiver) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
     node.set_owner(Some(sender));
-    node.adopt_lead(&log_owner);
+    node.adopt_log_owner(&log_owner);
     node.own_member_list(log_owner.epoch);
     task::spawn_local(run(node.clone(), log_owner, request_receiver));
 }
@@ -155,10 +155,10 @@
 
 /// Replays the log; returns `None` if it has another owner by now.
 async fn replay(node: &Rc<Node>, log_owner: &LogOwner) -> Result<Option<Replayed>, Failure> {
-    if let Some(known) = node.log.read_lead(false).await?
+    if let Some(known) = node.log.read_owner(false).await?
         && known.epoch != log_owner.epoch
     {
-        node.adopt_lead(&known);
+        node.adopt_log_owner(&known);
         return Ok(None);
     }
     node.log.replay(Duration::ZERO).await.map(Some)
