--- a/ashtiller/src/workflow/owner/effects.rs
+++ b/ashtiller/src/workflow/owner/effects.rs
@@ -59,8 +59,8 @@
             }
             Effect::Duty(machine, duty) => {
                 let holder = Holder {
-                    name: self.log_owner.name.clone(),
-                    fence: self.log_owner.epoch,
+                    name: self.ownership.name.clone(),
+                    fence: self.ownership.epoch,
                 };
                 let (machines, sender) = (self.node.machines.clone(), self.event_sender.clone());
                 task::spawn_local(async move {
@@ -106,7 +106,7 @@
         };
         let (log, epoch, sender) = (
             self.node.log.clone(),
-            self.log_owner.epoch,
+            self.ownership.epoch,
             self.event_sender.clone(),
         );
         task::spawn_local(async move {
@@ -133,7 +133,7 @@
             );
             return;
         }
-        let (log, epoch) = (self.node.log.clone(), self.log_owner.epoch);
+        let (log, epoch) = (self.node.log.clone(), self.ownership.epoch);
         let compaction = task::spawn_local(async move {
             if let Err(failure) = log.compact(epoch, position, &bytes).await {
                 tracing::warn!(position, %failure, "log not compacted");
--- a/ashtiller/src/workflow/owner/events.rs
+++ b/ashtiller/src/workflow/owner/events.rs
@@ -51,7 +51,7 @@
             Event::Appended(position, Err(AppendError::Superseded)) => {
                 tracing::warn!(
                     position,
-                    epoch = self.log_owner.epoch,
+                    epoch = self.ownership.epoch,
                     "superseded by another owner; the entry was not written"
                 );
                 self.stopped = true;
--- a/ashtiller/src/workflow/owner/hand_over.rs
+++ b/ashtiller/src/workflow/owner/hand_over.rs
@@ -40,7 +40,7 @@
             "hands over the log");
         let (node, log_owner, sender) = (
             self.node.clone(),
-            self.log_owner.clone(),
+            self.ownership.clone(),
             self.event_sender.clone(),
         );
         task::spawn_local(async move {
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -124,7 +124,7 @@
     );
     let mut owner = Owner {
         node: node.clone(),
-        log_owner,
+        ownership: log_owner,
         core,
         start,
         requests: request_receiver,
@@ -144,7 +144,7 @@
     owner.serve().await;
     let counts = owner.core.counts();
     tracing::warn!(
-        epoch = owner.log_owner.epoch,
+        epoch = owner.ownership.epoch,
         ?counts,
         "no longer the owner of the log"
     );
@@ -192,7 +192,7 @@
 
 struct Owner {
     node: Rc<Node>,
-    log_owner: LogOwner,
+    ownership: LogOwner,
     core: Core,
     start: Moment,
     requests: mpsc::Receiver<OwnerRequest>,
@@ -260,7 +260,7 @@
             self.stopped |= self
                 .node
                 .lead()
-                .is_none_or(|log_owner| log_owner.epoch != self.log_owner.epoch);
+                .is_none_or(|log_owner| log_owner.epoch != self.ownership.epoch);
         }
     }
 
--- a/ashtiller/src/workflow/owner/predecessor.rs
+++ b/ashtiller/src/workflow/owner/predecessor.rs
@@ -21,7 +21,7 @@
     /// Sends [`Event::PredecessorEnded`] once the owner that this one replaced is known to have
     /// ended.
     pub(super) fn watch_predecessor(&mut self) {
-        let Some(predecessor) = self.log_owner.former else {
+        let Some(predecessor) = self.ownership.former else {
             let now = self.now();
             self.core.note_former_owner_ended(0, now);
             return;
