--- a/ashtiller/src/workflow/core/admission.rs
+++ b/ashtiller/src/workflow/core/admission.rs
@@ -186,7 +186,7 @@
                 step.needs.memory >> 20,
                 step.estimate.as_millis(),
                 StepLimits(step),
-                step.after
+                step.depends_on
             )?;
         }
         Ok(())
--- a/ashtiller/src/workflow/core/allocation.rs
+++ b/ashtiller/src/workflow/core/allocation.rs
@@ -40,7 +40,7 @@
         });
         let resources = withdrawn.filter_map(|other| {
             let (job, _) = self.log_state.task(other.task)?;
-            Some(job.step(other.task)?.room())
+            Some(job.step(other.task)?.reserved())
         });
         let remaining = resources.fold(*allocated, |left: Resources, released| {
             left.minus(&released)
@@ -64,7 +64,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.pool.allocate(&step.room());
+        worker.pool.allocate(&step.reserved());
         worker.runs.insert(run);
         match step.sharing {
             Sharing::Serves(_) => worker.serving += 1,
@@ -99,7 +99,7 @@
             // A start may have waited for this capacity.
             worker.wake();
         }
-        worker.pool.release(&step.room());
+        worker.pool.release(&step.reserved());
         match step.sharing {
             Sharing::Serves(_) => worker.serving -= 1,
             Sharing::Fills => {
--- a/ashtiller/src/workflow/core/candidates.rs
+++ b/ashtiller/src/workflow/core/candidates.rs
@@ -171,10 +171,10 @@
 
     /// Returns whether runs may start on a worker: the platform lists it and it is not draining.
     pub(super) fn accepts_starts(&self, worker: &Worker, now: Now) -> bool {
-        worker.entered
-            && worker.draining.is_none()
+        worker.has_entry
+            && worker.draining_since.is_none()
             && worker
-                .absent
+                .unlisted_since
                 .is_none_or(|since| self.may_be_relisted(since, now))
     }
 
@@ -194,7 +194,7 @@
             free: worker.pool.free(),
             capacity: *worker.pool.capacity(),
             failures: worker.failures(),
-            on_probation: worker.on_trial(),
+            on_probation: worker.on_probation(),
             serving: Vec::new(),
             busy: 0.0,
             fill_demand: 0.0,
@@ -212,11 +212,11 @@
         for live in worker.runs.iter().filter_map(|run| self.runs.get(run)) {
             candidate.newest_placement = candidate.newest_placement.max(Some(live.placed));
             match live.share {
-                RunSharing::Apart => candidate.busy += live.asked,
+                RunSharing::Apart => candidate.busy += live.requested_processors,
                 RunSharing::Serves(..) => {}
                 RunSharing::Fills(image) => {
-                    candidate.fill_demand += live.asked;
-                    let share = live.asked / processors;
+                    candidate.fill_demand += live.requested_processors;
+                    let share = live.requested_processors / processors;
                     fills.push(NeighborFill { image, share });
                 }
             }
@@ -224,8 +224,8 @@
         for live in worker.runs.iter().filter_map(|run| self.runs.get(run)) {
             if let RunSharing::Serves(image, _) = live.share {
                 let headroom = live.headroom.map_or(1.0, |headroom| headroom.min(1.0));
-                candidate.busy += live.asked * (1.0 - IDLE_SHARE * headroom);
-                let pressure = self.interference.pressure(image, &fills);
+                candidate.busy += live.requested_processors * (1.0 - IDLE_SHARE * headroom);
+                let pressure = self.interference.headroom_loss(image, &fills);
                 let spare = headroom - pressure - self.interference.floor(image);
                 candidate.serving.push((image, spare));
             }
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -37,8 +37,8 @@
 /// Returns whether a worker only fell silent or was about to leave. Then nothing shows that its
 /// process ended at that moment or that a task was the cause.
 fn is_silent_or_leaving(worker: &Worker) -> bool {
-    let silent = worker.missed.is_some() && worker.broke.is_none();
-    silent || worker.draining.is_some()
+    let silent = worker.silent_since.is_some() && worker.broken_since.is_none();
+    silent || worker.draining_since.is_some()
 }
 
 /// Returns the name of a worker's machine, or its address if the platform names no machine.
@@ -60,7 +60,7 @@
     /// Records a crash of a worker. Returns the task to blame, if it is known.
     pub(super) fn note_crash(&mut self, id: &Incarnation, now: Now) -> Option<Task> {
         let worker = self.workers.get(id)?;
-        let at = worker.missed.unwrap_or(now.at);
+        let at = worker.silent_since.unwrap_or(now.at);
         let unseen = !worker.fenced && worker.runs.is_empty();
         if unseen || self.ends_as_planned(worker, at) {
             return None;
@@ -116,9 +116,9 @@
     /// Returns whether the end of a worker was planned, by its own announcement or by an order.
     fn ends_as_planned(&self, worker: &Worker, at: Duration) -> bool {
         // Some workers withdraw their entry without an announcement and continue for a while.
-        let left = worker.absent.is_some_and(|since| worker.heard > since);
+        let left = worker.unlisted_since.is_some_and(|since| worker.last_answer > since);
         let remaining = worker.listed.remaining.unwrap_or(Duration::ZERO);
-        let drained = worker.draining.is_some_and(|since| at >= since + remaining);
+        let drained = worker.draining_since.is_some_and(|since| at >= since + remaining);
         drained || left || self.is_closed_for_upkeep(worker)
     }
 
@@ -133,7 +133,7 @@
     ) -> LostRun {
         let at = others.at;
         // A worker that fell silent first may have continued until its connections were reset.
-        let latest = worker.broke.unwrap_or(now.at);
+        let latest = worker.broken_since.unwrap_or(now.at);
         // The start time of an earlier owner's run is unknown.
         let known = live.placed > self.began || worker.fenced;
         let age = at.saturating_sub(live.placed);
@@ -167,7 +167,7 @@
     fn may_be_done(&self, run: Run, live: &LiveRun, at: Duration, latest: Duration) -> bool {
         let wall = 0;
         let remaining = self.remaining_time(run, Now { at: latest, wall });
-        let unheard = || latest > at || at > live.moved + JUST_BEGUN_AGE;
+        let unheard = || latest > at || at > live.progressed_at + JUST_BEGUN_AGE;
         let silent = || self.is_short(run) && unheard();
         remaining.map_or_else(silent, |remaining| remaining.is_zero())
     }
@@ -185,7 +185,7 @@
             .values()
             .filter(|worker| *worker.incarnation() != *id);
         let mut silent =
-            silent.filter(|it| it.missed.is_some_and(|missed| is_simultaneous(missed, at)));
+            silent.filter(|it| it.silent_since.is_some_and(|missed| is_simultaneous(missed, at)));
         while unexplained < COMMON_CAUSE_WORKERS
             && let Some(worker) = silent.next()
         {
@@ -214,7 +214,7 @@
         let silent = |live: &LiveRun| {
             let other = self.workers.get(&live.worker)?;
             let missed = other
-                .missed
+                .silent_since
                 .filter(|missed| is_simultaneous(*missed, others.at))?;
             (other.incarnation() != worker.incarnation() && live.placed + JUST_BEGUN_AGE >= missed)
                 .then(|| live.worker.clone())
@@ -315,7 +315,7 @@
                 return false;
             };
             let worker = self.workers.get(&live.worker).filter(|it| it.answers);
-            worker.is_some_and(|it| it.heard >= began + suspect.clears_at())
+            worker.is_some_and(|it| it.last_answer >= began + suspect.clears_at())
         })
     }
 
--- a/ashtiller/src/workflow/core/dump.rs
+++ b/ashtiller/src/workflow/core/dump.rs
@@ -26,8 +26,8 @@
         let workers = self.workers.values().map(|worker| {
             serde_json::json!({
                 "id": worker.incarnation().id(), "born": worker.incarnation().born(), "runs": worker.runs.len(), "answers": worker.answers,
-                "silent_ms": u64::try_from(now.at.saturating_sub(worker.heard).as_millis()).unwrap_or(u64::MAX),
-                "draining": worker.draining.is_some(), "listed": worker.absent.is_none(),
+                "silent_ms": u64::try_from(now.at.saturating_sub(worker.last_answer).as_millis()).unwrap_or(u64::MAX),
+                "draining": worker.draining_since.is_some(), "listed": worker.unlisted_since.is_none(),
                 "gate": self.eligibility(worker, now).name(),
                 "free": worker.pool.free().to_string(),
             })
--- a/ashtiller/src/workflow/core/eligibility.rs
+++ b/ashtiller/src/workflow/core/eligibility.rs
@@ -77,8 +77,8 @@
         match () {
             () if !worker.fenced => Eligibility::Unfenced,
             () if !worker.answers => Eligibility::Silent,
-            () if worker.forgetful.is_some_and(|until| until > now.at) => Eligibility::MayLoseEnds,
-            () if worker.draining.is_some() => Eligibility::Draining,
+            () if worker.stale_ack_until.is_some_and(|until| until > now.at) => Eligibility::MayLoseEnds,
+            () if worker.draining_since.is_some() => Eligibility::Draining,
             () if !self.accepts_starts(worker, now) => Eligibility::Unlisted,
             () if self.is_evacuated(worker) => Eligibility::Evacuated,
             () if self.is_closed_for_upkeep(worker) => Eligibility::UnderUpkeep,
@@ -91,11 +91,11 @@
 
     /// Returns whether a worker that was quarantined has a run that is to show whether it works.
     fn has_probation_run(&self, worker: &Worker, now: Now) -> bool {
-        worker.on_trial()
+        worker.on_probation()
             && worker.runs.iter().any(|run| {
                 let progresses = self.is_short(*run) && self.remaining_time(*run, now).is_some();
                 let live = self.runs.get(run);
-                live.is_some_and(|live| worker.is_trial(live.placed, progresses, now.at))
+                live.is_some_and(|live| worker.is_probation_run(live.placed, progresses, now.at))
             })
     }
 
--- a/ashtiller/src/workflow/core/incarnations.rs
+++ b/ashtiller/src/workflow/core/incarnations.rs
@@ -114,7 +114,7 @@
                 ..listed.clone()
             };
             let mut worker = Worker::new(known, self.earlier_leases_end());
-            worker.absent = Some(now.at);
+            worker.unlisted_since = Some(now.at);
             worker.replaced = true;
             self.add_worker(worker);
             self.allocate_adopted_runs(&incarnation);
@@ -175,7 +175,7 @@
             };
             let mut fresh = Worker::new(listed, self.answered_leases_end(now));
             // Nothing is placed on it before its own entry tells its capacity.
-            fresh.absent = Some(now.at);
+            fresh.unlisted_since = Some(now.at);
             self.add_worker(fresh);
         }
         self.note_stale_entry(incarnation, now);
@@ -204,7 +204,7 @@
     /// Handles the restart of a worker whose entries carry no incarnation number: its reports are
     /// those of another incarnation.
     pub(super) fn restart_in_place(&mut self, incarnation: &Incarnation, now: Now) {
-        let entry = |it: &Worker| (it.entered, it.absent, it.draining);
+        let entry = |it: &Worker| (it.has_entry, it.unlisted_since, it.draining_since);
         let entry = self.workers.get(incarnation).map(entry);
         self.replace_incarnation(incarnation, incarnation, now);
         // These ends belong to the former incarnation, and are in the log by then.
@@ -215,8 +215,8 @@
         if let Some(worker) = self.workers.get_mut(incarnation)
             && let Some(entry) = entry
         {
-            (worker.entered, worker.absent, worker.draining) = entry;
-            worker.former_drains = worker.draining.is_some();
+            (worker.has_entry, worker.unlisted_since, worker.draining_since) = entry;
+            worker.former_drains = worker.draining_since.is_some();
         }
     }
 
@@ -260,7 +260,7 @@
                 in_doubt = moved.len(),
                 acknowledged,
                 silent_ms = old
-                    .missed
+                    .silent_since
                     .map_or(0, |since| now.at.saturating_sub(since).as_millis()),
                 "worker has restarted under its id"
             );
--- a/ashtiller/src/workflow/core/log_entries.rs
+++ b/ashtiller/src/workflow/core/log_entries.rs
@@ -69,7 +69,7 @@
         };
         worker.ends_recorded = worker.ends_recorded.max(number);
         if worker.ends_recorded == worker.ends_reported && worker.answers {
-            let next = now.at.max(worker.heard + pause);
+            let next = now.at.max(worker.last_answer + pause);
             worker.next_poll = worker.next_poll.min(next);
         }
     }
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -276,7 +276,7 @@
             crashes: crash_record::CrashRecord::default(),
             counts: Counts::default(),
         };
-        core.interference.import(&core.log_state.lessons);
+        core.interference.import(&core.log_state.learned_factors);
         core.adopt_runs(now);
         core
     }
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -68,7 +68,7 @@
         }
         let services = self.services_of(worker);
         let neighbors = self.fills_of(worker, now);
-        let fresh = worker.settled < now.at;
+        let fresh = worker.paces_settled_at < now.at;
         if fresh {
             self.learn(&services, &neighbors, now);
         }
@@ -81,13 +81,13 @@
             return;
         };
         if over_target {
-            worker.over.get_or_insert(earliest);
+            worker.over_target_since.get_or_insert(earliest);
         } else {
-            worker.over = None;
-            worker.calm = now.at;
+            worker.over_target_since = None;
+            worker.last_within_target = now.at;
         }
         let over_target = worker
-            .over
+            .over_target_since
             .map_or(Duration::ZERO, |since| now.at.saturating_sub(since));
         if fresh || services.is_empty() {
             self.choose_paces(id, &services, &neighbors, over_target, now);
@@ -104,7 +104,7 @@
             let live = self.runs.get(run)?;
             matches!(live.share, RunSharing::Fills(_)).then_some(live.placed)
         });
-        filled.min().unwrap_or(now.at).max(worker.calm)
+        filled.min().unwrap_or(now.at).max(worker.last_within_target)
     }
 
     /// Updates headrooms and interference factors from what services reported beside these fills.
@@ -114,7 +114,7 @@
             let own_headroom = history.trend(now.at).map(|trend| trend.level);
             self.interference
                 .learn(service.image, service.target_ratio, own_headroom, neighbors);
-            let pressure = self.interference.pressure(service.image, neighbors);
+            let pressure = self.interference.headroom_loss(service.image, neighbors);
             let own_headroom = self
                 .interference
                 .headroom(service.image, service.target_ratio)
@@ -133,7 +133,7 @@
                 return None;
             };
             #[expect(clippy::cast_precision_loss, reason = "tail latency in milliseconds")]
-            let tail = live.tail.filter(|tail| *tail > 0)? as f64;
+            let tail = live.tail_latency_ms.filter(|tail| *tail > 0)? as f64;
             Some(Service {
                 run: *run,
                 image,
@@ -154,11 +154,11 @@
             let (RunSharing::Fills(image), Stage::Started(at)) = (live.share, live.stage) else {
                 return None;
             };
-            let share = live.asked * f64::from(live.pace) / 100.0 / processors;
+            let share = live.requested_processors * f64::from(live.pace) / 100.0 / processors;
             let share = share * since(at).min(1.0);
             Some(NeighborFill { image, share })
         });
-        let ended = worker.left.iter().filter_map(|(image, share, at)| {
+        let ended = worker.recent_fills.iter().filter_map(|(image, share, at)| {
             let share = share * (1.0 - since(*at));
             (share > 0.0).then_some(NeighborFill {
                 image: *image,
@@ -177,9 +177,9 @@
         let Some(worker) = self.workers.get_mut(&live.worker) else {
             return;
         };
-        let share = live.asked * f64::from(live.pace) / 100.0 / processors_of(worker);
-        worker.left.retain(|(_, _, at)| now.at < *at + report);
-        worker.left.push((image, share, now.at));
+        let share = live.requested_processors * f64::from(live.pace) / 100.0 / processors_of(worker);
+        worker.recent_fills.retain(|(_, _, at)| now.at < *at + report);
+        worker.recent_fills.push((image, share, now.at));
     }
 
     /// Recomputes the pace of each fill on a worker: 100 %, reduced by what the services cannot
@@ -205,14 +205,14 @@
             Some(Fill {
                 run: *run,
                 image,
-                full_share: live.asked / processors,
+                full_share: live.requested_processors / processors,
                 fraction: 1.0,
                 lateness: self.lateness_of(run.task, now),
             })
         });
         let mut fills: Vec<Fill> = fills.collect();
         for service in services {
-            let pressure = self.interference.pressure(service.image, neighbors);
+            let pressure = self.interference.headroom_loss(service.image, neighbors);
             let own_headroom = self
                 .interference
                 .headroom(service.image, service.target_ratio)
@@ -283,7 +283,7 @@
         live.slow = (goal < SLOW_PACE_PERCENT).then_some(live.slow.unwrap_or(now.at));
         if let Some(worker) = self.workers.get_mut(&live.worker) {
             // Reports are averages over half a second, so earlier ones do not show the effect.
-            worker.settled = now.at + delay + self.terms.report / 2;
+            worker.paces_settled_at = now.at + delay + self.terms.report / 2;
             worker.wake();
         }
     }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -156,7 +156,7 @@
         Demand {
             service: self.intern_service(&service),
             share,
-            resources: step.room(),
+            resources: step.reserved(),
             selectivity: if step.fills() {
                 self.selectivity(pending.key(), now)
             } else {
--- a/ashtiller/src/workflow/core/polls.rs
+++ b/ashtiller/src/workflow/core/polls.rs
@@ -133,11 +133,11 @@
             return;
         };
         worker.answers = false;
-        worker.missed.get_or_insert(now.at);
+        worker.silent_since.get_or_insert(now.at);
         if broke {
-            worker.broke.get_or_insert(now.at);
+            worker.broken_since.get_or_insert(now.at);
         }
-        let silent = now.at.saturating_sub(worker.heard) > SILENT_AFTER;
+        let silent = now.at.saturating_sub(worker.last_answer) > SILENT_AFTER;
         worker.next_poll = now.at + POLL_RETRY[usize::from(silent)];
     }
 }
--- a/ashtiller/src/workflow/core/relocation.rs
+++ b/ashtiller/src/workflow/core/relocation.rs
@@ -56,7 +56,7 @@
             service: &service,
             step,
             share,
-            resources: step.room(),
+            resources: step.reserved(),
             failed_on,
             runs_per_worker: candidates::count_runs_per_worker(self, task),
             advised: None,
@@ -108,7 +108,7 @@
         let demand = Demand {
             service: service.clone(),
             share: live.share,
-            resources: step.room(),
+            resources: step.reserved(),
             selectivity,
         };
         if round.is_known_unplaceable(&demand) {
@@ -118,7 +118,7 @@
             service: &service,
             step,
             share: live.share,
-            resources: step.room(),
+            resources: step.reserved(),
             failed_on: state.failed_on.clone(),
             runs_per_worker: BTreeMap::new(),
             advised: None,
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -163,7 +163,7 @@
                     worker = %id,
                     clock_ms = clock,
                     last_clock_ms = last,
-                    silent_ms = now.at.saturating_sub(worker.heard).as_millis(),
+                    silent_ms = now.at.saturating_sub(worker.last_answer).as_millis(),
                     acknowledged = worker.ends_recorded,
                     "worker answers again"
                 );
@@ -175,9 +175,9 @@
             worker.wake();
         }
         worker.answers = true;
-        worker.heard = now.at;
-        worker.missed = None;
-        worker.broke = None;
+        worker.last_answer = now.at;
+        worker.silent_since = None;
+        worker.broken_since = None;
         // The first reply tells the worker's clock; the lease is granted with the next poll.
         worker.next_poll = if recovered {
             now.at
@@ -353,12 +353,12 @@
             live.checkpoint = active_run.checkpoint.clone();
         }
         if serves {
-            live.tail = active_run.figure;
+            live.tail_latency_ms = active_run.figure;
         } else {
             live.used = active_run.figure;
         }
         if live.began.is_none() || active_run.percent > live.percent {
-            live.moved = now.at;
+            live.progressed_at = now.at;
         }
         let becomes_ready =
             long_running && live.percent < READY_PERCENT && active_run.percent >= READY_PERCENT;
@@ -366,7 +366,7 @@
         live.began.get_or_insert((now.at, active_run.percent));
         if live.pace < 100 || live.pace_goal < 100 {
             // A throttled run is not stalled; its timer starts when it may run at full speed.
-            live.moved = now.at;
+            live.progressed_at = now.at;
         }
         // A best-effort fill may find no idle processors for a while.
         let limit = if fills {
@@ -374,7 +374,7 @@
         } else {
             STALL_TIMEOUT
         };
-        let stalled = now.at.saturating_sub(live.moved) > limit;
+        let stalled = now.at.saturating_sub(live.progressed_at) > limit;
         if becomes_ready {
             let id = live.worker.clone();
             if let Some(worker) = self.workers.get_mut(&id) {
@@ -386,7 +386,7 @@
         if stalled && !long_running && live.stop == Stop::None && active_run.percent < 100 {
             tracing::info!(task = %run.task, run = run.number, worker = %live.worker,
                 percent = active_run.percent,
-                since_ms = now.at.saturating_sub(live.moved).as_millis(),
+                since_ms = now.at.saturating_sub(live.progressed_at).as_millis(),
                 "run makes no progress");
             let id = live.worker.clone();
             self.request_stop(run, StopReason::Stalled);
--- a/ashtiller/src/workflow/core/starvation.rs
+++ b/ashtiller/src/workflow/core/starvation.rs
@@ -205,7 +205,7 @@
     ) -> Option<Incarnation> {
         let job = &self.log_state.jobs[&pending.job];
         let step = &job.job.steps[usize::from(pending.step)];
-        let resources = step.room();
+        let resources = step.reserved();
         let spread = self.count_step_runs(pending);
         let open = fleet
             .iter()
@@ -222,7 +222,7 @@
                     .task(run.task)
                     .and_then(|(job, _)| job.step(run.task));
                 if let Some(step) = step.filter(|step| !step.long_running && !step.fills()) {
-                    free = free.plus(&step.room());
+                    free = free.plus(&step.reserved());
                     short += 1;
                 }
             }
@@ -293,7 +293,7 @@
     pub(super) fn has_capacity(&self, pending: &WaitingStep, fleet: &[Candidate]) -> bool {
         let job = &self.log_state.jobs[&pending.job];
         let step = &job.job.steps[usize::from(pending.step)];
-        let (resources, spread) = (step.room(), self.count_step_runs(pending));
+        let (resources, spread) = (step.reserved(), self.count_step_runs(pending));
         fleet.iter().any(|candidate| {
             candidate.has_capacity(&job.policy.service, &resources)
                 && candidates::satisfies_constraints(candidate, step, &spread)
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -155,7 +155,7 @@
 
     fn worker_of(&self, machine: &str) -> Option<Incarnation> {
         let mut incarnations = self.workers.values().filter(|worker| {
-            worker.listed.machine.as_deref() == Some(machine) && worker.absent.is_none()
+            worker.listed.machine.as_deref() == Some(machine) && worker.unlisted_since.is_none()
         });
         incarnations
             .next()
--- a/ashtiller/src/workflow/core/wait_report.rs
+++ b/ashtiller/src/workflow/core/wait_report.rs
@@ -43,9 +43,9 @@
         let freest = candidates.max_by_key(|it| it.free.processors);
         tracing::info!(job = %job.job.id, number = pending.job, time = pending.occurrence,
             step = pending.step, tasks = self.waiting_tasks(pending).len(),
-            waited_ms = now.at.saturating_sub(since).as_millis(), asks = %step.room(),
+            waited_ms = now.at.saturating_sub(since).as_millis(), asks = %step.reserved(),
             workers = %self.count_by_eligibility(Some(service), now), with_room = fitting.count(),
-            shut_with_room = %self.count_ineligible_with_capacity(service, &step.room(), now),
+            shut_with_room = %self.count_ineligible_with_capacity(service, &step.reserved(), now),
             freest = %freest.map_or_else(String::new, |it| it.free.to_string()),
             kept = self.reserved_worker().unwrap_or_default(), "lasting task waits");
     }
--- a/ashtiller/src/workflow/core/worker_list.rs
+++ b/ashtiller/src/workflow/core/worker_list.rs
@@ -57,17 +57,17 @@
         });
         worker.resize(listed.capacity);
         worker.listed = listed;
-        worker.entered = true;
-        worker.absent = None;
+        worker.has_entry = true;
+        worker.unlisted_since = None;
         // Starts may have waited for the worker to be listed again.
         worker.wake();
-        if draining && worker.draining.is_none() {
+        if draining && worker.draining_since.is_none() {
             tracing::info!(worker = %incarnation, left = ?worker.listed.remaining, "worker is draining");
-            worker.draining = Some(now.at);
+            worker.draining_since = Some(now.at);
         }
         if !draining && worker.former_drains {
             // This entry was written by the next incarnation.
-            worker.draining = None;
+            worker.draining_since = None;
             worker.former_drains = false;
         }
         self.allocate_adopted_runs(&incarnation);
@@ -78,7 +78,7 @@
     /// owner's processor time with 890 workers.
     fn is_unchanged(&self, listed: &ListedWorker) -> bool {
         self.workers.get(&listed.incarnation).is_some_and(|worker| {
-            worker.absent.is_none() && !listed.draining && worker.listed == *listed
+            worker.unlisted_since.is_none() && !listed.draining && worker.listed == *listed
         })
     }
 
@@ -130,10 +130,10 @@
     /// Records that the platform no longer lists a worker.
     pub fn unlist_worker(&mut self, id: &Incarnation, now: Now) {
         if let Some(worker) = self.workers.get_mut(id)
-            && worker.absent.is_none()
+            && worker.unlisted_since.is_none()
         {
             tracing::info!(worker = %id, runs = worker.runs.len(), "worker is no longer listed");
-            worker.absent = Some(now.at);
+            worker.unlisted_since = Some(now.at);
         }
     }
 
@@ -237,7 +237,7 @@
     /// Removes workers that have been unlisted for a while and have no runs.
     pub(super) fn forget_absent_workers(&mut self, now: Now) {
         let gone = self.workers.values().filter(|worker| {
-            let absent = worker.absent;
+            let absent = worker.unlisted_since;
             worker.runs.is_empty() && absent.is_some_and(|since| now.at > since + FORGET_AFTER)
         });
         let gone: Vec<Incarnation> = gone.map(|worker| worker.incarnation().clone()).collect();
@@ -274,7 +274,7 @@
     /// Returns the pending departure of a worker. Some workers announce that they drain; some only
     /// withdraw their entry and continue for as long.
     fn pending_departure(&self, worker: &Worker, now: Now) -> Option<Departure> {
-        if let Some(since) = worker.draining {
+        if let Some(since) = worker.draining_since {
             let left = worker.listed.remaining.unwrap_or(Duration::ZERO);
             return Some(Departure {
                 since,
@@ -282,7 +282,7 @@
                 told: true,
             });
         }
-        let since = worker.absent?;
+        let since = worker.unlisted_since?;
         let known = now.at >= since + UNLISTED_MIN && !self.is_stalled(now);
         (known && worker.answers && !self.may_be_relisted(since, now)).then_some(Departure {
             since,
@@ -330,8 +330,8 @@
         if gained < 5 {
             return None;
         }
-        let spent = live.moved.saturating_sub(began);
+        let spent = live.progressed_at.saturating_sub(began);
         let remaining = spent * (100 - live.percent.min(100)) / gained;
-        Some(remaining.saturating_sub(now.at.saturating_sub(live.moved)))
+        Some(remaining.saturating_sub(now.at.saturating_sub(live.progressed_at)))
     }
 }
--- a/ashtiller/src/workflow/interference.rs
+++ b/ashtiller/src/workflow/interference.rs
@@ -142,7 +142,7 @@
 
     /// Returns the headroom that best-effort runs take from an image beside them.
     #[must_use]
-    pub fn pressure(&self, serves: Image, neighbors: &[NeighborFill]) -> f64 {
+    pub fn headroom_loss(&self, serves: Image, neighbors: &[NeighborFill]) -> f64 {
         let each = |fill: &NeighborFill| self.factor(serves, fill.image) * fill.share;
         neighbors.iter().map(each).sum()
     }
@@ -175,7 +175,7 @@
         } else {
             NOISE_VARIANCE
         };
-        let expected = own.unwrap_or(1.0) - self.pressure(serves, neighbors);
+        let expected = own.unwrap_or(1.0) - self.headroom_loss(serves, neighbors);
         let error = expected - self.headroom(serves, ratio);
         let each =
             |fill: &NeighborFill| fill.share * fill.share * self.known(serves, fill.image).variance;
--- a/ashtiller/src/workflow/job.rs
+++ b/ashtiller/src/workflow/job.rs
@@ -40,7 +40,7 @@
     /// Rough run time of a task, as estimated by the client.
     pub estimate: Duration,
     /// Earlier steps that must be done first.
-    pub after: Vec<u16>,
+    pub depends_on: Vec<u16>,
     /// Whether its tasks write checkpoints.
     pub checkpoints: bool,
     /// Whether its tasks only run all together.
@@ -84,7 +84,7 @@
     /// Returns the resources that a task reserves on its worker. A best-effort task reserves no
     /// processors.
     #[must_use]
-    pub fn room(&self) -> Resources {
+    pub fn reserved(&self) -> Resources {
         if self.fills() {
             Resources {
                 processors: 0,
@@ -161,7 +161,7 @@
             return Err("a job has at most 10,000 tasks");
         }
         let forward = |(number, step): (usize, &Step)| {
-            step.after
+            step.depends_on
                 .iter()
                 .any(|earlier| usize::from(*earlier) >= number)
         };
@@ -179,7 +179,7 @@
         for (number, step) in self.steps.iter().enumerate().rev() {
             left[number] += step.estimate;
             let remaining = left[number];
-            for earlier in &step.after {
+            for earlier in &step.depends_on {
                 let chain = &mut left[usize::from(*earlier)];
                 // Holds the longest chain after the step until the loop reaches it.
                 *chain = (*chain).max(remaining);
--- a/ashtiller/src/workflow/live_run.rs
+++ b/ashtiller/src/workflow/live_run.rs
@@ -99,11 +99,11 @@
     /// Progress in percent.
     pub percent: u32,
     /// Time of the last increase of the progress.
-    pub moved: Duration,
+    pub progressed_at: Duration,
     /// Newest checkpoint that the worker reported.
     pub checkpoint: Arc<str>,
     /// Tail latency of a latency-sensitive run in milliseconds.
-    pub tail: Option<u64>,
+    pub tail_latency_ms: Option<u64>,
     /// Processors used by a run that is not latency-sensitive, as last reported.
     pub used: Option<u64>,
     /// Estimated headroom of a latency-sensitive run without best-effort runs beside it, as a share
@@ -122,7 +122,7 @@
     /// Working time lost to throttling under earlier paces.
     pub paced: Duration,
     /// Processors requested, in thousandths.
-    pub asked: f64,
+    pub requested_processors: f64,
     /// Time until which an unanswered pace order may still be carried out.
     pub pace_doubt: Duration,
 }
@@ -140,7 +140,7 @@
         Self {
             worker,
             share,
-            asked,
+            requested_processors: asked,
             stage,
             stop: Stop::None,
             ordering: false,
@@ -153,9 +153,9 @@
             placed: now,
             began: None,
             percent: 0,
-            moved: now,
+            progressed_at: now,
             checkpoint: Arc::from(""),
-            tail: None,
+            tail_latency_ms: None,
             used: None,
             headroom: None,
             ticket: None,
--- a/ashtiller/src/workflow/log_state.rs
+++ b/ashtiller/src/workflow/log_state.rs
@@ -33,7 +33,7 @@
     /// Jobs by number.
     pub jobs: BTreeMap<u32, JobState>,
     /// Learned interference factors of images.
-    pub lessons: Vec<LearnedFactor>,
+    pub learned_factors: Vec<LearnedFactor>,
     /// Machines that finished their maintenance, by wave.
     pub upkept: BTreeSet<(u64, Arc<str>)>,
     /// Maintenance waves that have ended.
@@ -147,7 +147,7 @@
                 self.waves_over.insert(*wave);
                 self.upkept.retain(|(other, _)| other != wave);
             }
-            LogRecord::Learned(lessons) => self.lessons.clone_from(lessons),
+            LogRecord::Learned(lessons) => self.learned_factors.clone_from(lessons),
             LogRecord::Cleared(epoch) => self.cleared = self.cleared.max(*epoch),
             LogRecord::Crashed(_, lost_runs) => {
                 for lost in lost_runs {
--- a/ashtiller/src/workflow/state.rs
+++ b/ashtiller/src/workflow/state.rs
@@ -86,7 +86,7 @@
     /// Reports whether all dependencies of a step are done.
     #[must_use]
     pub fn may_begin(&self, step: &Step) -> bool {
-        step.after
+        step.depends_on
             .iter()
             .all(|earlier| self.steps[usize::from(*earlier)].left == 0)
     }
--- a/ashtiller/src/workflow/worker.rs
+++ b/ashtiller/src/workflow/worker.rs
@@ -83,11 +83,11 @@
     /// Entry of the worker in the platform's list.
     pub listed: ListedWorker,
     /// Whether its own entry was read; until then the worker is known only from an answer.
-    pub entered: bool,
+    pub has_entry: bool,
     /// Time since which the platform does not list it.
-    pub absent: Option<Duration>,
+    pub unlisted_since: Option<Duration>,
     /// Time since which it is draining.
-    pub draining: Option<Duration>,
+    pub draining_since: Option<Duration>,
     /// Whether another incarnation of the worker is listed.
     pub replaced: bool,
     /// Whether the draining flag came from the previous incarnation, on a platform that reports no
@@ -103,12 +103,12 @@
     /// Whether the last poll was answered.
     pub answers: bool,
     /// Time of the last answer to a poll.
-    pub heard: Duration,
+    pub last_answer: Duration,
     /// Time since which polls are not answered.
-    pub missed: Option<Duration>,
+    pub silent_since: Option<Duration>,
     /// Time since then at which a connection to it was first refused or broken: either its process
     /// has ended or the network reports so.
-    pub broke: Option<Duration>,
+    pub broken_since: Option<Duration>,
     /// Poll in flight.
     pub pending_poll: Option<PendingPoll>,
     /// Time at which the next poll is due.
@@ -137,7 +137,7 @@
     /// acknowledge ends.
     pub acknowledging: Option<Duration>,
     /// Time until which a poll meant for the previous incarnation may acknowledge ends of this one.
-    pub forgetful: Option<Duration>,
+    pub stale_ack_until: Option<Duration>,
     /// Runs given up on this incarnation or the previous one that may still begin.
     pub late: Vec<LateRun>,
     /// Number of latency-sensitive runs on the worker.
@@ -148,13 +148,13 @@
     pub filled: u64,
     /// Best-effort runs that ended recently: their image, the share of the worker's processors that
     /// they used, and the time of their end.
-    pub left: Vec<(Image, f64, Duration)>,
+    pub recent_fills: Vec<(Image, f64, Duration)>,
     /// Time since which a latency-sensitive run on the worker exceeds its target.
-    pub over: Option<Duration>,
+    pub over_target_since: Option<Duration>,
     /// Time of the last report in which no run on the worker exceeded its target.
-    pub calm: Duration,
+    pub last_within_target: Duration,
     /// Time from which reports reflect the paces that were last set.
-    pub settled: Duration,
+    pub paces_settled_at: Duration,
     /// Set when the worker's machine was told to end it: only the answer to a poll sent at this
     /// time or later shows that the worker still runs.
     pub doubted: Option<Duration>,
@@ -173,19 +173,19 @@
     pub fn new(listed: ListedWorker, bound: Duration) -> Self {
         Self {
             pool: Pool::new(listed.capacity),
-            draining: None,
+            draining_since: None,
             replaced: false,
             former_drains: false,
             listed,
-            entered: false,
-            absent: None,
+            has_entry: false,
+            unlisted_since: None,
             lease: Lease::new(bound),
             fenced: false,
             unanswered_fence: 0,
             answers: false,
-            heard: Duration::ZERO,
-            missed: None,
-            broke: None,
+            last_answer: Duration::ZERO,
+            silent_since: None,
+            broken_since: None,
             pending_poll: None,
             next_poll: Duration::ZERO,
             ordering: 0,
@@ -198,15 +198,15 @@
             ends_acknowledged: 0,
             renewing: None,
             acknowledging: None,
-            forgetful: None,
+            stale_ack_until: None,
             late: Vec::new(),
             serving: 0,
             filling: 0,
             filled: 0,
-            left: Vec::new(),
-            over: None,
-            calm: Duration::ZERO,
-            settled: Duration::ZERO,
+            recent_fills: Vec::new(),
+            over_target_since: None,
+            last_within_target: Duration::ZERO,
+            paces_settled_at: Duration::ZERO,
             doubted: None,
             quarantined_until: None,
             failures: 0,
@@ -218,7 +218,7 @@
     /// Records an answer to a call that carried this fencing token.
     pub fn note_fence(&mut self, fence: u64) {
         if fence > self.unanswered_fence {
-            self.forgetful = None;
+            self.stale_ack_until = None;
         }
     }
 
@@ -297,7 +297,7 @@
         // A stale entry may list the previous incarnation again, with no knowledge of its calls; so
         // they are kept here.
         self.acknowledging = self.acknowledging.max(former.acknowledging);
-        self.forgetful = self.forgetful.max(self.acknowledging);
+        self.stale_ack_until = self.stale_ack_until.max(self.acknowledging);
         self.unanswered_fence = self.unanswered_fence.max(former.unanswered_fence);
         self.renewing = self.renewing.max(former.renewing);
         if let Some(until) = former.renewing {
@@ -358,7 +358,7 @@
     /// Reports whether the worker is on probation: it was quarantined and no run has succeeded
     /// there since.
     #[must_use]
-    pub fn on_trial(&self) -> bool {
+    pub fn on_probation(&self) -> bool {
         self.quarantines > 0
     }
 
@@ -368,13 +368,13 @@
     /// Runs placed before the quarantine tell nothing about the present state, and long-running
     /// ones among them never end.
     #[must_use]
-    pub fn is_trial(&self, placed: Duration, works: bool, now: Duration) -> bool {
+    pub fn is_probation_run(&self, placed: Duration, works: bool, now: Duration) -> bool {
         let limit = if works {
             PROBATION_PROGRESS_MAX
         } else {
             PROBATION_MAX
         };
-        self.on_trial() && placed >= self.quarantined_at && now < placed + limit
+        self.on_probation() && placed >= self.quarantined_at && now < placed + limit
     }
 
     /// Returns the incarnation.
--- a/ashtiller/tests/owner/jobs.rs
+++ b/ashtiller/tests/owner/jobs.rs
@@ -74,7 +74,7 @@
 fn a_step_waits_for_those_it_depends_on() {
     let mut driver = Driver::new(2, policy());
     let second = Step {
-        after: vec![0],
+        depends_on: vec![0],
         ..step(1)
     };
     driver.submit(job("1", vec![step(1), second]));
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -163,7 +163,7 @@
         .list_all(vec![listed(0), born(1, 1000)], driver.now);
     driver.pass(Duration::from_secs(3));
     assert!(driver.core.log_state().is_live(run));
-    assert!(driver.core.workers()[&life].absent.is_none());
+    assert!(driver.core.workers()[&life].unlisted_since.is_none());
     assert!(driver.core.workers().keys().all(|it| it.born().is_some()));
 }
 
--- a/ashtiller/tests/owner/parts.rs
+++ b/ashtiller/tests/owner/parts.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_job_is_checked_before_it_is_taken() {
     let after = |steps: Vec<u16>| Step {
-        after: steps,
+        depends_on: steps,
         ..step(1)
     };
     let cases: [(&str, Vec<Step>, bool); 6] = [
@@ -35,9 +35,9 @@
 #[test]
 fn chains_are_the_longest_way_to_the_end() {
     let mut steps = vec![step(1), step(1), step(1)];
-    steps[1].after = vec![0];
+    steps[1].depends_on = vec![0];
     steps[1].estimate = 2000 * MS;
-    steps[2].after = vec![0];
+    steps[2].depends_on = vec![0];
     let chains = job("1", steps).chains();
     assert_eq!(chains, [2500 * MS, 2000 * MS, 500 * MS]);
 }
--- a/ashtiller/tests/workflow.rs
+++ b/ashtiller/tests/workflow.rs
@@ -57,7 +57,7 @@
             accelerators: 0,
         },
         estimate: Duration::from_millis(800),
-        after,
+        depends_on: after,
         ..Step::default()
     }
 }
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -843,7 +843,7 @@
         let before = job.steps[..usize::from(start.name.step)].iter();
         let first: u32 = before.map(|step| step.count).sum();
         let place = first as usize + usize::from(start.name.index);
-        let needs = job.steps[usize::from(start.name.step)].room();
+        let needs = job.steps[usize::from(start.name.step)].reserved();
         (needs, self.lengths[&start.name.job][place])
     }
 
@@ -910,7 +910,7 @@
         }
         let job = &self.jobs[&name.job];
         let step = &job.steps[usize::from(name.step)];
-        for earlier in &step.after {
+        for earlier in &step.depends_on {
             let count = job.steps[usize::from(*earlier)].count;
             for index in 0..u16::try_from(count).unwrap() {
                 let task = TaskName {
--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -321,7 +321,7 @@
         },
         estimate: 800 * MS,
         image: image.clone(),
-        after,
+        depends_on: after,
         ..Step::default()
     };
     let steps = match kind {
