--- a/ashtiller/src/workflow/core/admission.rs
+++ b/ashtiller/src/workflow/core/admission.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::workflow::core::{Core, Effect, Now, OnDurable, Ticket};
+use crate::workflow::core::{Core, Effect, Now, OnDurable, RequestToken};
 use crate::workflow::job::{Job, Sharing, Step};
 use crate::workflow::live_run::Stage;
 use crate::workflow::message::{Reply, State};
@@ -11,10 +11,10 @@
 
 impl Core {
     /// Accepts a job. The client is answered once the log entry that holds the job is durable.
-    pub fn submit(&mut self, job: Job, ticket: Ticket, now: Now) {
+    pub fn submit(&mut self, job: Job, ticket: RequestToken, now: Now) {
         if let Some(number) = self.log_state.find(&job.id) {
             let position = self.undurable_jobs.get(&number).copied().unwrap_or(0);
-            self.defer(position, OnDurable::Answer(ticket, Reply::Accepted), now);
+            self.defer(position, OnDurable::Reply(ticket, Reply::Accepted), now);
             return;
         }
         // A repeated submission gets the same reply as the first one.
@@ -26,7 +26,7 @@
         if let Some(reply) = self.check_admission(&job, now) {
             tracing::info!(job = %job.id, ?reply, stalled_ms = self.stalled_for(now).as_millis(),
                 "job rejected");
-            self.effects.push(Effect::Answer(ticket, reply));
+            self.effects.push(Effect::Reply(ticket, reply));
             return;
         }
         self.arrivals.push((job, vec![ticket]));
@@ -37,7 +37,7 @@
         for (job, tickets) in std::mem::take(&mut self.arrivals) {
             let Some(queue) = self.config.queue(&job.queue) else {
                 for ticket in tickets {
-                    self.effects.push(Effect::Answer(ticket, Reply::Missing));
+                    self.effects.push(Effect::Reply(ticket, Reply::Missing));
                 }
                 continue;
             };
@@ -52,7 +52,7 @@
             for ticket in tickets {
                 self.defer(
                     self.position,
-                    OnDurable::Answer(ticket, Reply::Accepted),
+                    OnDurable::Reply(ticket, Reply::Accepted),
                     now,
                 );
             }
@@ -70,19 +70,19 @@
             tracing::info!(job = %job.id, stalled_ms = self.stalled_for(now).as_millis(),
                 "job rejected: the store does not answer");
             for ticket in tickets {
-                self.effects.push(Effect::Answer(ticket, refused.clone()));
+                self.effects.push(Effect::Reply(ticket, refused.clone()));
             }
         }
     }
 
     fn retry_later_reply(&self) -> Reply {
-        let retry = self.terms.retry.as_millis();
+        let retry = self.tuning.retry.as_millis();
         Reply::Refused(u32::try_from(retry).unwrap_or(u32::MAX))
     }
 
     /// Returns the reason to reject a job, or `None` if it can be accepted.
     fn check_admission(&self, job: &Job, now: Now) -> Option<Reply> {
-        if self.is_stalled(now) || self.log_state.open().len() >= self.terms.jobs {
+        if self.is_stalled(now) || self.log_state.open().len() >= self.tuning.jobs {
             return Some(self.retry_later_reply());
         }
         if let Err(reason) = job.check() {
@@ -92,13 +92,13 @@
     }
 
     /// Cancels a job. The client is answered once the cancellation is durable.
-    pub fn cancel(&mut self, id: &str, ticket: Ticket, now: Now) {
+    pub fn cancel(&mut self, id: &str, ticket: RequestToken, now: Now) {
         if self.arrivals.iter().any(|(job, _)| *job.id == *id) {
             self.record_arrivals(now);
         }
         let Some(number) = self.log_state.find(id) else {
             tracing::info!(job = id, "cancellation of an unknown job");
-            self.effects.push(Effect::Answer(ticket, Reply::Missing));
+            self.effects.push(Effect::Reply(ticket, Reply::Missing));
             return;
         };
         if self.log_state.jobs[&number].outcome.is_none() {
@@ -108,7 +108,7 @@
             self.needs_planning = true;
         }
         let position = self.undurable_jobs.get(&number).copied().unwrap_or(0);
-        self.defer(position, OnDurable::Answer(ticket, Reply::Accepted), now);
+        self.defer(position, OnDurable::Reply(ticket, Reply::Accepted), now);
     }
 
     /// Returns the state of a job. An outcome is reported only once it is durable.
--- a/ashtiller/src/workflow/core/adopted_runs.rs
+++ b/ashtiller/src/workflow/core/adopted_runs.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::workflow::core::{Core, Now, incarnations, share_of};
+use crate::workflow::core::{Core, Now, incarnations, sharing_of};
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::job::Step;
 use crate::workflow::live_run::{LiveRun, Stage, StopReason};
@@ -65,7 +65,7 @@
             let Some(step) = self.step_of(run) else {
                 continue;
             };
-            let (share, processors) = share_of(&mut self.interference, &step);
+            let (share, processors) = sharing_of(&mut self.interference, &step);
             self.adopted.add(&worker, run);
             let mut live = LiveRun::new(worker, Stage::Starting, share, processors, now.at);
             live.checkpoint = checkpoint;
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -66,7 +66,7 @@
 impl Core {
     /// Returns the valid tickets for a task's step, by worker.
     pub(super) fn tickets(&self, task: Task, now: Now) -> BTreeMap<Incarnation, Arc<str>> {
-        let Some(advised) = self.advised.get(&(task.job, task.occurrence, task.step)) else {
+        let Some(advised) = self.advice_states.get(&(task.job, task.occurrence, task.step)) else {
             return BTreeMap::new();
         };
         let valid = advised
@@ -80,7 +80,7 @@
 
     /// Returns whether the advisor has ruled out a worker for a step.
     pub(super) fn is_forbidden(&self, step: StepKey, worker: &Incarnation) -> bool {
-        let advised = self.advised.get(&step);
+        let advised = self.advice_states.get(&step);
         advised.is_some_and(|advised| advised.forbidden.contains(worker))
     }
 
@@ -95,12 +95,12 @@
         now: Now,
     ) {
         let requests = self
-            .advised
+            .advice_states
             .values()
             .filter(|advised| !advised.in_flight.is_empty())
             .count();
         let key = (task.job, task.occurrence, task.step);
-        let advised = self.advised.entry(key).or_default();
+        let advised = self.advice_states.entry(key).or_default();
         if !advised.in_flight.is_empty() || requests >= REQUESTS_MAX || now.at < advised.retry_at {
             return;
         }
@@ -139,7 +139,7 @@
             return;
         }
         let id = job.job.id.clone();
-        if let Some(advised) = self.advised.get_mut(&key) {
+        if let Some(advised) = self.advice_states.get_mut(&key) {
             advised.in_flight.extend(workers.iter().cloned());
         }
         self.effects.push(Effect::Advise(AdviceRequest {
@@ -155,12 +155,12 @@
     /// so all others in flight may come first.
     fn answer_limit(&self, key: StepKey) -> Duration {
         let stated: Duration = self
-            .advised
+            .advice_states
             .iter()
             .filter_map(|(key, advised)| self.stated_time(*key, advised.in_flight.len()))
             .sum();
         let unanswered = self
-            .advised
+            .advice_states
             .get(&key)
             .is_some_and(|advised| advised.unanswered);
         let least = if unanswered {
@@ -191,12 +191,12 @@
             .jobs
             .get(&key.0)
             .and_then(|job| job.policy.advice);
-        let Some(advised) = self.advised.get_mut(&key) else {
+        let Some(advised) = self.advice_states.get_mut(&key) else {
             return;
         };
         let in_flight = std::mem::take(&mut advised.in_flight);
         let Some(Advice { valid, .. }) = valid else {
-            self.advised.remove(&key);
+            self.advice_states.remove(&key);
             return;
         };
         match answer {
--- a/ashtiller/src/workflow/core/allocation.rs
+++ b/ashtiller/src/workflow/core/allocation.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::resources::Resources;
-use crate::workflow::core::{Core, Now, share_of};
+use crate::workflow::core::{Core, Now, sharing_of};
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::job::Sharing;
 use crate::workflow::live_run::{LiveRun, Stage, Stop};
@@ -60,7 +60,7 @@
         let Some(step) = job.step(run.task) else {
             return;
         };
-        self.summaries.remove(id);
+        self.candidate_cache.remove(id);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -84,7 +84,7 @@
         let Some(step) = job.step(run.task) else {
             return;
         };
-        self.summaries.remove(&live.worker);
+        self.candidate_cache.remove(&live.worker);
         let Some(worker) = self.workers.get_mut(&live.worker) else {
             return;
         };
@@ -125,7 +125,7 @@
             return;
         };
         let saved = task.checkpoint.clone();
-        let (share, processors) = share_of(&mut self.interference, step);
+        let (share, processors) = sharing_of(&mut self.interference, step);
         self.counts.placed += 1;
         self.record_placement_time(run, now.at);
         let stage = Stage::Recorded(self.position);
--- a/ashtiller/src/workflow/core/candidates.rs
+++ b/ashtiller/src/workflow/core/candidates.rs
@@ -148,7 +148,7 @@
 impl Core {
     /// Returns the workers that may get runs now.
     pub(super) fn collect_candidates(&mut self, now: Now) -> Vec<Candidate> {
-        let mut summaries = std::mem::take(&mut self.summaries);
+        let mut summaries = std::mem::take(&mut self.candidate_cache);
         let eligible = self
             .workers
             .values()
@@ -160,7 +160,7 @@
             cached.clone()
         });
         let candidates = candidates.collect();
-        self.summaries = summaries;
+        self.candidate_cache = summaries;
         candidates
     }
 
@@ -182,8 +182,8 @@
     /// may have expired during an outage of the store that ended a moment ago.
     pub(super) fn may_be_relisted(&self, since: Duration, now: Now) -> bool {
         self.store_returned_at.is_some_and(|back| {
-            let until = back + self.terms.relist;
-            now.at < until && since < until && since + self.terms.relist > back
+            let until = back + self.tuning.relist;
+            now.at < until && since < until && since + self.tuning.relist > back
         })
     }
 
@@ -259,10 +259,10 @@
         if !is_eligible(candidate, request) {
             return None;
         }
-        let cost = candidate.cost(request, &self.interference, self.terms.switches);
+        let cost = candidate.cost(request, &self.interference, self.tuning.switches);
         let near = request.step.rack.as_ref();
         let far = near.is_some_and(|rack| !candidate.has_label(rack));
-        let cost = if far { cost + self.terms.far } else { cost };
+        let cost = if far { cost + self.tuning.far } else { cost };
         cost.is_finite().then_some(cost)
     }
 
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -58,7 +58,7 @@
 
 impl Core {
     /// Records a crash of a worker. Returns the task to blame, if it is known.
-    pub(super) fn note_crash(&mut self, id: &Incarnation, now: Now) -> Option<Task> {
+    pub(super) fn record_crash(&mut self, id: &Incarnation, now: Now) -> Option<Task> {
         let worker = self.workers.get(id)?;
         let at = worker.silent_since.unwrap_or(now.at);
         let unseen = !worker.fenced && worker.runs.is_empty();
@@ -90,7 +90,7 @@
         let alone = !many && !is_silent_or_leaving(worker) && self.count_crashes(worker) == 0;
         self.crashes.note(crash);
         // Summaries may include the next incarnation of the machine, whose crash count has changed.
-        self.summaries.clear();
+        self.candidate_cache.clear();
         self.counts.crashes += 1;
         let suspects = self.log_state.suspects();
         let known = |task| suspects.get(&task);
--- a/ashtiller/src/workflow/core/dispatch.rs
+++ b/ashtiller/src/workflow/core/dispatch.rs
@@ -20,9 +20,9 @@
 impl Core {
     /// Sends the orders that are due, up to the limit on orders in flight.
     pub(super) fn dispatch_orders(&mut self, now: Now) {
-        let free = self.pressure.available_slots();
+        let free = self.congestion.available_slots();
         if free == 0 {
-            self.pressure.note_limit(now.at);
+            self.congestion.note_limit(now.at);
             return;
         }
         if self.order_queue.is_empty() || now.at >= self.order_queue_built_at + SWEEP {
@@ -47,7 +47,7 @@
             self.order_queue = pending.map(|worker| worker.incarnation().clone()).collect();
             return;
         }
-        self.pressure.note_limit(now.at);
+        self.congestion.note_limit(now.at);
         // Ranks are cached per worker: ranking 26,000 waiting runs each time took 20 to 30 ms
         // of processor time every 20 ms, more than an owner has.
         let stale = pending.filter(|worker| worker.rank(now.at).is_none());
--- a/ashtiller/src/workflow/core/evacuation.rs
+++ b/ashtiller/src/workflow/core/evacuation.rs
@@ -72,7 +72,7 @@
     /// Returns whether a start ordered now, possibly over a relay, arrives before the bound within
     /// which a zone evacuated right after the last reading must stop receiving starts.
     pub(super) fn is_evacuation_known(&self, now: Now) -> bool {
-        let Some(bound) = self.terms.evacuation else {
+        let Some(bound) = self.tuning.evacuation else {
             return true;
         };
         let delay = relay::MAX_QUEUE_DELAY + self.order_timeout();
--- a/ashtiller/src/workflow/core/freed_capacity.rs
+++ b/ashtiller/src/workflow/core/freed_capacity.rs
@@ -32,7 +32,7 @@
             }
             self.place_step(pending, &mut round, now);
             if self.waiting_tasks(pending).is_empty() {
-                self.ledger.note_placed(pending.key());
+                self.job_timings.note_placed(pending.key());
                 self.wait_logged_at.remove(&pending.key());
             }
         }
--- a/ashtiller/src/workflow/core/incarnations.rs
+++ b/ashtiller/src/workflow/core/incarnations.rs
@@ -67,7 +67,7 @@
                 same || worker.listed.address == listed.address
             })
         };
-        let there = self.places.find(listed).filter(at_place).cloned();
+        let there = self.locations.find(listed).filter(at_place).cloned();
         let mut former: Vec<Incarnation> = there
             .chain(self.incarnations_of(listed.incarnation.id()))
             .collect();
@@ -79,15 +79,15 @@
 
     /// Adds an incarnation of a worker.
     pub(super) fn add_worker(&mut self, worker: Worker) {
-        self.places.note(&worker.listed);
+        self.locations.note(&worker.listed);
         self.workers.insert(worker.incarnation().clone(), worker);
     }
 
     /// Removes an incarnation of a worker.
     pub(super) fn remove_worker(&mut self, incarnation: &Incarnation) -> Option<Worker> {
         let worker = self.workers.remove(incarnation)?;
-        self.places.forget(&worker.listed);
-        self.summaries.remove(incarnation);
+        self.locations.forget(&worker.listed);
+        self.candidate_cache.remove(incarnation);
         Some(worker)
     }
 
@@ -223,7 +223,7 @@
     /// Returns when all leases have ended that were granted to an incarnation that has just
     /// answered, those meant for its predecessor included.
     fn answered_leases_end(&self, now: Now) -> Duration {
-        let bound = now.at + lease::worst_case_elapsed(self.terms.hold);
+        let bound = now.at + lease::worst_case_elapsed(self.tuning.hold);
         bound.max(self.earlier_leases_end())
     }
 
@@ -245,7 +245,7 @@
         let culprit = if number_learned {
             None
         } else {
-            self.note_crash(former, now)
+            self.record_crash(former, now)
         };
         let Some(mut old) = self.remove_worker(former) else {
             return;
@@ -271,7 +271,7 @@
             self.add_worker(Worker::new(old.listed.clone(), bound));
         }
         if let Some(worker) = self.workers.get_mut(next) {
-            worker.take_over_from(&mut old, self.terms.hold);
+            worker.take_over_from(&mut old, self.tuning.hold);
         }
         for run in lost {
             self.end_run(run, End::Lost, &Arc::from(""), now);
@@ -342,7 +342,7 @@
         let target = worker.target(fence, limit);
         for LateRun { run, name, .. } in late.into_iter().filter(|it| now.at < it.until) {
             let order = Order::Stop(name, run.number);
-            self.pressure.note_sent();
+            self.congestion.note_sent();
             self.effects.push(Effect::Order(target.clone(), run, order));
         }
     }
@@ -359,7 +359,7 @@
             runs = runs.len(),
             "worker's incarnation has ended"
         );
-        let culprit = self.note_crash(incarnation, now);
+        let culprit = self.record_crash(incarnation, now);
         for run in runs {
             self.end_run(run, End::Lost, &Arc::from(""), now);
         }
--- a/ashtiller/src/workflow/core/log_entries.rs
+++ b/ashtiller/src/workflow/core/log_entries.rs
@@ -56,14 +56,14 @@
 
     fn run_deferred(&mut self, action: OnDurable, now: Now) {
         match action {
-            OnDurable::Answer(ticket, reply) => self.effects.push(Effect::Answer(ticket, reply)),
+            OnDurable::Reply(ticket, reply) => self.effects.push(Effect::Reply(ticket, reply)),
             OnDurable::Acknowledge(worker, number) => self.acknowledge(&worker, number, now),
         }
     }
 
     /// Records that the run ends reported by a worker up to this number are durable.
     fn acknowledge(&mut self, id: &Incarnation, number: u64, now: Now) {
-        let pause = self.terms.pause;
+        let pause = self.tuning.pause;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -79,9 +79,9 @@
     pub(super) fn append_entry(&mut self, now: Now) {
         let since = now.at.saturating_sub(self.last_append);
         let pause = if self.has_freed_capacity(now) {
-            self.terms.commit.min(FREED_CAPACITY_PAUSE)
+            self.tuning.commit.min(FREED_CAPACITY_PAUSE)
         } else {
-            self.terms.commit
+            self.tuning.commit
         };
         if self.in_flight.is_some() || since < pause {
             return;
@@ -98,10 +98,10 @@
         self.place_in_freed_capacity(now);
         self.forget_ended(now);
         self.record_lessons(now);
-        if self.pending.is_empty() && since < self.terms.proof {
+        if self.pending_records.is_empty() && since < self.tuning.proof {
             return;
         }
-        let records = std::mem::take(&mut self.pending);
+        let records = std::mem::take(&mut self.pending_records);
         self.counts.entries += 1;
         self.effects.push(Effect::Append(self.position, records));
         self.in_flight = Some((self.position, now.at));
@@ -111,7 +111,7 @@
 
     /// Records that jobs which ended longer than `keep` ago are forgotten.
     pub(super) fn forget_ended(&mut self, now: Now) {
-        let Some(limit) = now.at.checked_sub(self.terms.keep) else {
+        let Some(limit) = now.at.checked_sub(self.tuning.keep) else {
             return;
         };
         for number in self.log_state.ended_before(limit) {
@@ -128,7 +128,7 @@
 
     /// Records the learned interference factors for later owners.
     pub(super) fn record_lessons(&mut self, now: Now) {
-        if now.at < self.lessons_recorded_at + self.terms.teach {
+        if now.at < self.lessons_recorded_at + self.tuning.teach {
             return;
         }
         self.lessons_recorded_at = now.at;
@@ -141,7 +141,7 @@
     /// Applies a log record and adds it to the next log entry.
     pub(super) fn record(&mut self, record: LogRecord, now: Now) {
         let effect = self.log_state.apply(&record, now.at);
-        self.pending.push(record);
+        self.pending_records.push(record);
         if let log_state::Effect::Ended(number, outcome) = effect {
             self.undurable_jobs.insert(number, self.position);
             self.close_job(number, outcome);
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -72,7 +72,7 @@
 
 /// A handle of a caller that awaits a reply.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Ticket(pub u64);
+pub struct RequestToken(pub u64);
 
 /// An action that the state machine asks its driver to carry out.
 #[derive(Clone, Debug)]
@@ -82,19 +82,19 @@
     /// Sends a worker an order about a run.
     Order(Target, Run, Order),
     /// Polls a worker.
-    Look(Target, Poll),
+    Poll(Target, Poll),
     /// Asks the advisor which workers may run a step.
     Advise(AdviceRequest),
     /// Sends an order to a machine.
-    Duty(Arc<str>, MachineOrder),
+    MachineOrder(Arc<str>, MachineOrder),
     /// Replies to a waiting caller.
-    Answer(Ticket, Reply),
+    Reply(RequestToken, Reply),
 }
 
 /// A follow-up that is deferred until an entry is durable.
 #[derive(Clone, Debug)]
 enum OnDurable {
-    Answer(Ticket, Reply),
+    Reply(RequestToken, Reply),
     Acknowledge(Incarnation, u64),
 }
 
@@ -133,18 +133,18 @@
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a state of its own")]
 pub struct Core {
-    terms: Tuning,
+    tuning: Tuning,
     epoch: u64,
     log_state: LogState,
     workers: BTreeMap<Incarnation, Worker>,
     /// Incarnations of workers by address and machine.
-    places: location_index::LocationIndex,
+    locations: location_index::LocationIndex,
     runs: BTreeMap<Run, LiveRun>,
     /// Runs of earlier owners whose workers are not listed yet.
     adopted: adopted_runs::AdoptedRuns,
     config: Arc<Config>,
-    arrivals: Vec<(Job, Vec<Ticket>)>,
-    pending: Vec<LogRecord>,
+    arrivals: Vec<(Job, Vec<RequestToken>)>,
+    pending_records: Vec<LogRecord>,
     position: u64,
     in_flight: Option<(u64, Duration)>,
     durable: u64,
@@ -163,7 +163,7 @@
     fences: fences::Fences,
     began: Duration,
     /// When it became certain that no earlier owner grants leases.
-    former_owner_ended_at: Option<Duration>,
+    predecessor_ended_at: Option<Duration>,
     store_returned_at: Option<Duration>,
     /// Time as of which the list of workers was last known to be complete.
     listed_at: Duration,
@@ -172,13 +172,13 @@
     /// The current hold on starts, if any.
     start_hold: Option<start_hold::StartHold>,
     effects: Vec<Effect>,
-    advised: BTreeMap<StepKey, AdviceState>,
+    advice_states: BTreeMap<StepKey, AdviceState>,
     waves: BTreeMap<u64, WaveProgress>,
-    load_tracks: BTreeMap<u32, HeadroomHistory>,
+    headroom_history: BTreeMap<u32, HeadroomHistory>,
     interference: Interference,
-    summaries: candidates::CandidateCache,
+    candidate_cache: candidates::CandidateCache,
     /// Limits on outstanding calls to workers.
-    pressure: Congestion,
+    congestion: Congestion,
     /// Whether replies were queueing at most workers when that was last checked.
     was_congested: bool,
     /// Workers with an order to send, as of `order_queue_built_at`.
@@ -197,7 +197,7 @@
     /// When an overdue step was last placed first.
     last_rescue: Duration,
     services: BTreeSet<Arc<str>>,
-    ledger: times::JobTimings,
+    job_timings: times::JobTimings,
     /// Times of ended jobs that are not counted yet.
     ended_job_times: Vec<times::TimeBreakdown>,
     lessons_recorded_at: Duration,
@@ -221,16 +221,16 @@
     ) -> Self {
         log_state.index(now.at);
         let mut core = Self {
-            terms,
+            tuning: terms,
             epoch,
             log_state,
             workers: BTreeMap::new(),
-            places: location_index::LocationIndex::default(),
+            locations: location_index::LocationIndex::default(),
             runs: BTreeMap::new(),
             adopted: adopted_runs::AdoptedRuns::default(),
             config: Arc::default(),
             arrivals: Vec::new(),
-            pending: Vec::new(),
+            pending_records: Vec::new(),
             position,
             in_flight: None,
             durable: position.saturating_sub(1),
@@ -247,18 +247,18 @@
             superseded: false,
             fences: fences::Fences::new(epoch),
             began: now.at,
-            former_owner_ended_at: None,
+            predecessor_ended_at: None,
             store_returned_at: None,
             listed_at: Duration::ZERO,
             evacuation: evacuation::Evacuation::default(),
             start_hold: None,
             effects: Vec::new(),
-            advised: BTreeMap::new(),
+            advice_states: BTreeMap::new(),
             waves: BTreeMap::new(),
-            load_tracks: BTreeMap::new(),
+            headroom_history: BTreeMap::new(),
             interference: Interference::default(),
-            summaries: candidates::CandidateCache::default(),
-            pressure: Congestion::default(),
+            candidate_cache: candidates::CandidateCache::default(),
+            congestion: Congestion::default(),
             was_congested: false,
             order_queue: VecDeque::new(),
             order_queue_built_at: now.at,
@@ -269,7 +269,7 @@
             wait_logged_at: BTreeMap::new(),
             last_rescue: now.at,
             services: BTreeSet::new(),
-            ledger: times::JobTimings::default(),
+            job_timings: times::JobTimings::default(),
             ended_job_times: Vec::new(),
             lessons_recorded_at: now.at,
             stale_entries: BTreeMap::new(),
@@ -322,13 +322,13 @@
     /// Returns whether the store has kept an append waiting for longer than the stall limit.
     #[must_use]
     pub fn is_stalled(&self, now: Now) -> bool {
-        self.stalled_for(now) > self.terms.stall
+        self.stalled_for(now) > self.tuning.stall
     }
 
     /// Returns whether all decided records are durable.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        self.pending.is_empty() && self.in_flight.is_none()
+        self.pending_records.is_empty() && self.in_flight.is_none()
     }
 
     /// Returns whether a worker has heard from a later owner.
@@ -346,9 +346,9 @@
 
     /// Returns all callers that await a reply, to be answered when this owner ends.
     #[must_use]
-    pub fn waiting(&self) -> Vec<Ticket> {
+    pub fn waiting(&self) -> Vec<RequestToken> {
         let tickets = self.deferred.iter().filter_map(|(_, then)| match then {
-            OnDurable::Answer(ticket, _) => Some(*ticket),
+            OnDurable::Reply(ticket, _) => Some(*ticket),
             OnDurable::Acknowledge(..) => None,
         });
         tickets.collect()
@@ -356,8 +356,8 @@
 
     /// Returns the reply delays of workers and the limits derived from them.
     #[must_use]
-    pub fn pressure(&self) -> &Congestion {
-        &self.pressure
+    pub fn congestion(&self) -> &Congestion {
+        &self.congestion
     }
 
     /// Returns the time since ownership was last proved.
@@ -367,14 +367,14 @@
 
     /// Returns whether leases may still be renewed: ownership was proved less than `horizon` ago.
     fn may_renew(&self, now: Now) -> bool {
-        self.proof_age(now) < self.terms.horizon
+        self.proof_age(now) < self.tuning.horizon
     }
 
     /// Runs all due work and returns the effects to carry out.
-    pub fn poll(&mut self, now: Now) -> Vec<Effect> {
+    pub fn advance(&mut self, now: Now) -> Vec<Effect> {
         if now.at >= self.last_sweep + SWEEP {
             self.last_sweep = now.at;
-            self.pressure.forget_old(now.at);
+            self.congestion.forget_old(now.at);
             self.log_congestion();
             self.expire_leases(now);
             self.clear_surviving_suspects(now);
@@ -394,21 +394,21 @@
 
     /// Logs when replies of most workers begin or cease to queue.
     fn log_congestion(&mut self) {
-        let queued = self.pressure.is_congested();
+        let queued = self.congestion.is_congested();
         if std::mem::replace(&mut self.was_congested, queued) == queued {
             return;
         }
         tracing::info!(
-            usual_ms = self.pressure.usual().as_millis(),
-            window = self.pressure.window(),
-            under_way = self.pressure.under_way(),
+            usual_ms = self.congestion.usual().as_millis(),
+            window = self.congestion.window(),
+            under_way = self.congestion.under_way(),
             queued,
             "reply delay of most workers has changed"
         );
     }
 
     fn open_due_occurrences(&mut self, now: Now) {
-        let wall = now.wall.saturating_sub(self.terms.clock_slack);
+        let wall = now.wall.saturating_sub(self.tuning.clock_slack);
         self.needs_planning |= self.log_state.open_due_occurrences(wall);
     }
 
@@ -419,8 +419,8 @@
                 room_ms = times.waiting.as_millis(), answer_ms = times.start_delay.as_millis(),
                 work_ms = times.work.as_millis(), paced_ms = times.paced.as_millis(), "job ended");
         }
-        self.advised.retain(|key, _| key.0 != number);
-        self.load_tracks.remove(&number);
+        self.advice_states.retain(|key, _| key.0 != number);
+        self.headroom_history.remove(&number);
         self.wait_logged_at.retain(|key, _| key.0 != number);
         self.stop_job(number, StopReason::Over);
     }
@@ -428,7 +428,7 @@
 
 /// Returns how runs of a step share their worker and the processors that they request, in
 /// thousandths.
-fn share_of(interference: &mut Interference, step: &Step) -> (RunSharing, f64) {
+fn sharing_of(interference: &mut Interference, step: &Step) -> (RunSharing, f64) {
     let unnamed = Arc::from("");
     let image = interference.number(step.image.as_ref().unwrap_or(&unnamed));
     let share = match step.sharing {
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -44,8 +44,8 @@
 
     /// Returns how long to wait for the reply to an order.
     pub(super) fn order_timeout(&self) -> Duration {
-        let max = self.terms.drain.mul_f64(ORDER_TIMEOUT_FRACTION);
-        self.pressure.timeout(ORDER_TIMEOUT_MIN, max)
+        let max = self.tuning.drain.mul_f64(ORDER_TIMEOUT_FRACTION);
+        self.congestion.timeout(ORDER_TIMEOUT_MIN, max)
     }
 
     /// Sends the next order to a worker. Returns whether there was one.
@@ -71,7 +71,7 @@
             };
             worker.ordering += 1;
             worker.ordered = now.at;
-            self.pressure.note_sent();
+            self.congestion.note_sent();
             self.counts.orders += 1;
             if let Some(live) = self.runs.get_mut(&run) {
                 live.ordering = true;
@@ -161,7 +161,7 @@
         if !worker.answers {
             return None;
         }
-        let until = worker.lease.grant(now.at, self.terms.lease)?;
+        let until = worker.lease.grant(now.at, self.tuning.lease)?;
         tracing::debug!(task = %run.task, run = run.number, worker = %id,
             list_age_ms = list_age.as_millis(), "sending start order");
         Some(Order::Start(Start {
@@ -190,12 +190,12 @@
             worker.wake();
             let took = now.at.saturating_sub(worker.ordered);
             if worker.answers {
-                self.pressure.note_order(worker.incarnation(), took, now.at);
+                self.congestion.note_order(worker.incarnation(), took, now.at);
             } else {
-                self.pressure.note_end();
+                self.congestion.note_end();
             }
         } else {
-            self.pressure.note_end();
+            self.congestion.note_end();
         }
         if reply.is_err() {
             self.raise_fence(id, now);
@@ -250,7 +250,7 @@
         // An incarnation that carried out an order meant for its predecessor holds that lease by
         // its own clock, which started later. By the predecessor's clock the lease would count as
         // expired while the task still runs, and the task would be started elsewhere as well.
-        worker.lease.note_lag(clock, now.at, self.terms.hold);
+        worker.lease.note_lag(clock, now.at, self.tuning.hold);
         worker.answers = false;
         worker.next_poll = worker.next_poll.min(now.at);
         self.raise_fence(id, now);
@@ -305,9 +305,9 @@
                         worker.renewing = worker.renewing.max(until);
                     }
                 }
-                live.retry = now.at + RETRY_DELAY.max(self.pressure.usual());
+                live.retry = now.at + RETRY_DELAY.max(self.congestion.usual());
                 // A delay that most workers share says nothing about this one.
-                if !self.pressure.is_congested() {
+                if !self.congestion.is_congested() {
                     live.unanswered += 1;
                 }
                 if live.unanswered >= UNANSWERED_MAX {
@@ -360,7 +360,7 @@
             Ok(_) => live.retry = now.at + BUSY_RETRY_DELAY,
             Err(failure) if answers => {
                 tracing::info!(task = %run.task, run = run.number, worker = %live.worker, %failure, "stop unanswered");
-                live.retry = now.at + RETRY_DELAY.max(self.pressure.usual());
+                live.retry = now.at + RETRY_DELAY.max(self.congestion.usual());
             }
             // The worker's silence was logged once, and a stop is no more likely to be answered
             // than a poll.
@@ -397,7 +397,7 @@
             Err(failure) => {
                 tracing::info!(task = %run.task, run = run.number, worker = %live.worker, %failure, "pace unanswered");
                 live.pace_doubt = now.at + LATE_MAX;
-                live.retry = now.at + RETRY_DELAY.max(self.pressure.usual());
+                live.retry = now.at + RETRY_DELAY.max(self.congestion.usual());
             }
         }
     }
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -72,7 +72,7 @@
         if fresh {
             self.learn(&services, &neighbors, now);
         }
-        if neighbors.is_empty() || !self.terms.switches.pace_fills {
+        if neighbors.is_empty() || !self.tuning.switches.pace_fills {
             return;
         }
         let over_target = services.iter().any(|service| service.target_ratio < 1.0);
@@ -110,7 +110,7 @@
     /// Updates headrooms and interference factors from what services reported beside these fills.
     fn learn(&mut self, services: &[Service], neighbors: &[NeighborFill], now: Now) {
         for service in services {
-            let history = self.load_tracks.entry(service.run.task.job).or_default();
+            let history = self.headroom_history.entry(service.run.task.job).or_default();
             let own_headroom = history.trend(now.at).map(|trend| trend.level);
             self.interference
                 .learn(service.image, service.target_ratio, own_headroom, neighbors);
@@ -147,7 +147,7 @@
     /// ran for, since most fills begin or end within it.
     fn fills_of(&self, worker: &Worker, now: Now) -> Vec<NeighborFill> {
         let processors = processors_of(worker);
-        let span = self.terms.report.as_secs_f64();
+        let span = self.tuning.report.as_secs_f64();
         let since = |at: Duration| now.at.saturating_sub(at).as_secs_f64() / span;
         let fills = worker.runs.iter().filter_map(|run| {
             let live = self.runs.get(run)?;
@@ -173,7 +173,7 @@
         let (RunSharing::Fills(image), Stage::Started(_)) = (live.share, live.stage) else {
             return;
         };
-        let report = self.terms.report;
+        let report = self.tuning.report;
         let Some(worker) = self.workers.get_mut(&live.worker) else {
             return;
         };
@@ -217,8 +217,8 @@
                 .interference
                 .headroom(service.image, service.target_ratio)
                 + pressure;
-            let follow = self.terms.switches.follow_slopes;
-            let history = self.load_tracks.get_mut(&service.run.task.job);
+            let follow = self.tuning.switches.follow_slopes;
+            let history = self.headroom_history.get_mut(&service.run.task.job);
             let history = history.filter(|_| follow);
             let slope = history
                 .and_then(|history| history.trend(now.at))
@@ -268,7 +268,7 @@
     }
 
     fn set_pace(&mut self, run: Run, goal: u32, now: Now) {
-        let delay = self.terms.pace_delay;
+        let delay = self.tuning.pace_delay;
         let Some(live) = self.runs.get_mut(&run) else {
             return;
         };
@@ -283,7 +283,7 @@
         live.slow = (goal < SLOW_PACE_PERCENT).then_some(live.slow.unwrap_or(now.at));
         if let Some(worker) = self.workers.get_mut(&live.worker) {
             // Reports are averages over half a second, so earlier ones do not show the effect.
-            worker.paces_settled_at = now.at + delay + self.terms.report / 2;
+            worker.paces_settled_at = now.at + delay + self.tuning.report / 2;
             worker.wake();
         }
     }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -8,7 +8,7 @@
 use crate::workflow::core::candidates::{self, Candidate, PlacementRequest};
 use crate::workflow::core::step_priority::WaitingStep;
 use crate::workflow::core::trials::{ActiveTrials, TrialResult};
-use crate::workflow::core::{Core, Now, share_of};
+use crate::workflow::core::{Core, Now, sharing_of};
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::live_run::RunSharing;
 use crate::workflow::record::{Run, Task};
@@ -103,7 +103,7 @@
         self.freed_workers.clear();
         let mut waiting = self.collect_waiting_steps(now);
         self.backlog = u32::try_from(waiting.len()).unwrap_or(u32::MAX);
-        if !self.terms.switches.short_first {
+        if !self.tuning.switches.short_first {
             let long_running = waiting
                 .iter_mut()
                 .filter(|pending| self.is_long_running(pending));
@@ -115,7 +115,7 @@
             return;
         }
         for pending in &waiting {
-            self.ledger.note_ready(pending.key(), now.at);
+            self.job_timings.note_ready(pending.key(), now.at);
         }
         // Runs placed now would pile up on workers that may be leaving.
         if !self.may_start(now) {
@@ -125,7 +125,7 @@
         let fleet = self.collect_candidates(now);
         let trials = self.count_trials(&fleet, now);
         let mut round = PlacementRound::new(fleet, trials);
-        if self.terms.switches.room_in_time {
+        if self.tuning.switches.room_in_time {
             self.promote_long_running(&mut waiting, &mut round, now);
             self.promote_oldest_late(&mut waiting, &mut round, now);
         }
@@ -133,7 +133,7 @@
         for pending in waiting {
             self.place_step(pending, &mut round, now);
             if self.waiting_tasks(pending).is_empty() {
-                self.ledger.note_placed(pending.key());
+                self.job_timings.note_placed(pending.key());
                 self.wait_logged_at.remove(&pending.key());
             } else {
                 self.log_wait(pending, &round, now);
@@ -152,7 +152,7 @@
         let job = &self.log_state.jobs[&pending.job];
         let (service, spec) = (job.policy.service.clone(), job.job.clone());
         let step = &spec.steps[usize::from(pending.step)];
-        let (share, _) = share_of(&mut self.interference, step);
+        let (share, _) = sharing_of(&mut self.interference, step);
         Demand {
             service: self.intern_service(&service),
             share,
@@ -218,7 +218,7 @@
                 .task(*task)
                 .map(|(_, state)| state.failed_on.clone());
             request.failed_on = failed_on.unwrap_or_default();
-            match self.try_suspect(*task, &request, round, now) {
+            match self.place_as_trial(*task, &request, round, now) {
                 TrialResult::None => {}
                 TrialResult::Placed | TrialResult::Waits => continue,
             }
--- a/ashtiller/src/workflow/core/polls.rs
+++ b/ashtiller/src/workflow/core/polls.rs
@@ -34,14 +34,14 @@
             return;
         }
         self.last_poll_scan = now.at;
-        let limit = self.pressure.timeout(POLL_TIMEOUT_MIN, POLL_TIMEOUT_MAX);
+        let limit = self.congestion.timeout(POLL_TIMEOUT_MIN, POLL_TIMEOUT_MAX);
         for incarnation in self.collect_due_polls(now) {
             let Some(poll) = self.prepare_poll(&incarnation, now) else {
                 continue;
             };
             let target = self.workers[&incarnation].target(self.fences.of(&incarnation), limit);
             self.counts.looks += 1;
-            self.effects.push(Effect::Look(target, poll));
+            self.effects.push(Effect::Poll(target, poll));
         }
     }
 
@@ -74,10 +74,10 @@
         let renew = self.may_renew(now);
         // A latency-sensitive service over its target must be relieved within 4 s, which leaves
         // time for fewer reports.
-        let watch = if self.pressure.is_congested() {
-            self.terms.wait / 2
+        let watch = if self.congestion.is_congested() {
+            self.tuning.wait / 2
         } else {
-            self.terms.watch
+            self.tuning.watch
         };
         let fence = self.fences.of(incarnation);
         let worker = self.workers.get_mut(incarnation)?;
@@ -87,7 +87,7 @@
             // A lease can be granted only once the worker's clock is known.
             (false, _) => Duration::ZERO,
             (true, true) => watch,
-            (true, false) => self.terms.wait,
+            (true, false) => self.tuning.wait,
         };
         let stopping = worker.runs.iter().any(|run| {
             let live = self.runs.get(run);
@@ -100,7 +100,7 @@
         };
         let grants = renew && worker.answers && !worker.runs.is_empty();
         let until = if grants {
-            worker.lease.grant(now.at, self.terms.lease)
+            worker.lease.grant(now.at, self.tuning.lease)
         } else {
             None
         };
--- a/ashtiller/src/workflow/core/relocation.rs
+++ b/ashtiller/src/workflow/core/relocation.rs
@@ -6,7 +6,7 @@
 
 use crate::workflow::core::candidates::{self, PlacementRequest};
 use crate::workflow::core::plan::{Demand, PlacementRound};
-use crate::workflow::core::{Core, Now, share_of};
+use crate::workflow::core::{Core, Now, sharing_of};
 use crate::workflow::live_run::{Stop, StopReason};
 use crate::workflow::record::{Run, Task};
 
@@ -51,7 +51,7 @@
             state.failed_on.clone(),
         );
         let step = &spec.steps[usize::from(task.step)];
-        let (share, _) = share_of(&mut self.interference, step);
+        let (share, _) = sharing_of(&mut self.interference, step);
         let request = PlacementRequest {
             service: &service,
             step,
@@ -79,7 +79,7 @@
 
     /// Returns the runs that have been throttled for long for the services beside them.
     pub(super) fn collect_throttled_runs(&self, now: Now) -> Vec<Run> {
-        if !self.terms.switches.move_fills {
+        if !self.tuning.switches.move_fills {
             return Vec::new();
         }
         let throttled = self.runs.iter().filter(|(_, live)| {
--- a/ashtiller/src/workflow/core/reports.rs
+++ b/ashtiller/src/workflow/core/reports.rs
@@ -61,7 +61,7 @@
         // a worker that was silent before: if most of a fleet were silent, calls to all others
         // would be throttled.
         if let Some(delay) = took.checked_sub(poll.wait).filter(|_| worker.answers) {
-            self.pressure
+            self.congestion
                 .note_delay(worker.incarnation(), delay, now.at);
         }
         match reply {
@@ -78,7 +78,7 @@
                 self.record_ends(id, &finished, now);
                 self.update_active_runs(id, &active, sent_at, now);
                 self.pace_worker(id, now);
-                self.summaries.remove(id);
+                self.candidate_cache.remove(id);
             }
             Ok(PollReply::OtherIncarnation(next)) => self.note_other_incarnation(id, next, now),
             Ok(PollReply::Fenced) => {
@@ -138,11 +138,11 @@
         let first = !worker.fenced;
         if first {
             worker.fenced = true;
-            worker.lease.fence(now.at, self.terms.lease);
+            worker.lease.fence(now.at, self.tuning.lease);
             // A recent incarnation may have accepted a grant that an earlier owner made to its
             // predecessor, whose clock had a higher reading.
-            let hold = lease::worst_case_elapsed(self.terms.hold);
-            if Duration::from_millis(clock) < FORMER_GRANT_AGE_MAX + self.terms.hold {
+            let hold = lease::worst_case_elapsed(self.tuning.hold);
+            if Duration::from_millis(clock) < FORMER_GRANT_AGE_MAX + self.tuning.hold {
                 worker.lease.extend(now.at + hold);
             }
             // This fence does not reject calls that this owner made to the predecessor.
@@ -183,7 +183,7 @@
             now.at
         } else {
             // One reply reports several ends that are queued.
-            now.at + self.terms.pause.max(self.pressure.usual())
+            now.at + self.tuning.pause.max(self.congestion.usual())
         };
         if first {
             self.end_former_incarnations(id, now);
--- a/ashtiller/src/workflow/core/start_hold.rs
+++ b/ashtiller/src/workflow/core/start_hold.rs
@@ -34,7 +34,7 @@
     /// still accept starts when an order sent now times out. A departing worker accepts them for
     /// `drain`.
     fn is_list_current(&self, now: Now) -> bool {
-        self.list_age(now) + self.order_timeout() < self.terms.drain
+        self.list_age(now) + self.order_timeout() < self.tuning.drain
     }
 
     /// Begins a hold on starts unless one is active.
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -93,11 +93,11 @@
     /// Records how long a run waited for the worker that it gets now.
     pub(super) fn record_placement_time(&mut self, run: Run, now: Duration) {
         let step = step_of(run);
-        let Some(since) = self.ledger.ready.get(&step) else {
+        let Some(since) = self.job_timings.ready.get(&step) else {
             return;
         };
         let waiting = now.saturating_sub(*since);
-        self.ledger.record(
+        self.job_timings.record(
             step,
             TimeBreakdown {
                 waiting,
@@ -117,12 +117,12 @@
             work: now.saturating_sub(at),
             paced: live.paced + live.paced_since(now),
         };
-        self.ledger.record(step_of(run), times);
+        self.job_timings.record(step_of(run), times);
     }
 
     /// Returns the times of a job that has ended, for the log, and keeps them for the histograms.
     pub(super) fn finish_job_times(&mut self, job: u32) -> TimeBreakdown {
-        let times = self.ledger.finish_job(job);
+        let times = self.job_timings.finish_job(job);
         self.ended_job_times.push(times);
         times
     }
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -71,7 +71,7 @@
 
     /// Returns whether a step has waited too long for its tasks to be tried a few at a time.
     fn is_trial_overdue(&self, key: StepKey, now: Now) -> bool {
-        let since = self.ledger.ready_since(key);
+        let since = self.job_timings.ready_since(key);
         since.is_some_and(|since| now.at >= since + TRIAL_PATIENCE)
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Places a task as a trial if it is strongly suspected.
-    pub(super) fn try_suspect(
+    pub(super) fn place_as_trial(
         &mut self,
         task: Task,
         request: &PlacementRequest<'_>,
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -136,7 +136,7 @@
     /// Advances the waves once orders of earlier owners are too old to interfere.
     pub(super) fn advance_waves(&mut self, now: Now) {
         // A former owner that has not learned of this one may send orders for half a turn.
-        if now.at < self.began + self.terms.turn * 2 {
+        if now.at < self.began + self.tuning.turn * 2 {
             return;
         }
         for number in self.waves.keys().copied().collect::<Vec<u64>>() {
@@ -281,12 +281,12 @@
     }
 
     fn order_upkeep(&mut self, progress: &mut WaveProgress, machine: &Arc<str>, now: Now) {
-        if !self.may_renew(now) || self.proof_age(now) > self.terms.turn / 2 {
+        if !self.may_renew(now) || self.proof_age(now) > self.tuning.turn / 2 {
             return;
         }
         progress.steps.insert(machine.clone(), UpkeepStep::Ordered);
         let order = MachineOrder::Upkeep(progress.wave.number);
-        self.effects.push(Effect::Duty(machine.clone(), order));
+        self.effects.push(Effect::MachineOrder(machine.clone(), order));
     }
 
     /// Handles the reply to an order to a machine.
--- a/ashtiller/src/workflow/core/worker_list.rs
+++ b/ashtiller/src/workflow/core/worker_list.rs
@@ -45,12 +45,12 @@
         let incarnation = listed.incarnation.clone();
         let bound = self.earlier_leases_end();
         let draining = listed.draining;
-        self.summaries.remove(&incarnation);
+        self.candidate_cache.remove(&incarnation);
         self.add_former_incarnations(&listed, now);
         if let Some(known) = self.workers.get(&incarnation) {
-            self.places.forget(&known.listed);
+            self.locations.forget(&known.listed);
         }
-        self.places.note(&listed);
+        self.locations.note(&listed);
         let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| {
             tracing::info!(worker = %incarnation, service = %listed.service, address = %listed.address, "worker listed");
             Worker::new(listed.clone(), bound)
@@ -85,9 +85,9 @@
     /// Returns when all leases granted by earlier owners have ended.
     pub(super) fn earlier_leases_end(&self) -> Duration {
         let granted = self
-            .former_owner_ended_at
-            .unwrap_or(self.began + self.terms.horizon);
-        granted + lease::worst_case_elapsed(self.terms.lease)
+            .predecessor_ended_at
+            .unwrap_or(self.began + self.tuning.horizon);
+        granted + lease::worst_case_elapsed(self.tuning.lease)
     }
 
     /// Records that the preceding owner, whose epoch was `former` (0 if there was none), has ended.
@@ -95,8 +95,8 @@
     /// that they had ended. Without this proof the new owner has to wait 17 s, the longest time for
     /// which an owner without the store may have continued, and tasks of lost workers run nowhere
     /// meanwhile.
-    pub fn note_former_owner_ended(&mut self, former: u64, now: Now) {
-        if self.former_owner_ended_at.is_some() || self.log_state.cleared < former {
+    pub fn note_predecessor_ended(&mut self, former: u64, now: Now) {
+        if self.predecessor_ended_at.is_some() || self.log_state.cleared < former {
             return;
         }
         self.record_predecessor_ended(now);
@@ -107,12 +107,12 @@
             "no earlier owner grants leases any more"
         );
         for worker in self.workers.values_mut().filter(|worker| !worker.fenced) {
-            worker.lease.fence(now.at, self.terms.lease);
+            worker.lease.fence(now.at, self.tuning.lease);
         }
     }
 
     fn record_predecessor_ended(&mut self, now: Now) {
-        self.former_owner_ended_at = Some(now.at);
+        self.predecessor_ended_at = Some(now.at);
         self.record(LogRecord::Cleared(self.epoch), now);
     }
 
@@ -202,7 +202,7 @@
         if self.awaits_unlisted_workers && now.at >= self.earlier_leases_end() {
             self.awaits_unlisted_workers = false;
             self.lose_runs_of_unlisted_workers(now);
-            if self.former_owner_ended_at.is_none() {
+            if self.predecessor_ended_at.is_none() {
                 self.record_predecessor_ended(now);
             }
         }
@@ -231,7 +231,7 @@
         };
         let adopted = (live.placed <= self.began).then_some(self.began + LATE_MAX);
         let doubt = live.in_doubt.max(adopted);
-        doubt.is_some_and(|until| now.at < until + lease::worst_case_elapsed(self.terms.hold))
+        doubt.is_some_and(|until| now.at < until + lease::worst_case_elapsed(self.tuning.hold))
     }
 
     /// Removes workers that have been unlisted for a while and have no runs.
@@ -286,7 +286,7 @@
         let known = now.at >= since + UNLISTED_MIN && !self.is_stalled(now);
         (known && worker.answers && !self.may_be_relisted(since, now)).then_some(Departure {
             since,
-            left: self.terms.drain,
+            left: self.tuning.drain,
             told: false,
         })
     }
--- a/ashtiller/src/workflow/owner/effects.rs
+++ b/ashtiller/src/workflow/owner/effects.rs
@@ -16,7 +16,7 @@
 impl Owner {
     pub(super) fn execute(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer(ticket, reply) => {
+            Effect::Reply(ticket, reply) => {
                 if let Some(waiting) = self.pending_replies.remove(&ticket) {
                     let _ = waiting.send(reply);
                 }
@@ -57,7 +57,7 @@
                     let _ = sender.send(event).await;
                 });
             }
-            Effect::Duty(machine, duty) => {
+            Effect::MachineOrder(machine, duty) => {
                 let holder = Holder {
                     name: self.ownership.name.clone(),
                     fence: self.ownership.epoch,
@@ -77,7 +77,7 @@
                         .await;
                 });
             }
-            Effect::Look(target, look) => {
+            Effect::Poll(target, look) => {
                 let (calls, sender) = (self.node.worker_client.clone(), self.event_sender.clone());
                 task::spawn_local(async move {
                     let result = calls.look(&target, &look).await;
--- a/ashtiller/src/workflow/owner/events.rs
+++ b/ashtiller/src/workflow/owner/events.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::workflow::config::ListedWorker;
-use crate::workflow::core::{Now, Ticket};
+use crate::workflow::core::{Now, RequestToken};
 use crate::workflow::evacuations::Evacuations;
 use crate::workflow::follow::StoreUpdate;
 use crate::workflow::kv::{Change, Item};
@@ -69,7 +69,7 @@
                 self.core.handle_advice(key, asked_at, result, now);
             }
             Event::HandoverFinished(handed_over) => self.stopped |= handed_over,
-            Event::PredecessorEnded(former) => self.core.note_former_owner_ended(former, now),
+            Event::PredecessorEnded(former) => self.core.note_predecessor_ended(former, now),
         }
     }
 
@@ -158,7 +158,7 @@
             reply: sender,
         } = request;
         let now = self.now();
-        let ticket = Ticket(self.next_ticket);
+        let ticket = RequestToken(self.next_ticket);
         self.next_ticket += 1;
         let reply = match request {
             PeerRequest::State(id) => self.core.state(&id),
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -20,7 +20,7 @@
 use crate::workflow::advisor::Tickets;
 use crate::workflow::agents::{Order, OrderReply, PollReply};
 use crate::workflow::core::advice::StepKey;
-use crate::workflow::core::{Core, Counts, Now, Ticket};
+use crate::workflow::core::{Core, Counts, Now, RequestToken};
 use crate::workflow::follow::{self, StoreUpdate};
 use crate::workflow::incarnation::Incarnation;
 use crate::workflow::log::{AppendError, Replayed, Written};
@@ -198,7 +198,7 @@
     requests: mpsc::Receiver<OwnerRequest>,
     events: mpsc::Receiver<Event>,
     event_sender: mpsc::Sender<Event>,
-    pending_replies: HashMap<Ticket, oneshot::Sender<Reply>>,
+    pending_replies: HashMap<RequestToken, oneshot::Sender<Reply>>,
     next_ticket: u64,
     snapshot: Option<(u64, Vec<u8>)>,
     compaction: Option<JoinHandle<()>>,
@@ -251,7 +251,7 @@
             }
             self.write_wave_status();
             self.choose_relays();
-            for effect in self.core.poll(now) {
+            for effect in self.core.advance(now) {
                 self.execute(effect);
             }
             self.consider_hand_over(now);
@@ -318,7 +318,7 @@
             .note_waits(&self.core.summarize_waits(now), &eligibility);
         let client = &self.node.worker_client;
         self.node.metrics.note_pressure(
-            self.core.pressure(),
+            self.core.congestion(),
             client.relays().len(),
             client.relayed_count(),
         );
--- a/ashtiller/src/workflow/owner/predecessor.rs
+++ b/ashtiller/src/workflow/owner/predecessor.rs
@@ -23,7 +23,7 @@
     pub(super) fn watch_predecessor(&mut self) {
         let Some(predecessor) = self.ownership.former else {
             let now = self.now();
-            self.core.note_former_owner_ended(0, now);
+            self.core.note_predecessor_ended(0, now);
             return;
         };
         let (node, sender) = (self.node.clone(), self.event_sender.clone());
--- a/ashtiller/tests/owner/asleep.rs
+++ b/ashtiller/tests/owner/asleep.rs
@@ -21,7 +21,7 @@
 fn wake(driver: &mut Driver, span: Duration) -> Vec<Effect> {
     driver.now.at += span;
     driver.now.wall += u64::try_from(span.as_millis()).unwrap();
-    driver.core.poll(driver.now)
+    driver.core.advance(driver.now)
 }
 
 #[test]
@@ -40,7 +40,7 @@
             let mut effects = wake(&mut driver, span);
             if !durable {
                 driver.come_back();
-                effects.extend(driver.core.poll(driver.now));
+                effects.extend(driver.core.advance(driver.now));
             }
             let starts = effects.iter().any(is_start);
             let fresh = span < Duration::from_millis(1500);
@@ -59,7 +59,7 @@
         driver.pass(100 * MS);
         let effects = wake(&mut driver, span);
         let mut looks = effects.iter().filter_map(|effect| match effect {
-            Effect::Look(_, look) => look.until,
+            Effect::Poll(_, look) => look.until,
             _ => None,
         });
         let renews = looks.next().is_some();
@@ -88,8 +88,8 @@
         .handle_poll_reply(&"w0".into(), Ok(looked), driver.now);
     driver.core.note_complete_listing(driver.now.at);
     let lease = 6000;
-    for effect in driver.core.poll(driver.now) {
-        if let Effect::Look(_, look) = effect {
+    for effect in driver.core.advance(driver.now) {
+        if let Effect::Poll(_, look) = effect {
             let until = look.until.unwrap_or(0);
             assert!(until <= driver.clock() + lease, "beyond a lease from now");
         }
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -11,7 +11,7 @@
 };
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
 use ashtiller::workflow::core::advice::AdviceRequest;
-use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
+use ashtiller::workflow::core::{Core, Effect, Now, RequestToken};
 use ashtiller::workflow::evacuations::Zones;
 use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::job::{Job, Policy, Step};
@@ -93,7 +93,7 @@
     pub now: Now,
     pub ticket: u64,
     pub orders: Vec<(Incarnation, Run, Order)>,
-    pub answers: Vec<(Ticket, Reply)>,
+    pub answers: Vec<(RequestToken, Reply)>,
     /// Starts that were refused.
     pub refused: Vec<(Incarnation, Run)>,
     pub asked: Vec<AdviceRequest>,
@@ -231,7 +231,7 @@
         if let Some(zones) = &self.evacuated {
             self.core.note_evacuations(zones, Duration::ZERO, self.now);
         }
-        self.core.poll(self.now)
+        self.core.advance(self.now)
     }
 
     fn answer_looks(&mut self) {
@@ -255,19 +255,19 @@
 
     #[expect(clippy::too_many_lines, reason = "one arm for each effect")]
     pub fn carry_out(&mut self, effect: Effect) {
-        if let Effect::Look(target, look) = &effect {
+        if let Effect::Poll(target, look) = &effect {
             self.acknowledged
                 .push((target.incarnation.clone(), look.ends_recorded));
             *self.looked.entry(target.incarnation.clone()).or_insert(0) += 1;
         }
         match effect {
-            Effect::Look(target, _) if self.reborn.contains_key(&target.incarnation) => {
+            Effect::Poll(target, _) if self.reborn.contains_key(&target.incarnation) => {
                 let next = self.reborn[&target.incarnation].clone();
                 let looked = PollReply::OtherIncarnation(Some(next));
                 self.core
                     .handle_poll_reply(&target.incarnation, Ok(looked), self.now);
             }
-            Effect::Look(target, _) if self.strangers.contains(&target.incarnation) => {
+            Effect::Poll(target, _) if self.strangers.contains(&target.incarnation) => {
                 self.core.handle_poll_reply(
                     &target.incarnation,
                     Ok(PollReply::OtherIncarnation(None)),
@@ -285,13 +285,13 @@
                     self.now,
                 );
             }
-            Effect::Look(target, _) if Some(&target.incarnation) == self.mute.as_ref() => {
+            Effect::Poll(target, _) if Some(&target.incarnation) == self.mute.as_ref() => {
                 let nothing =
                     Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                 self.core
                     .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
-            Effect::Look(target, _) if self.crashed.contains(&target.incarnation) => {
+            Effect::Poll(target, _) if self.crashed.contains(&target.incarnation) => {
                 let nothing =
                     Failure::unknown_effect("look", &target.incarnation, "connection refused");
                 self.core
@@ -334,17 +334,17 @@
                 }
                 self.orders.push((target.incarnation, run, order));
             }
-            Effect::Look(target, _) if Some(&target.incarnation) == self.silent.as_ref() => {
+            Effect::Poll(target, _) if Some(&target.incarnation) == self.silent.as_ref() => {
                 let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer");
                 self.core
                     .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
             }
-            Effect::Look(target, look) if self.patient => {
+            Effect::Poll(target, look) if self.patient => {
                 self.looks
                     .push((self.now.at + look.wait, target.incarnation));
             }
-            Effect::Look(target, _) => self.show(&target.incarnation),
-            Effect::Answer(ticket, reply) => self.answers.push((ticket, reply)),
+            Effect::Poll(target, _) => self.show(&target.incarnation),
+            Effect::Reply(ticket, reply) => self.answers.push((ticket, reply)),
             Effect::Advise(question) if self.advisor == Advisor::Works => {
                 self.asked.push(question);
             }
@@ -363,7 +363,7 @@
                 self.asked.push(question);
                 self.core.handle_advice(key, asked_at, answer, self.now);
             }
-            Effect::Duty(machine, duty) => {
+            Effect::MachineOrder(machine, duty) => {
                 let nothing = Failure::unknown_effect("order machine", &machine, "no answer");
                 let said = self.says.ok_or(nothing);
                 self.core
@@ -445,9 +445,9 @@
         stops.map(|(_, run, _)| *run).collect()
     }
 
-    pub fn submit(&mut self, job: Job) -> Ticket {
+    pub fn submit(&mut self, job: Job) -> RequestToken {
         self.ticket += 1;
-        let ticket = Ticket(self.ticket);
+        let ticket = RequestToken(self.ticket);
         self.core.submit(job, ticket, self.now);
         ticket
     }
@@ -478,7 +478,7 @@
             let mut looked = false;
             for effect in self.poll() {
                 match effect {
-                    Effect::Look(target, _) if target.incarnation == *id => looked = true,
+                    Effect::Poll(target, _) if target.incarnation == *id => looked = true,
                     other => rest.push(other),
                 }
             }
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -24,7 +24,7 @@
         driver.now.at += 5 * MS;
         driver.core.note_complete_listing(driver.now.at);
         let mut found = None;
-        for effect in driver.core.poll(driver.now) {
+        for effect in driver.core.advance(driver.now) {
             match found.is_none().then(|| wants(&effect)).flatten() {
                 Some(call) => found = Some(call),
                 None => driver.carry_out(effect),
@@ -39,7 +39,7 @@
 
 fn acknowledges(effect: &Effect) -> Option<(Target, Poll)> {
     match effect {
-        Effect::Look(target, look) if look.ends_recorded > 0 => {
+        Effect::Poll(target, look) if look.ends_recorded > 0 => {
             Some((target.clone(), look.clone()))
         }
         _ => None,
@@ -96,7 +96,7 @@
         .core
         .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
     let (target, ..) = await_call(&mut driver, |effect| match effect {
-        Effect::Look(target, look) => Some((target.clone(), look.clone())),
+        Effect::Poll(target, look) => Some((target.clone(), look.clone())),
         _ => None,
     });
     // The store counts on with each write, and a later owner's epoch is such a revision.
@@ -191,7 +191,7 @@
     let next = born(2000);
     driver.core.list_worker(next.clone(), driver.now);
     let (target, _) = await_call(&mut driver, |effect| match effect {
-        Effect::Look(target, look) if target.incarnation == next.incarnation => {
+        Effect::Poll(target, look) if target.incarnation == next.incarnation => {
             Some((target.clone(), look.clone()))
         }
         _ => None,
--- a/ashtiller/tests/owner/first_looks.rs
+++ b/ashtiller/tests/owner/first_looks.rs
@@ -44,10 +44,10 @@
     let expected = expected.count();
     while heard.len() < expected && now.at < began + Duration::from_secs(30) {
         now.at += MS;
-        for effect in core.poll(now) {
+        for effect in core.advance(now) {
             match effect {
                 Effect::Append(position, _) => core.note_durable(position, now.at, now),
-                Effect::Look(target, _) if !heard.contains(&target.incarnation) => {
+                Effect::Poll(target, _) if !heard.contains(&target.incarnation) => {
                     looks += 1;
                     let limit = now.at + POLL_TIMEOUT_MIN;
                     if says(&target.incarnation) {
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -209,9 +209,9 @@
     for _ in 0..200 {
         driver.now.at += 5 * MS;
         driver.core.note_complete_listing(driver.now.at);
-        for effect in driver.core.poll(driver.now) {
+        for effect in driver.core.advance(driver.now) {
             match effect {
-                Effect::Look(target, look) if look.ends_recorded > 0 => {
+                Effect::Poll(target, look) if look.ends_recorded > 0 => {
                     let nothing =
                         Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                     driver
@@ -271,7 +271,7 @@
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
         driver.core.note_complete_listing(driver.now.at);
-        for effect in driver.core.poll(driver.now) {
+        for effect in driver.core.advance(driver.now) {
             match (effect, &started) {
                 (Effect::Order(target, run, order @ Order::Start(_)), None) => {
                     let said = Ok(OrderReply::Done(heard));
@@ -284,7 +284,7 @@
                     );
                     started = Some((target.incarnation, driver.now.at));
                 }
-                (Effect::Look(target, _), Some((life, _))) if target.incarnation == *life => {
+                (Effect::Poll(target, _), Some((life, _))) if target.incarnation == *life => {
                     let nothing = Failure::unknown_effect("look", life, "no answer in time");
                     driver
                         .core
@@ -337,7 +337,7 @@
     let next = born(0, 2000);
     heir.crashed.extend([life, next.incarnation.clone()]);
     heir.core.list_all(vec![next, born(1, 1000)], heir.now);
-    heir.core.note_former_owner_ended(0, heir.now);
+    heir.core.note_predecessor_ended(0, heir.now);
     heir.pass(LATE_MAX + terms.hold.saturating_sub(200 * MS));
     assert!(heir.starts().is_empty(), "it may still run");
     assert!(heir.core.log_state().is_live(run));
@@ -356,7 +356,7 @@
     while !unanswered {
         driver.now.at += 5 * MS;
         driver.core.note_complete_listing(driver.now.at);
-        for effect in driver.core.poll(driver.now) {
+        for effect in driver.core.advance(driver.now) {
             match effect {
                 Effect::Order(target, run, order @ Order::Start(_))
                     if target.incarnation == life =>
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -34,10 +34,10 @@
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
         driver.core.note_complete_listing(driver.now.at);
-        for effect in driver.core.poll(driver.now) {
+        for effect in driver.core.advance(driver.now) {
             match effect {
                 // Thirty of forty.
-                Effect::Look(target, look)
+                Effect::Poll(target, look)
                     if !target.incarnation.id().ends_with('0')
                         && target.incarnation.id().len() > 2 =>
                 {
@@ -57,7 +57,7 @@
             driver.core.handle_poll_reply(&id, Err(nothing), driver.now);
         }
     }
-    let pressure = driver.core.pressure();
+    let pressure = driver.core.congestion();
     assert!(!pressure.is_congested(), "{:?}", pressure.usual());
     assert_eq!(
         pressure.timeout(ORDER_TIMEOUT_MIN, 800 * MS),
--- a/ashtiller/tests/owner/stops.rs
+++ b/ashtiller/tests/owner/stops.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use ashtiller::workflow::agents::Order;
-use ashtiller::workflow::core::Ticket;
+use ashtiller::workflow::core::RequestToken;
 
 use crate::driver::{Driver, MS, job, policy};
 use crate::trial::{lasting, starts_of};
@@ -27,7 +27,7 @@
     driver.deaf = Some("w0".into());
     driver
         .core
-        .cancel("lasts", Ticket(driver.ticket), driver.now);
+        .cancel("lasts", RequestToken(driver.ticket), driver.now);
     driver
 }
 
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -102,7 +102,7 @@
 #[test]
 fn a_task_on_a_worker_that_is_gone_starts_soon_after_a_change_of_owner() {
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER)]);
-    driver.core.note_former_owner_ended(FORMER, driver.now);
+    driver.core.note_predecessor_ended(FORMER, driver.now);
     // The longest lease, and what the platform leaves beyond it.
     driver.pass(9000 * MS);
     assert_eq!(driver.starts().len(), 1);
@@ -124,7 +124,7 @@
 #[test]
 fn that_the_former_owner_has_ended_says_nothing_of_those_before_it() {
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER - 1)]);
-    driver.core.note_former_owner_ended(FORMER, driver.now);
+    driver.core.note_predecessor_ended(FORMER, driver.now);
     driver.pass(17_000 * MS);
     assert!(driver.starts().is_empty(), "an earlier owner may go on");
     driver.pass(1000 * MS);
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -25,7 +25,7 @@
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{Order, Poll, PollReply, Target, TaskName};
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
-use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
+use ashtiller::workflow::core::{Core, Effect, Now, RequestToken};
 use ashtiller::workflow::job::{Job, Policy, Step};
 use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::tuning::Tuning;
@@ -166,7 +166,7 @@
             schedule: None,
         };
         let now = self.clock();
-        self.core.submit(job, Ticket(self.tickets), now);
+        self.core.submit(job, RequestToken(self.tickets), now);
     }
 
     /// A worker's process ends, and starts again under its id.
@@ -190,7 +190,7 @@
             self.advance();
             let now = self.clock();
             self.core.note_complete_listing(self.now);
-            for effect in self.core.poll(now) {
+            for effect in self.core.advance(now) {
                 self.carry_out(effect);
             }
         }
@@ -236,7 +236,7 @@
         let now = self.clock();
         match effect {
             Effect::Append(position, _) => self.core.note_durable(position, self.now, now),
-            Effect::Look(to, look) => {
+            Effect::Poll(to, look) => {
                 let until = self.now + look.wait;
                 self.looks.push(Waiting { to, look, until });
             }
@@ -247,7 +247,7 @@
                 self.core
                     .handle_order_reply(&to.incarnation, run, &order, Ok(said), now);
             }
-            Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
+            Effect::Reply(..) | Effect::Advise(_) | Effect::MachineOrder(..) => {}
         }
     }
 
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -17,7 +17,7 @@
     ORDER_TIMEOUT_MIN, Order, OrderReply, Poll, PollReply, Target, TaskName,
 };
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
-use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
+use ashtiller::workflow::core::{Core, Effect, Now, RequestToken};
 use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::job::{Job, Policy};
 use ashtiller::workflow::log_state::LogState;
@@ -417,7 +417,7 @@
                 && ended
             {
                 let former = place.checked_sub(1).map_or(0, |it| self.epochs[it]);
-                core.note_former_owner_ended(former, now);
+                core.note_predecessor_ended(former, now);
             }
         }
     }
@@ -442,7 +442,7 @@
         let now = self.clock();
         self.number += 1;
         self.tickets.insert(self.number, job.id.clone());
-        let ticket = Ticket(self.number);
+        let ticket = RequestToken(self.number);
         if let Some(core) = &mut self.owners[self.newest] {
             core.submit(job, ticket, now);
         }
@@ -597,7 +597,7 @@
             };
             self.channels[place] = self.news.tell(self.channels[place], core, now);
             self.operators.tell(self.readers[place], core, now);
-            let effects = core.poll(now);
+            let effects = core.advance(now);
             let superseded = core.is_superseded();
             for effect in effects {
                 self.carry_out(place, effect);
@@ -624,7 +624,7 @@
                 self.at(answer, Event::Durable(place, position, sent));
             }
             Effect::Order(target, run, order) => self.send_order(place, target, run, order),
-            Effect::Look(target, look) => {
+            Effect::Poll(target, look) => {
                 if self.percent(self.faults.lost / 2) {
                     let wait = look.wait + ORDER_TIMEOUT_MIN;
                     let nothing =
@@ -640,14 +640,14 @@
                     self.at(delay, Event::See(place, target, look));
                 }
             }
-            Effect::Answer(ticket, reply) => {
+            Effect::Reply(ticket, reply) => {
                 if reply == Reply::Accepted
                     && let Some(id) = self.tickets.remove(&ticket.0)
                 {
                     self.accepted.insert(id);
                 }
             }
-            Effect::Advise(_) | Effect::Duty(..) => {}
+            Effect::Advise(_) | Effect::MachineOrder(..) => {}
         }
     }
 
--- a/bench/src/crashes.rs
+++ b/bench/src/crashes.rs
@@ -9,7 +9,7 @@
 use ashtiller::resources::Resources;
 use ashtiller::workflow::agents::{Order, OrderReply, Poll, PollReply};
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
-use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
+use ashtiller::workflow::core::{Core, Effect, Now, RequestToken};
 use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::job::{Job, Policy, Step};
 use ashtiller::workflow::log_state::LogState;
@@ -301,7 +301,7 @@
 
     fn submit(&mut self, id: &str, step: Step) {
         self.number += 1;
-        let (ticket, now) = (Ticket(self.number), self.clock());
+        let (ticket, now) = (RequestToken(self.number), self.clock());
         self.core.submit(make_job(id, vec![step]), ticket, now);
     }
 
@@ -321,7 +321,7 @@
             }
             let now = self.clock();
             self.core.note_complete_listing(self.now);
-            for effect in self.core.poll(now) {
+            for effect in self.core.advance(now) {
                 self.carry_out(effect);
             }
             self.count_ended();
@@ -378,8 +378,8 @@
             Effect::Order(target, run, order) => {
                 self.obey(target.incarnation, target.fence, run, order);
             }
-            Effect::Look(target, look) => self.at(2 * MS, Event::See(target.incarnation, look)),
-            Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
+            Effect::Poll(target, look) => self.at(2 * MS, Event::See(target.incarnation, look)),
+            Effect::Reply(..) | Effect::Advise(_) | Effect::MachineOrder(..) => {}
         }
     }
 
--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -11,7 +11,7 @@
     Active, EndReason, Finished, Order, OrderReply, Poll, PollReply, TaskName,
 };
 use ashtiller::workflow::config::{Config, ListedWorker, Queue};
-use ashtiller::workflow::core::{Core, Effect, Now, Ticket};
+use ashtiller::workflow::core::{Core, Effect, Now, RequestToken};
 use ashtiller::workflow::incarnation::Incarnation;
 use ashtiller::workflow::job::{Job, Policy, Sharing, Step};
 use ashtiller::workflow::log_state::LogState;
@@ -156,7 +156,7 @@
             let now = self.clock();
             let began = Instant::now();
             self.core.note_complete_listing(self.now);
-            let effects = self.core.poll(now);
+            let effects = self.core.advance(now);
             self.spent += began.elapsed();
             for effect in effects {
                 self.carry_out(effect);
@@ -171,7 +171,7 @@
             if self.rng.random_bool((rate * share).min(1.0)) {
                 self.number += 1;
                 let job = make_job(kind, self.number, &mut self.rng);
-                let (ticket, now) = (Ticket(self.number), self.clock());
+                let (ticket, now) = (RequestToken(self.number), self.clock());
                 let began = Instant::now();
                 self.core.submit(job, ticket, now);
                 self.spent += began.elapsed();
@@ -186,8 +186,8 @@
                 self.obey(&target.incarnation, &order);
                 self.at(WAY, Event::Answer(target.incarnation, run, order));
             }
-            Effect::Look(target, look) => self.look(&target.incarnation, &look),
-            Effect::Answer(..) | Effect::Advise(_) | Effect::Duty(..) => {}
+            Effect::Poll(target, look) => self.look(&target.incarnation, &look),
+            Effect::Reply(..) | Effect::Advise(_) | Effect::MachineOrder(..) => {}
         }
     }
 
