--- a/ashtiller/src/workflow/core/admission.rs
+++ b/ashtiller/src/workflow/core/admission.rs
@@ -61,7 +61,7 @@
 
     /// Rejects the jobs that are in no log entry yet while the store does not answer. None of
     /// them has been written anywhere.
-    pub(super) fn refuse_arrivals(&mut self, now: Now) {
+    pub(super) fn reject_arrivals(&mut self, now: Now) {
         if self.arrivals.is_empty() || !self.is_stalled(now) {
             return;
         }
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -111,7 +111,7 @@
                 .is_some_and(|(_, until)| *until > now.at + TICKET_MARGIN)
         };
         let unrestricted = PlacementRequest {
-            advised: None,
+            tickets: None,
             excluded: None,
             failed_on: BTreeSet::new(),
             runs_per_worker: BTreeMap::new(),
--- a/ashtiller/src/workflow/core/candidates.rs
+++ b/ashtiller/src/workflow/core/candidates.rs
@@ -136,7 +136,7 @@
     /// Number of runs of the same step on each worker.
     pub runs_per_worker: RunsPerWorker,
     /// Workers that the advisor allows, with their tickets; `None` if the policy asks no advisor.
-    pub advised: Option<&'a BTreeMap<Incarnation, Arc<str>>>,
+    pub tickets: Option<&'a BTreeMap<Incarnation, Arc<str>>>,
     /// Worker that is reserved for another task.
     pub excluded: Option<Incarnation>,
     /// Whether the task is suspected of crashing workers.
@@ -306,7 +306,7 @@
 
 /// Returns whether a worker may run a task at all.
 pub(super) fn is_eligible(candidate: &Candidate, request: &PlacementRequest<'_>) -> bool {
-    let advised = request.advised;
+    let advised = request.tickets;
     candidate.has_capacity(request.service, &request.resources)
         && request.excluded.as_ref() != Some(&candidate.id)
         && satisfies_constraints(candidate, request.step, &request.runs_per_worker)
--- a/ashtiller/src/workflow/core/dispatch.rs
+++ b/ashtiller/src/workflow/core/dispatch.rs
@@ -13,7 +13,7 @@
 const ORDERS_PER_WORKER_MAX: u32 = 1;
 
 /// Returns whether a worker may be sent an order now.
-pub(super) fn is_ready(worker: &Worker, now: Now) -> bool {
+pub(super) fn may_receive_order(worker: &Worker, now: Now) -> bool {
     worker.ordering < ORDERS_PER_WORKER_MAX && worker.has_work(now.at)
 }
 
@@ -41,7 +41,7 @@
     fn fill_dispatch_queue(&mut self, free: usize, now: Now) {
         self.order_queue_built_at = now.at;
         let needs_order =
-            |worker: &&Worker| worker.fenced && !worker.runs.is_empty() && is_ready(worker, now);
+            |worker: &&Worker| worker.fenced && !worker.runs.is_empty() && may_receive_order(worker, now);
         let pending = self.workers.values().filter(needs_order);
         if pending.clone().count() <= free {
             self.order_queue = pending.map(|worker| worker.incarnation().clone()).collect();
--- a/ashtiller/src/workflow/core/freed_capacity.rs
+++ b/ashtiller/src/workflow/core/freed_capacity.rs
@@ -27,7 +27,7 @@
         let trials = self.count_trials(&fleet, now);
         let mut round = PlacementRound::new(fleet, trials);
         for pending in waiting {
-            if !self.has_capacity(&pending, &round.fleet) {
+            if !self.has_capacity(&pending, &round.candidates) {
                 continue;
             }
             self.place_step(pending, &mut round, now);
--- a/ashtiller/src/workflow/core/incarnations.rs
+++ b/ashtiller/src/workflow/core/incarnations.rs
@@ -79,14 +79,14 @@
 
     /// Adds an incarnation of a worker.
     pub(super) fn add_worker(&mut self, worker: Worker) {
-        self.locations.note(&worker.listed);
+        self.locations.insert(&worker.listed);
         self.workers.insert(worker.incarnation().clone(), worker);
     }
 
     /// Removes an incarnation of a worker.
     pub(super) fn remove_worker(&mut self, incarnation: &Incarnation) -> Option<Worker> {
         let worker = self.workers.remove(incarnation)?;
-        self.locations.forget(&worker.listed);
+        self.locations.remove(&worker.listed);
         self.candidate_cache.remove(incarnation);
         Some(worker)
     }
--- a/ashtiller/src/workflow/core/location_index.rs
+++ b/ashtiller/src/workflow/core/location_index.rs
@@ -19,7 +19,7 @@
 
 impl LocationIndex {
     /// Adds an incarnation at the machine and address of its entry.
-    pub fn note(&mut self, listed: &ListedWorker) {
+    pub fn insert(&mut self, listed: &ListedWorker) {
         if let Some(machine) = &listed.machine {
             insert_unique(
                 self.machines.entry(machine.clone()).or_default(),
@@ -33,7 +33,7 @@
     }
 
     /// Removes an incarnation from the machine and address of its entry.
-    pub fn forget(&mut self, listed: &ListedWorker) {
+    pub fn remove(&mut self, listed: &ListedWorker) {
         if let Some(machine) = &listed.machine
             && let Some(incarnations) = self.machines.get_mut(machine)
         {
--- a/ashtiller/src/workflow/core/mod.rs
+++ b/ashtiller/src/workflow/core/mod.rs
@@ -385,7 +385,7 @@
             self.advance_waves(now);
         }
         self.resume_starts(now);
-        self.refuse_arrivals(now);
+        self.reject_arrivals(now);
         self.append_entry(now);
         self.dispatch_orders(now);
         self.send_due_polls(now);
@@ -417,7 +417,7 @@
         if let Some(job) = self.log_state.jobs.get(&number) {
             tracing::info!(job = %job.job.id, ?outcome, position = self.position,
                 room_ms = times.waiting.as_millis(), answer_ms = times.start_delay.as_millis(),
-                work_ms = times.work.as_millis(), paced_ms = times.paced.as_millis(), "job ended");
+                work_ms = times.work.as_millis(), paced_ms = times.throttled.as_millis(), "job ended");
         }
         self.advice_states.retain(|key, _| key.0 != number);
         self.headroom_history.remove(&number);
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -53,7 +53,7 @@
         if !self
             .workers
             .get(id)
-            .is_some_and(|worker| dispatch::is_ready(worker, now))
+            .is_some_and(|worker| dispatch::may_receive_order(worker, now))
         {
             return false;
         }
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -35,7 +35,7 @@
 
 /// State of one placement round.
 pub(super) struct PlacementRound {
-    pub fleet: Vec<Candidate>,
+    pub candidates: Vec<Candidate>,
     /// Requirements for which no worker was found.
     unplaceable: Vec<Demand>,
     /// Worker that gets no short runs until a long-running one fits there.
@@ -49,7 +49,7 @@
 impl PlacementRound {
     pub fn new(fleet: Vec<Candidate>, trials: ActiveTrials) -> Self {
         Self {
-            fleet,
+            candidates: fleet,
             unplaceable: Vec::new(),
             reserved: None,
             promoted_late: None,
@@ -193,7 +193,7 @@
             resources: demand.resources,
             failed_on: BTreeSet::new(),
             runs_per_worker: BTreeMap::new(),
-            advised: tickets.as_ref(),
+            tickets: tickets.as_ref(),
             excluded: round
                 .reserved
                 .clone()
@@ -203,7 +203,7 @@
         };
         if step.gang {
             if !self.place_gang(&tasks, &request, round, now) && asks_advisor {
-                self.request_advice(first, tasks.len(), &round.fleet, &request, now);
+                self.request_advice(first, tasks.len(), &round.candidates, &request, now);
             }
             return;
         }
@@ -225,32 +225,32 @@
             let no_failures = request.failed_on.is_empty();
             let index = if no_failures {
                 let ranking =
-                    ranking.get_or_insert_with(|| self.rank_candidates(&round.fleet, &request));
-                ranking.pop_best(&round.fleet)
+                    ranking.get_or_insert_with(|| self.rank_candidates(&round.candidates, &request));
+                ranking.pop_best(&round.candidates)
             } else {
-                self.choose_worker(&round.fleet, &request)
+                self.choose_worker(&round.candidates, &request)
             };
-            debug_assert_eq!(index, self.choose_worker(&round.fleet, &request));
+            debug_assert_eq!(index, self.choose_worker(&round.candidates, &request));
             let Some(index) = index else {
                 if uniform {
                     round.note_unplaceable(demand.clone());
                 }
                 if asks_advisor {
-                    self.request_advice(first, tasks.len() - placed, &round.fleet, &request, now);
+                    self.request_advice(first, tasks.len() - placed, &round.candidates, &request, now);
                 }
                 return;
             };
-            let id = round.fleet[index].id.clone();
-            let takes_more = round.fleet[index].add_run(&request, &self.interference);
+            let id = round.candidates[index].id.clone();
+            let takes_more = round.candidates[index].add_run(&request, &self.interference);
             if step.spread > 0 {
                 *request.runs_per_worker.entry(id.clone()).or_insert(0) += 1;
             }
             if !takes_more {
-                round.fleet[index].close();
+                round.candidates[index].close();
             }
             match &mut ranking {
                 Some(ranking) if no_failures => {
-                    self.rerank_candidate(ranking, &round.fleet, index, &request);
+                    self.rerank_candidate(ranking, &round.candidates, index, &request);
                 }
                 // The worker's state has changed, so the ranking is out of date.
                 _ => ranking = None,
@@ -297,7 +297,7 @@
             vec![None]
         };
         for rack in racks {
-            let Some(chosen) = self.choose_gang(&suspects, request, &round.fleet, rack.as_ref())
+            let Some(chosen) = self.choose_gang(&suspects, request, &round.candidates, rack.as_ref())
             else {
                 continue;
             };
@@ -307,11 +307,11 @@
                 .max()
                 .unwrap_or(1);
             for (task, index) in tasks.iter().zip(&chosen) {
-                let candidate = &mut round.fleet[*index];
+                let candidate = &mut round.candidates[*index];
                 candidate.add_run(request, &self.interference);
                 let id = candidate.id.clone();
                 let ticket = request
-                    .advised
+                    .tickets
                     .and_then(|tickets| tickets.get(&id).cloned());
                 self.place_run(
                     Run {
@@ -337,7 +337,7 @@
                 .zip(&suspects)
                 .filter(|(_, suspect)| **suspect)
             {
-                round.fleet[*index].close();
+                round.candidates[*index].close();
             }
             return true;
         }
--- a/ashtiller/src/workflow/core/relocation.rs
+++ b/ashtiller/src/workflow/core/relocation.rs
@@ -59,17 +59,17 @@
             resources: step.reserved(),
             failed_on,
             runs_per_worker: candidates::count_runs_per_worker(self, task),
-            advised: None,
+            tickets: None,
             excluded: None,
             suspect: false,
             selectivity: 0.0,
         };
-        let Some(index) = self.choose_worker(&round.fleet, &request) else {
+        let Some(index) = self.choose_worker(&round.candidates, &request) else {
             return;
         };
-        let id = round.fleet[index].id.clone();
-        if !round.fleet[index].add_run(&request, &self.interference) {
-            round.fleet[index].close();
+        let id = round.candidates[index].id.clone();
+        if !round.candidates[index].add_run(&request, &self.interference) {
+            round.candidates[index].close();
         }
         let number = self.next_run_number(task);
         tracing::info!(%task, run = number, worker = %id,
@@ -121,21 +121,21 @@
             resources: step.reserved(),
             failed_on: state.failed_on.clone(),
             runs_per_worker: BTreeMap::new(),
-            advised: None,
+            tickets: None,
             excluded: None,
             suspect: false,
             selectivity,
         };
-        let Some(index) = self.choose_worker(&round.fleet, &request) else {
+        let Some(index) = self.choose_worker(&round.candidates, &request) else {
             round.note_unplaceable(demand);
             return;
         };
-        if round.fleet[index].id == live.worker {
+        if round.candidates[index].id == live.worker {
             return;
         }
         tracing::debug!(task = %run.task, run = run.number, from = %live.worker,
             "moving a throttled run to another worker");
-        round.fleet[index].add_run(&request, &self.interference);
+        round.candidates[index].add_run(&request, &self.interference);
         self.request_stop(run, StopReason::Crowded);
     }
 }
--- a/ashtiller/src/workflow/core/starvation.rs
+++ b/ashtiller/src/workflow/core/starvation.rs
@@ -105,7 +105,7 @@
             let tracker = trackers
                 .entry(pending.key())
                 .or_insert(StarvationTracker::new(now.at));
-            tracker.note_capacity(self.has_capacity(pending, &round.fleet), now.at);
+            tracker.note_capacity(self.has_capacity(pending, &round.candidates), now.at);
             if new || tracker.is_passed_over(now.at) || tracker.is_starved(now.at) {
                 pending.promote();
                 // An isolated run closes its worker, and the next one would follow at once.
@@ -115,7 +115,7 @@
             }
         }
         self.passed_over = trackers;
-        round.reserved = self.reserve(waiting, &round.fleet, now);
+        round.reserved = self.reserve(waiting, &round.candidates, now);
     }
 
     /// Returns whether all waiting tasks of a step are strong suspects, to be run in isolation.
@@ -190,8 +190,8 @@
         };
         oldest.promote();
         round.promoted_late = Some(oldest.key());
-        if round.reserved.is_none() && !self.has_capacity(oldest, &round.fleet) {
-            round.reserved = self.find_worker_to_reserve(oldest, &round.fleet);
+        if round.reserved.is_none() && !self.has_capacity(oldest, &round.candidates) {
+            round.reserved = self.find_worker_to_reserve(oldest, &round.candidates);
         }
     }
 
--- a/ashtiller/src/workflow/core/times.rs
+++ b/ashtiller/src/workflow/core/times.rs
@@ -19,7 +19,7 @@
     /// Time from the confirmed start to the end of the run.
     pub work: Duration,
     /// Part of the running time that was lost to throttling.
-    pub paced: Duration,
+    pub throttled: Duration,
 }
 
 impl TimeBreakdown {
@@ -27,14 +27,14 @@
         self.waiting = self.waiting.max(other.waiting);
         self.start_delay = self.start_delay.max(other.start_delay);
         self.work = self.work.max(other.work);
-        self.paced = self.paced.max(other.paced);
+        self.throttled = self.throttled.max(other.throttled);
     }
 
     fn add(&mut self, other: Self) {
         self.waiting += other.waiting;
         self.start_delay += other.start_delay;
         self.work += other.work;
-        self.paced += other.paced;
+        self.throttled += other.throttled;
     }
 }
 
@@ -115,7 +115,7 @@
             waiting: Duration::ZERO,
             start_delay: at.saturating_sub(live.placed),
             work: now.saturating_sub(at),
-            paced: live.paced + live.paced_since(now),
+            throttled: live.paced + live.paced_since(now),
         };
         self.job_timings.record(step_of(run), times);
     }
--- a/ashtiller/src/workflow/core/trials.rs
+++ b/ashtiller/src/workflow/core/trials.rs
@@ -176,13 +176,13 @@
         let ranked = round.trials.ranked.take();
         let mut ranked = match ranked {
             Some((of, ranked)) if of == step => ranked,
-            _ => self.rank_trials(&round.fleet, request, now),
+            _ => self.rank_trials(&round.candidates, request, now),
         };
         let mut chosen = None;
         while chosen.is_none()
-            && let Some(place) = ranked.pop_best(&round.fleet)
+            && let Some(place) = ranked.pop_best(&round.candidates)
         {
-            let cost = self.trial_cost(&round.fleet[place], request, now);
+            let cost = self.trial_cost(&round.candidates[place], request, now);
             chosen = cost.map(|_| place);
         }
         round.trials.ranked = Some((step, ranked));
@@ -220,11 +220,11 @@
         let Some(place) = self.choose_trial_worker(round, request, key, now) else {
             return false;
         };
-        let candidate = &mut round.fleet[place];
+        let candidate = &mut round.candidates[place];
         candidate.close();
         let id = candidate.id.clone();
         round.trials.add(request.service, task.job);
-        let ticket = request.advised.and_then(|it| it.get(&id).cloned());
+        let ticket = request.tickets.and_then(|it| it.get(&id).cloned());
         let number = self.next_run_number(task);
         tracing::info!(%task, run = number, worker = %id, "suspected task is tried in isolation");
         let run = Run { task, number };
--- a/ashtiller/src/workflow/core/wait_report.rs
+++ b/ashtiller/src/workflow/core/wait_report.rs
@@ -38,7 +38,7 @@
         let job = &self.log_state.jobs[&pending.job];
         let service = &job.policy.service;
         let step = &job.job.steps[usize::from(pending.step)];
-        let candidates = round.fleet.iter().filter(|it| it.service == *service);
+        let candidates = round.candidates.iter().filter(|it| it.service == *service);
         let fitting = candidates.clone().filter(|it| self.fits_step(&pending, it));
         let freest = candidates.max_by_key(|it| it.free.processors);
         tracing::info!(job = %job.job.id, number = pending.job, time = pending.occurrence,
--- a/ashtiller/src/workflow/core/worker_list.rs
+++ b/ashtiller/src/workflow/core/worker_list.rs
@@ -48,9 +48,9 @@
         self.candidate_cache.remove(&incarnation);
         self.add_former_incarnations(&listed, now);
         if let Some(known) = self.workers.get(&incarnation) {
-            self.locations.forget(&known.listed);
+            self.locations.remove(&known.listed);
         }
-        self.locations.note(&listed);
+        self.locations.insert(&listed);
         let worker = self.workers.entry(incarnation.clone()).or_insert_with(|| {
             tracing::info!(worker = %incarnation, service = %listed.service, address = %listed.address, "worker listed");
             Worker::new(listed.clone(), bound)
--- a/ashtiller/src/workflow/metrics.rs
+++ b/ashtiller/src/workflow/metrics.rs
@@ -194,7 +194,7 @@
             ("room", times.waiting),
             ("answer", times.start_delay),
             ("work", times.work),
-            ("paced", times.paced),
+            ("paced", times.throttled),
         ];
         for (part, took) in parts {
             self.times
