--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -87,7 +87,7 @@
 /// State of a log after a replay.
 pub struct Replayed {
     /// State after the last entry.
-    pub book: LogState,
+    pub state: LogState,
     /// Position of the next entry.
     pub next_position: u64,
 }
@@ -201,7 +201,7 @@
             }
             if !page.more || page.items.is_empty() {
                 return Ok(Replayed {
-                    book: log_state,
+                    state: log_state,
                     next_position: next,
                 });
             }
--- a/ashtiller/src/workflow/membership/election.rs
+++ b/ashtiller/src/workflow/membership/election.rs
@@ -56,8 +56,8 @@
             time::sleep(RETRY_DELAY).await;
             continue;
         }
-        match node.lead() {
-            Some(owner) if owner.incarnation != node.life => {
+        match node.log_owner() {
+            Some(owner) if owner.incarnation != node.incarnation => {
                 let loss = follow(&node, &owner).await;
                 if loss != Loss::Replaced {
                     tracing::warn!(owner = %owner.name, epoch = owner.epoch, ?loss, "owner lost");
@@ -106,7 +106,7 @@
 async fn follow(node: &Rc<Node>, owner: &LogOwner) -> Loss {
     let mut grace_end = Instant::now() + NEW_OWNER_GRACE;
     loop {
-        if node.lead().is_none_or(|known| known.epoch != owner.epoch) {
+        if node.log_owner().is_none_or(|known| known.epoch != owner.epoch) {
             return Loss::Replaced;
         }
         let began = Instant::now();
@@ -302,7 +302,7 @@
 }
 
 async fn try_acquire(node: &Rc<Node>, predecessor: Option<PreviousOwner>) {
-    let mine = node.as_lead(predecessor);
+    let mine = node.as_log_owner(predecessor);
     let replaced = predecessor.map_or(0, |predecessor| predecessor.epoch);
     match node.log.acquire(&mine, replaced).await {
         Ok(Acquisition::Acquired(epoch)) => {
--- a/ashtiller/src/workflow/node/forward.rs
+++ b/ashtiller/src/workflow/node/forward.rs
@@ -22,7 +22,7 @@
         // Epoch of the last owner that may have executed the request.
         let mut uncertain_epoch = None;
         loop {
-            let epoch = self.lead().map_or(0, |owner| owner.epoch);
+            let epoch = self.log_owner().map_or(0, |owner| owner.epoch);
             match self.send_to_owner(request, deadline).await {
                 Ok(Reply::NotOwner) => {}
                 Ok(Reply::Unknown) => uncertain_epoch = Some(epoch),
@@ -59,7 +59,7 @@
         if self.owns() {
             return Ok(self.ask_local_owner(request.clone(), remaining).await);
         }
-        let Some(owner) = self.lead().filter(|owner| owner.incarnation != self.life) else {
+        let Some(owner) = self.log_owner().filter(|owner| owner.incarnation != self.incarnation) else {
             return Ok(Reply::NotOwner);
         };
         self.links
--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -58,14 +58,14 @@
     /// Executor of calls to workers on behalf of an owner on another instance.
     pub relay_server: Rc<RelayServer>,
     /// Client that calls workers for the owner in this process, directly or over relays.
-    pub worker_client: Rc<RelayClient>,
+    pub relay_client: Rc<RelayClient>,
     /// Counters and histograms of this process.
     pub metrics: Metrics,
     /// Log of records in the store.
     pub log: Log,
     /// Random number that identifies this process until it ends.
-    pub life: u64,
-    lead: watch::Sender<Option<LogOwner>>,
+    pub incarnation: u64,
+    log_owner: watch::Sender<Option<LogOwner>>,
     config: watch::Sender<Arc<Config>>,
     waves: watch::Sender<BTreeMap<u64, Wave>>,
     evacuations: watch::Sender<Evacuations>,
@@ -116,13 +116,13 @@
             machines,
             dialect,
             relay_server: RelayServer::new(agents.clone(), links.clone()),
-            worker_client: RelayClient::new(agents.clone(), links.clone(), settings.entry.peers),
+            relay_client: RelayClient::new(agents.clone(), links.clone(), settings.entry.peers),
             links,
             settings,
             agents,
             metrics,
-            life: own_incarnation,
-            lead: watch::Sender::new(None),
+            incarnation: own_incarnation,
+            log_owner: watch::Sender::new(None),
             config: watch::Sender::new(Arc::default()),
             waves: watch::Sender::new(BTreeMap::new()),
             evacuations: watch::Sender::default(),
@@ -166,13 +166,13 @@
     /// if this process owns it.
     #[must_use]
     pub fn dump(&self) -> serde_json::Value {
-        let lead = self.lead();
+        let lead = self.log_owner();
         let config = self.config();
         let owned: serde_json::Value =
             serde_json::from_str(&self.dump.borrow()).unwrap_or(serde_json::Value::Null);
         serde_json::json!({
             "instance": &*self.settings.instance.name,
-            "life": self.life, "leaving": self.leaving.get(),
+            "life": self.incarnation, "leaving": self.leaving.get(),
             "configuration": config.version,
             "queues": config.queues.len(),
             "lead": lead.as_ref().map(|lead| serde_json::json!({
@@ -181,7 +181,7 @@
             "owns": self.owns(), "store_age_ms": self.as_member().store_age,
             "members": self.members().iter().map(|member| &*member.name).collect::<Vec<&str>>(),
             "silent_ms_by_peer": self.links.ages(),
-            "relays": self.worker_client.relays(),
+            "relays": self.relay_client.relays(),
             "owned": owned,
         })
     }
@@ -237,19 +237,19 @@
 
     /// Returns the last known owner of the log.
     #[must_use]
-    pub fn lead(&self) -> Option<LogOwner> {
-        self.lead.borrow().clone()
+    pub fn log_owner(&self) -> Option<LogOwner> {
+        self.log_owner.borrow().clone()
     }
 
     /// Subscribes to the owner of the log.
     #[must_use]
     pub fn watch_log_owner(&self) -> watch::Receiver<Option<LogOwner>> {
-        self.lead.subscribe()
+        self.log_owner.subscribe()
     }
 
     /// Records an owner of the log, unless a later one is known.
     pub fn adopt_log_owner(&self, lead: &LogOwner) {
-        let adopted = self.lead.send_if_modified(|current| {
+        let adopted = self.log_owner.send_if_modified(|current| {
             let newer = current
                 .as_ref()
                 .is_none_or(|known| lead.epoch > known.epoch);
@@ -266,12 +266,12 @@
     /// Returns the record that makes this process the owner in place of `former`. Its epoch is 0
     /// until the store has assigned one.
     #[must_use]
-    pub fn as_lead(&self, former: Option<PreviousOwner>) -> LogOwner {
+    pub fn as_log_owner(&self, former: Option<PreviousOwner>) -> LogOwner {
         LogOwner {
             former,
             name: self.settings.instance.name.clone(),
             address: self.settings.entry.peers,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             largest: self.largest(),
             epoch: 0,
         }
--- a/ashtiller/src/workflow/node/peer_handler.rs
+++ b/ashtiller/src/workflow/node/peer_handler.rs
@@ -34,11 +34,11 @@
         let newer = config.version > heartbeat.config;
         HeartbeatReply {
             epoch: if owns {
-                self.lead().map_or(0, |owner| owner.epoch)
+                self.log_owner().map_or(0, |owner| owner.epoch)
             } else {
                 0
             },
-            incarnation: self.life,
+            incarnation: self.incarnation,
             version: config.version,
             config: newer.then(|| Box::new((*config).clone())),
             members,
@@ -55,14 +55,14 @@
                 PeerRequest::Heartbeat(heartbeat) => {
                     Reply::Welcome(Box::new(self.reply_to_heartbeat(&heartbeat)))
                 }
-                PeerRequest::Lead => Reply::Lead(self.lead()),
+                PeerRequest::Lead => Reply::Lead(self.log_owner()),
                 PeerRequest::OwnerIs(owner) => {
                     self.adopt_log_owner(&owner);
                     Reply::Noted
                 }
                 // An owner that starts later finds that the log has another owner before it acts.
                 PeerRequest::HasEnded(former) => {
-                    Reply::Ended(former.incarnation != self.life || !self.owns())
+                    Reply::Ended(former.incarnation != self.incarnation || !self.owns())
                 }
                 PeerRequest::Config(config) => {
                     self.adopt_config(&Arc::new(*config));
@@ -70,14 +70,14 @@
                 }
                 PeerRequest::TakeOver(owner) => {
                     election::take_over(&self, &owner).await;
-                    Reply::Lead(self.lead())
+                    Reply::Lead(self.log_owner())
                 }
                 PeerRequest::RelayCalls(batch) => {
                     self.relay_server.execute_batch(*batch);
                     Reply::Noted
                 }
                 PeerRequest::RelayResults(results) => {
-                    self.worker_client.deliver_results(*results);
+                    self.relay_client.deliver_results(*results);
                     Reply::Noted
                 }
                 request => self.ask_local_owner(request, REQUEST_TIMEOUT).await,
--- a/ashtiller/src/workflow/owner/effects.rs
+++ b/ashtiller/src/workflow/owner/effects.rs
@@ -26,7 +26,7 @@
                 let (node, sender) = (self.node.clone(), self.event_sender.clone());
                 task::spawn_local(async move {
                     let began = Instant::now();
-                    let result = node.worker_client.order(&target, &order).await;
+                    let result = node.relay_client.order(&target, &order).await;
                     node.metrics.note_order(order.kind(), began.elapsed());
                     let _ = sender
                         .send(Event::OrderCompleted(
@@ -78,9 +78,9 @@
                 });
             }
             Effect::Poll(target, look) => {
-                let (calls, sender) = (self.node.worker_client.clone(), self.event_sender.clone());
+                let (calls, sender) = (self.node.relay_client.clone(), self.event_sender.clone());
                 task::spawn_local(async move {
-                    let result = calls.look(&target, &look).await;
+                    let result = calls.poll(&target, &look).await;
                     let _ = sender
                         .send(Event::WorkerPolled(target.incarnation, result))
                         .await;
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -95,7 +95,7 @@
                 tracing::warn!(%failure, "failed to read the log; retrying");
                 time::sleep(MAX_STEP_INTERVAL * 5).await;
                 if node
-                    .lead()
+                    .log_owner()
                     .is_none_or(|known| known.epoch != log_owner.epoch)
                 {
                     node.set_owner(None);
@@ -108,8 +108,8 @@
     tracing::info!(
         epoch = log_owner.epoch,
         next = replayed.next_position,
-        jobs = replayed.book.jobs.len(),
-        open = replayed.book.open().len(),
+        jobs = replayed.state.jobs.len(),
+        open = replayed.state.open().len(),
         took_ms = start.elapsed().as_millis(),
         "log replayed"
     );
@@ -118,7 +118,7 @@
     let core = Core::new(
         node.settings.tuning,
         log_owner.epoch,
-        replayed.book,
+        replayed.state,
         replayed.next_position,
         now,
     );
@@ -259,13 +259,13 @@
             self.stopped |= self.core.is_superseded();
             self.stopped |= self
                 .node
-                .lead()
+                .log_owner()
                 .is_none_or(|log_owner| log_owner.epoch != self.ownership.epoch);
         }
     }
 
     fn choose_relays(&self) {
-        let client = &self.node.worker_client;
+        let client = &self.node.relay_client;
         let workers = self.core.workers().len();
         if client.is_relay_choice_due(workers) {
             client.choose_relays(workers, &self.node.members());
@@ -316,7 +316,7 @@
         self.node
             .metrics
             .note_waits(&self.core.summarize_waits(now), &eligibility);
-        let client = &self.node.worker_client;
+        let client = &self.node.relay_client;
         self.node.metrics.note_pressure(
             self.core.congestion(),
             client.relays().len(),
--- a/ashtiller/src/workflow/owner/predecessor.rs
+++ b/ashtiller/src/workflow/owner/predecessor.rs
@@ -46,7 +46,7 @@
 /// Returns whether an owner is known to have ended: its process says so, another process answers
 /// at its address, or nothing listens there any more.
 async fn has_ended(node: &Rc<Node>, predecessor: &PreviousOwner) -> bool {
-    if predecessor.incarnation == node.life {
+    if predecessor.incarnation == node.incarnation {
         return true;
     }
     let request = PeerRequest::HasEnded(*predecessor);
--- a/ashtiller/src/workflow/relay/client.rs
+++ b/ashtiller/src/workflow/relay/client.rs
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// As [`WorkerClient::poll`]; over a relay also when the relay fails.
-    pub async fn look(self: &Rc<Self>, to: &Target, look: &Poll) -> Result<PollReply, Failure> {
+    pub async fn poll(self: &Rc<Self>, to: &Target, look: &Poll) -> Result<PollReply, Failure> {
         let Some(relay) = self.relay_for(to) else {
             let reply = self.agents.poll(to, look).await;
             self.note_direct_answer(to, reply.is_ok());
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -338,7 +338,7 @@
             wait: Duration::from_secs(2),
         };
         let began = time::Instant::now();
-        let looked = scene.sender.look(&target(0), &look).await;
+        let looked = scene.sender.poll(&target(0), &look).await;
         assert!(matches!(looked, Ok(PollReply::Report { clock: 7, .. })));
         assert!(began.elapsed() < Duration::from_millis(2100));
         assert_eq!(scene.workers.looks.lock()[..], [target(0)]);
--- a/ashtiller/tests/owner/compaction.rs
+++ b/ashtiller/tests/owner/compaction.rs
@@ -201,7 +201,7 @@
     let stall = Tuning::default().stall;
     assert!(longest < stall, "{longest:?} of {entries} entries");
     let replayed = Log::new(store, "flow/", 2).replay(Duration::ZERO).await;
-    let jobs = replayed.expect("a whole log").book.jobs.len();
+    let jobs = replayed.expect("a whole log").state.jobs.len();
     assert_eq!(jobs, book.jobs.len());
 }
 
@@ -212,7 +212,7 @@
     let book = book_of(200_000);
     compact_beside_entries(&store, &book).await;
     let replayed = Log::new(store, "flow/", 2).replay(Duration::ZERO).await;
-    let jobs = replayed.expect("a whole log").book.jobs.len();
+    let jobs = replayed.expect("a whole log").state.jobs.len();
     assert_eq!(jobs, book.jobs.len());
 }
 
@@ -244,7 +244,7 @@
     assert!(late.await.unwrap().is_err(), "it comes late");
     let replayed = log.replay(Duration::ZERO).await.expect("a whole log");
     assert_eq!(replayed.next_position, 5);
-    assert!(replayed.book.jobs.is_empty());
+    assert!(replayed.state.jobs.is_empty());
 }
 
 /// On a link that is fast the parts become large, so that a snapshot takes few calls.
