--- a/ashtiller/src/task/cell.rs
+++ b/ashtiller/src/task/cell.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::backlog::{Backlog, Priority};
-use crate::fact::{Attempt, End, Fact, TaskId};
+use crate::fact::{Attempt, End, LogRecord, TaskId};
 use crate::interference_model::Kinds;
 use crate::job::{Job, Phase, Placement, Task};
 use crate::peer::Submission;
@@ -182,15 +182,15 @@
     }
 
     /// Applies one record of the log entry at `position`; `now` is the time on the owner's clock.
-    pub fn apply(&mut self, record: &Fact, position: u64, now: Duration) {
+    pub fn apply(&mut self, record: &LogRecord, position: u64, now: Duration) {
         match record {
-            Fact::Submitted(submission) => {
+            LogRecord::Submitted(submission) => {
                 let number = self.durable_state.next_job;
                 self.durable_state.next_job += 1;
                 self.add_job(number, Job::new((**submission).clone()));
             }
-            Fact::Cancelled(job) => self.cancel(*job, position, now),
-            Fact::Placed {
+            LogRecord::Cancelled(job) => self.cancel(*job, position, now),
+            LogRecord::Placed {
                 attempt,
                 worker,
                 boot,
@@ -202,9 +202,9 @@
                 };
                 self.place(*attempt, placement);
             }
-            Fact::Evicting(attempt) => self.evict(*attempt, position, now),
-            Fact::Ended(attempt, end) => self.end(*attempt, *end, now),
-            Fact::Forgotten(job) => self.remove_job(*job),
+            LogRecord::Evicting(attempt) => self.evict(*attempt, position, now),
+            LogRecord::Ended(attempt, end) => self.end(*attempt, *end, now),
+            LogRecord::Forgotten(job) => self.remove_job(*job),
         }
     }
 
--- a/ashtiller/src/task/fact.rs
+++ b/ashtiller/src/task/fact.rs
@@ -48,7 +48,7 @@
 
 /// One event recorded in the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Fact {
+pub enum LogRecord {
     /// A job was accepted; it gets the next number.
     Submitted(Box<Submission>),
     /// A job was cancelled.
@@ -85,7 +85,7 @@
         at: u64,
     },
     /// Events, in order.
-    Facts(Vec<Fact>),
+    Facts(Vec<LogRecord>),
     /// The owner has handed the cell over and renews no leases.
     Handover,
 }
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -21,7 +21,7 @@
     Cancel, EntryWritten, HandOver, OwnershipChecked, Show, SnapshotWritten, Submit, Tick,
     WorkerAnswered, WorkersListed,
 };
-use crate::fact::{Body, Fact};
+use crate::fact::{Body, LogRecord};
 use crate::journal::{Journal, OpenedCell};
 use crate::peer::{Submission, Verdict};
 use crate::placement::InterferenceAware;
@@ -197,7 +197,7 @@
     pub(crate) durable: u64,
     pub(crate) write_in_flight: bool,
     pub(crate) last_write_at: Duration,
-    pub(crate) pending: Vec<Fact>,
+    pub(crate) pending: Vec<LogRecord>,
     pub(crate) replies: VecDeque<(u64, oneshot::Sender<Verdict>, Verdict)>,
     pub(crate) entries_since_snapshot: u32,
     pub(crate) snapshot_in_flight: bool,
@@ -305,7 +305,7 @@
         &mut self,
         reply: oneshot::Sender<Verdict>,
         verdict: Verdict,
-        record: Option<Fact>,
+        record: Option<LogRecord>,
     ) {
         // A verdict without a record of its own may depend on a record that is still pending.
         let pending = record.is_some() || !self.pending.is_empty();
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -13,7 +13,7 @@
 use crate::cell::Cell;
 use crate::endpoint;
 use crate::evict;
-use crate::fact::{Attempt, End, Fact, TaskId};
+use crate::fact::{Attempt, End, LogRecord, TaskId};
 use crate::interference_model::InterferenceModel;
 use crate::job::Phase;
 use crate::peer::{Submission, Verdict};
@@ -71,7 +71,7 @@
     }
 
     /// Runs one planning round; the returned records belong to the log entry at `position`.
-    pub fn plan_round(&mut self, cell: &mut Cell, position: u64, now: Duration) -> Vec<Fact> {
+    pub fn plan_round(&mut self, cell: &mut Cell, position: u64, now: Duration) -> Vec<LogRecord> {
         let mut records = Vec::new();
         self.record_lost_attempts(cell, &mut records, position, now);
         drain_leaving(cell, &mut records, position, now);
@@ -99,14 +99,14 @@
         report: &Report,
         position: u64,
         now: Duration,
-    ) -> Vec<Fact> {
+    ) -> Vec<LogRecord> {
         let mut records = Vec::new();
         if let Action::Evict(id) =
             worker_report::process_report(cell, &mut self.model, worker, report, now)
         {
             let number = cell.task(id).map_or(0, |(task, _)| task.attempt);
             let attempt = Attempt { task: id, number };
-            apply_record(cell, &mut records, Fact::Evicting(attempt), position, now);
+            apply_record(cell, &mut records, LogRecord::Evicting(attempt), position, now);
         }
         records
     }
@@ -120,7 +120,7 @@
     fn record_lost_attempts(
         &self,
         cell: &mut Cell,
-        records: &mut Vec<Fact>,
+        records: &mut Vec<LogRecord>,
         position: u64,
         now: Duration,
     ) {
@@ -142,7 +142,7 @@
             apply_record(
                 cell,
                 records,
-                Fact::Ended(attempt, End::Lost),
+                LogRecord::Ended(attempt, End::Lost),
                 position,
                 now,
             );
@@ -165,7 +165,7 @@
         &mut self,
         cell: &mut Cell,
         priority: Priority,
-        records: &mut Vec<Fact>,
+        records: &mut Vec<LogRecord>,
         position: u64,
         now: Duration,
     ) {
@@ -190,7 +190,7 @@
         cell: &mut Cell,
         priority: Priority,
         account: &Arc<str>,
-        records: &mut Vec<Fact>,
+        records: &mut Vec<LogRecord>,
         position: u64,
         now: Duration,
     ) -> bool {
@@ -224,7 +224,7 @@
                 apply_record(
                     cell,
                     records,
-                    Fact::Placed {
+                    LogRecord::Placed {
                         attempt,
                         worker,
                         boot,
@@ -343,7 +343,7 @@
         &mut self,
         cell: &mut Cell,
         id: TaskId,
-        records: &mut Vec<Fact>,
+        records: &mut Vec<LogRecord>,
         position: u64,
         now: Duration,
     ) {
@@ -359,7 +359,7 @@
             return;
         };
         for victim in victims {
-            apply_record(cell, records, Fact::Evicting(victim), position, now);
+            apply_record(cell, records, LogRecord::Evicting(victim), position, now);
         }
         self.reservations.insert(
             id,
@@ -385,8 +385,8 @@
 
 fn apply_record(
     cell: &mut Cell,
-    records: &mut Vec<Fact>,
-    record: Fact,
+    records: &mut Vec<LogRecord>,
+    record: LogRecord,
     position: u64,
     now: Duration,
 ) {
@@ -395,7 +395,7 @@
 }
 
 /// Evicts the tasks placed on workers that are leaving.
-fn drain_leaving(cell: &mut Cell, records: &mut Vec<Fact>, position: u64, now: Duration) {
+fn drain_leaving(cell: &mut Cell, records: &mut Vec<LogRecord>, position: u64, now: Duration) {
     let leaving: Vec<TaskId> = cell
         .workers
         .values()
@@ -411,12 +411,12 @@
                 task: id,
                 number: task.attempt,
             };
-            apply_record(cell, records, Fact::Evicting(attempt), position, now);
+            apply_record(cell, records, LogRecord::Evicting(attempt), position, now);
         }
     }
 }
 
-fn expire_ended_jobs(cell: &mut Cell, records: &mut Vec<Fact>, position: u64, now: Duration) {
+fn expire_ended_jobs(cell: &mut Cell, records: &mut Vec<LogRecord>, position: u64, now: Duration) {
     let expired: Vec<u32> = cell
         .durable_state()
         .jobs
@@ -428,7 +428,7 @@
         .take(MAX_RECORDS_PER_ROUND)
         .collect();
     for number in expired {
-        apply_record(cell, records, Fact::Forgotten(number), position, now);
+        apply_record(cell, records, LogRecord::Forgotten(number), position, now);
     }
 }
 
@@ -438,7 +438,7 @@
     submission: Submission,
     position: u64,
     now: Duration,
-) -> (Verdict, Option<Fact>) {
+) -> (Verdict, Option<LogRecord>) {
     if let Some(known) = cell.find_job(&submission.account, &submission.job) {
         let same = cell
             .job(known)
@@ -454,7 +454,7 @@
     if let Some(reason) = infeasible_reason(cell, &submission) {
         return (Verdict::Never(reason.into()), None);
     }
-    let record = Fact::Submitted(Box::new(submission));
+    let record = LogRecord::Submitted(Box::new(submission));
     cell.apply(&record, position, now);
     (Verdict::Accepted, Some(record))
 }
@@ -503,7 +503,7 @@
     job: &Arc<str>,
     position: u64,
     now: Duration,
-) -> (Verdict, Option<Fact>) {
+) -> (Verdict, Option<LogRecord>) {
     let Some(number) = cell.find_job(account, job) else {
         return (Verdict::Missing, None);
     };
@@ -513,7 +513,7 @@
     {
         return (Verdict::Known, None);
     }
-    let record = Fact::Cancelled(number);
+    let record = LogRecord::Cancelled(number);
     cell.apply(&record, position, now);
     (Verdict::Accepted, Some(record))
 }
--- a/ashtiller/src/task/reconcile.rs
+++ b/ashtiller/src/task/reconcile.rs
@@ -6,7 +6,7 @@
 
 use crate::agent::{Command, Ended, Report, ReportedEnd, SyncRequest};
 use crate::cell::Cell;
-use crate::fact::{Attempt, End, Fact, TaskId};
+use crate::fact::{Attempt, End, LogRecord, TaskId};
 use crate::job::Phase;
 use crate::session::{Change, Grant, LeaseTerms, ReportHeader};
 
@@ -153,7 +153,7 @@
     report: &Report,
     terms: &LeaseTerms,
     step: StepContext,
-) -> (Change, Vec<Fact>) {
+) -> (Change, Vec<LogRecord>) {
     let StepContext { epoch, now, .. } = step;
     let Some(worker_state) = cell.workers.get_mut(worker) else {
         return (Change::Same, Vec::new());
@@ -199,7 +199,7 @@
     cell: &mut Cell,
     worker: &Arc<str>,
     boot: u64,
-    records: &mut Vec<Fact>,
+    records: &mut Vec<LogRecord>,
     step: StepContext,
 ) {
     let Some(worker_state) = cell.workers.get(worker) else {
@@ -218,7 +218,7 @@
         })
         .collect();
     for attempt in lost {
-        apply_record(cell, records, Fact::Ended(attempt, End::Lost), step);
+        apply_record(cell, records, LogRecord::Ended(attempt, End::Lost), step);
     }
 }
 
@@ -256,7 +256,7 @@
     cell: &mut Cell,
     worker: &Arc<str>,
     ended: &Ended,
-    records: &mut Vec<Fact>,
+    records: &mut Vec<LogRecord>,
     step: StepContext,
 ) {
     let active =
@@ -273,7 +273,7 @@
             task: id,
             number: ended.attempt,
         };
-        apply_record(cell, records, Fact::Ended(attempt, end), step);
+        apply_record(cell, records, LogRecord::Ended(attempt, end), step);
         update_health(cell, worker, id, end, step.now);
     }
     let Some(worker_state) = cell.workers.get_mut(worker) else {
@@ -306,7 +306,7 @@
     }
 }
 
-fn apply_record(cell: &mut Cell, records: &mut Vec<Fact>, record: Fact, step: StepContext) {
+fn apply_record(cell: &mut Cell, records: &mut Vec<LogRecord>, record: LogRecord, step: StepContext) {
     cell.apply(&record, step.position, step.now);
     records.push(record);
 }
--- a/ashtiller/tests/fleet/mod.rs
+++ b/ashtiller/tests/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ashtiller::agent::{Report, SyncRequest};
-use ashtiller::fact::{Body, End, Entry, Fact, TaskId};
+use ashtiller::fact::{Body, End, Entry, LogRecord, TaskId};
 use ashtiller::peer::Submission;
 use ashtiller::resources::Resources;
 use ashtiller::template::Class;
@@ -175,7 +175,7 @@
         let ends: Vec<End> = facts
             .flatten()
             .filter_map(|fact| match fact {
-                Fact::Ended(_, end) => Some(*end),
+                LogRecord::Ended(_, end) => Some(*end),
                 _ => None,
             })
             .collect();
@@ -524,7 +524,7 @@
             _ => None,
         });
         facts.flatten().filter_map(move |fact| match fact {
-            Fact::Ended(attempt, end) if attempt.task == id => Some(*end),
+            LogRecord::Ended(attempt, end) if attempt.task == id => Some(*end),
             _ => None,
         })
     }
@@ -537,7 +537,7 @@
             _ => None,
         });
         let submitted = entries.flatten().filter_map(|fact| match fact {
-            Fact::Submitted(submission) => Some(submission.needs.processors),
+            LogRecord::Submitted(submission) => Some(submission.needs.processors),
             _ => None,
         });
         submitted.into_iter().nth(id.job as usize)
--- a/ashtiller/tests/fleet/node.rs
+++ b/ashtiller/tests/fleet/node.rs
@@ -6,7 +6,7 @@
 use ashtiller::agent::{Report, SyncRequest};
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
-use ashtiller::fact::{Body, Entry, Fact};
+use ashtiller::fact::{Body, Entry, LogRecord};
 use ashtiller::peer::Submission;
 use ashtiller::placement::InterferenceAware;
 use ashtiller::plan::{self, Planner};
@@ -40,7 +40,7 @@
     began: Duration,
     position: u64,
     durable: u64,
-    pending: Vec<Fact>,
+    pending: Vec<LogRecord>,
     writing: Option<Entry>,
 }
 
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -259,19 +259,19 @@
     said
 }
 
-fn fact_in_words(fact: &ashtiller::fact::Fact) -> String {
-    use ashtiller::fact::Fact;
+fn fact_in_words(fact: &ashtiller::fact::LogRecord) -> String {
+    use ashtiller::fact::LogRecord;
     match fact {
-        Fact::Submitted(job) => format!("submitted {} of {}", job.job, job.tasks),
-        Fact::Cancelled(job) => format!("cancelled {job}"),
-        Fact::Placed {
+        LogRecord::Submitted(job) => format!("submitted {} of {}", job.job, job.tasks),
+        LogRecord::Cancelled(job) => format!("cancelled {job}"),
+        LogRecord::Placed {
             attempt, worker, ..
         } => {
             format!("placed {}#{} on {worker}", attempt.task, attempt.number)
         }
-        Fact::Evicting(attempt) => format!("evicting {}#{}", attempt.task, attempt.number),
-        Fact::Ended(attempt, end) => format!("ended {}#{} {end:?}", attempt.task, attempt.number),
-        Fact::Forgotten(job) => format!("forgotten {job}"),
+        LogRecord::Evicting(attempt) => format!("evicting {}#{}", attempt.task, attempt.number),
+        LogRecord::Ended(attempt, end) => format!("ended {}#{} {end:?}", attempt.task, attempt.number),
+        LogRecord::Forgotten(job) => format!("forgotten {job}"),
     }
 }
 
--- a/bench/src/cells.rs
+++ b/bench/src/cells.rs
@@ -5,7 +5,7 @@
 
 use ashtiller::cell::Cell;
 use ashtiller::endpoint::Phase;
-use ashtiller::fact::{Attempt, End, Fact};
+use ashtiller::fact::{Attempt, End, LogRecord};
 use ashtiller::peer::Submission;
 use ashtiller::placement::InterferenceAware;
 use ashtiller::plan::{self, Planner};
@@ -167,7 +167,7 @@
         })
         .collect();
     for attempt in running {
-        cell.apply(&Fact::Ended(attempt, End::Finished), 1, NOW);
+        cell.apply(&LogRecord::Ended(attempt, End::Finished), 1, NOW);
     }
 }
 
--- a/bench/src/replay/world.rs
+++ b/bench/src/replay/world.rs
@@ -6,7 +6,7 @@
 
 use ashtiller::agent::{Command, Ended, Report, ReportedEnd, Running};
 use ashtiller::cell::Cell;
-use ashtiller::fact::{Attempt, Fact, TaskId};
+use ashtiller::fact::{Attempt, LogRecord, TaskId};
 use ashtiller::job::Phase;
 use ashtiller::peer::Submission;
 use ashtiller::plan::{self, Planner};
@@ -135,7 +135,7 @@
                 index: 0,
             };
             let attempt = Attempt { task, number: 1 };
-            let placed = Fact::Placed {
+            let placed = LogRecord::Placed {
                 attempt,
                 worker: name_of(worker),
                 boot: 1,
@@ -408,7 +408,7 @@
         );
         if placed {
             let attempt = Attempt { task: id, number };
-            self.cell.apply(&Fact::Evicting(attempt), 1, now);
+            self.cell.apply(&LogRecord::Evicting(attempt), 1, now);
         }
     }
 }
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -11,7 +11,7 @@
 use ashtiller::cell::Cell;
 use ashtiller::dispatch::{self, Dispatch, Limits, Next};
 use ashtiller::endpoint::{Listing, Phase};
-use ashtiller::fact::{Attempt, Body, End, Entry, Fact, TaskId};
+use ashtiller::fact::{Attempt, Body, End, Entry, LogRecord, TaskId};
 use ashtiller::health::Sample;
 use ashtiller::ledger::{Head, Ledger, Stored};
 use ashtiller::line::Ticket;
@@ -45,23 +45,23 @@
         Ok(quiet_bytes())
     })?;
     show("log entry of starts, B by start", [1, 10, 100], |starts| {
-        entry_bytes(starts, |attempt| Fact::Placed {
+        entry_bytes(starts, |attempt| LogRecord::Placed {
             attempt,
             worker: "worker-1234".into(),
             boot: 1_700_000_000_000,
         })
     })?;
     show("log entry of ends, B by end", [1, 10, 100], |ends| {
-        entry_bytes(ends, |attempt| Fact::Ended(attempt, End::Finished))
+        entry_bytes(ends, |attempt| LogRecord::Ended(attempt, End::Finished))
     })?;
     show(
         "log entry of evictions, B by eviction",
         [1, 10, 100],
-        |count| entry_bytes(count, Fact::Evicting),
+        |count| entry_bytes(count, LogRecord::Evicting),
     )?;
     show("log entry of jobs, B by job", [1, 10, 100], |jobs| {
         entry_bytes(jobs, |attempt| {
-            Fact::Submitted(Box::new(job(attempt.task.job)))
+            LogRecord::Submitted(Box::new(job(attempt.task.job)))
         })
     })?;
     show("snapshot, B by running task", [500, 2000, 8000], |tasks| {
@@ -203,7 +203,7 @@
     Attempt { task, number: 1 }
 }
 
-fn entry_bytes(count: usize, fact: impl Fn(Attempt) -> Fact) -> anyhow::Result<f64> {
+fn entry_bytes(count: usize, fact: impl Fn(Attempt) -> LogRecord) -> anyhow::Result<f64> {
     let facts = (0..count).map(|number| fact(attempt(number))).collect();
     let entry = Entry {
         epoch: 12,
