--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -106,7 +106,13 @@
         {
             let number = cell.task(id).map_or(0, |(task, _)| task.attempt);
             let attempt = Attempt { task: id, number };
-            apply_record(cell, &mut records, LogRecord::Evicting(attempt), position, now);
+            apply_record(
+                cell,
+                &mut records,
+                LogRecord::Evicting(attempt),
+                position,
+                now,
+            );
         }
         records
     }
--- a/ashtiller/src/task/reconcile.rs
+++ b/ashtiller/src/task/reconcile.rs
@@ -306,7 +306,12 @@
     }
 }
 
-fn apply_record(cell: &mut Cell, records: &mut Vec<LogRecord>, record: LogRecord, step: StepContext) {
+fn apply_record(
+    cell: &mut Cell,
+    records: &mut Vec<LogRecord>,
+    record: LogRecord,
+    step: StepContext,
+) {
     cell.apply(&record, step.position, step.now);
     records.push(record);
 }
--- a/ashtiller/src/workflow/core/advice.rs
+++ b/ashtiller/src/workflow/core/advice.rs
@@ -66,7 +66,10 @@
 impl Core {
     /// Returns the valid tickets for a task's step, by worker.
     pub(super) fn tickets(&self, task: Task, now: Now) -> BTreeMap<Incarnation, Arc<str>> {
-        let Some(advised) = self.advice_states.get(&(task.job, task.occurrence, task.step)) else {
+        let Some(advised) = self
+            .advice_states
+            .get(&(task.job, task.occurrence, task.step))
+        else {
             return BTreeMap::new();
         };
         let valid = advised
--- a/ashtiller/src/workflow/core/crashes.rs
+++ b/ashtiller/src/workflow/core/crashes.rs
@@ -116,9 +116,13 @@
     /// Returns whether the end of a worker was planned, by its own announcement or by an order.
     fn ends_as_planned(&self, worker: &Worker, at: Duration) -> bool {
         // Some workers withdraw their entry without an announcement and continue for a while.
-        let left = worker.unlisted_since.is_some_and(|since| worker.last_answer > since);
+        let left = worker
+            .unlisted_since
+            .is_some_and(|since| worker.last_answer > since);
         let remaining = worker.listed.remaining.unwrap_or(Duration::ZERO);
-        let drained = worker.draining_since.is_some_and(|since| at >= since + remaining);
+        let drained = worker
+            .draining_since
+            .is_some_and(|since| at >= since + remaining);
         drained || left || self.is_closed_for_upkeep(worker)
     }
 
@@ -184,8 +188,10 @@
             .workers
             .values()
             .filter(|worker| *worker.incarnation() != *id);
-        let mut silent =
-            silent.filter(|it| it.silent_since.is_some_and(|missed| is_simultaneous(missed, at)));
+        let mut silent = silent.filter(|it| {
+            it.silent_since
+                .is_some_and(|missed| is_simultaneous(missed, at))
+        });
         while unexplained < COMMON_CAUSE_WORKERS
             && let Some(worker) = silent.next()
         {
--- a/ashtiller/src/workflow/core/dispatch.rs
+++ b/ashtiller/src/workflow/core/dispatch.rs
@@ -40,8 +40,9 @@
     /// sent, the workers with the most urgent ones come first.
     fn fill_dispatch_queue(&mut self, free: usize, now: Now) {
         self.order_queue_built_at = now.at;
-        let needs_order =
-            |worker: &&Worker| worker.fenced && !worker.runs.is_empty() && may_receive_order(worker, now);
+        let needs_order = |worker: &&Worker| {
+            worker.fenced && !worker.runs.is_empty() && may_receive_order(worker, now)
+        };
         let pending = self.workers.values().filter(needs_order);
         if pending.clone().count() <= free {
             self.order_queue = pending.map(|worker| worker.incarnation().clone()).collect();
--- a/ashtiller/src/workflow/core/eligibility.rs
+++ b/ashtiller/src/workflow/core/eligibility.rs
@@ -77,7 +77,9 @@
         match () {
             () if !worker.fenced => Eligibility::Unfenced,
             () if !worker.answers => Eligibility::Silent,
-            () if worker.stale_ack_until.is_some_and(|until| until > now.at) => Eligibility::MayLoseEnds,
+            () if worker.stale_ack_until.is_some_and(|until| until > now.at) => {
+                Eligibility::MayLoseEnds
+            }
             () if worker.draining_since.is_some() => Eligibility::Draining,
             () if !self.accepts_starts(worker, now) => Eligibility::Unlisted,
             () if self.is_evacuated(worker) => Eligibility::Evacuated,
--- a/ashtiller/src/workflow/core/incarnations.rs
+++ b/ashtiller/src/workflow/core/incarnations.rs
@@ -215,7 +215,11 @@
         if let Some(worker) = self.workers.get_mut(incarnation)
             && let Some(entry) = entry
         {
-            (worker.has_entry, worker.unlisted_since, worker.draining_since) = entry;
+            (
+                worker.has_entry,
+                worker.unlisted_since,
+                worker.draining_since,
+            ) = entry;
             worker.former_drains = worker.draining_since.is_some();
         }
     }
--- a/ashtiller/src/workflow/core/orders.rs
+++ b/ashtiller/src/workflow/core/orders.rs
@@ -190,7 +190,8 @@
             worker.wake();
             let took = now.at.saturating_sub(worker.ordered);
             if worker.answers {
-                self.congestion.note_order(worker.incarnation(), took, now.at);
+                self.congestion
+                    .note_order(worker.incarnation(), took, now.at);
             } else {
                 self.congestion.note_end();
             }
--- a/ashtiller/src/workflow/core/pacing.rs
+++ b/ashtiller/src/workflow/core/pacing.rs
@@ -104,13 +104,19 @@
             let live = self.runs.get(run)?;
             matches!(live.share, RunSharing::Fills(_)).then_some(live.placed)
         });
-        filled.min().unwrap_or(now.at).max(worker.last_within_target)
+        filled
+            .min()
+            .unwrap_or(now.at)
+            .max(worker.last_within_target)
     }
 
     /// Updates headrooms and interference factors from what services reported beside these fills.
     fn learn(&mut self, services: &[Service], neighbors: &[NeighborFill], now: Now) {
         for service in services {
-            let history = self.headroom_history.entry(service.run.task.job).or_default();
+            let history = self
+                .headroom_history
+                .entry(service.run.task.job)
+                .or_default();
             let own_headroom = history.trend(now.at).map(|trend| trend.level);
             self.interference
                 .learn(service.image, service.target_ratio, own_headroom, neighbors);
@@ -177,8 +183,11 @@
         let Some(worker) = self.workers.get_mut(&live.worker) else {
             return;
         };
-        let share = live.requested_processors * f64::from(live.pace) / 100.0 / processors_of(worker);
-        worker.recent_fills.retain(|(_, _, at)| now.at < *at + report);
+        let share =
+            live.requested_processors * f64::from(live.pace) / 100.0 / processors_of(worker);
+        worker
+            .recent_fills
+            .retain(|(_, _, at)| now.at < *at + report);
         worker.recent_fills.push((image, share, now.at));
     }
 
--- a/ashtiller/src/workflow/core/plan.rs
+++ b/ashtiller/src/workflow/core/plan.rs
@@ -224,8 +224,8 @@
             }
             let no_failures = request.failed_on.is_empty();
             let index = if no_failures {
-                let ranking =
-                    ranking.get_or_insert_with(|| self.rank_candidates(&round.candidates, &request));
+                let ranking = ranking
+                    .get_or_insert_with(|| self.rank_candidates(&round.candidates, &request));
                 ranking.pop_best(&round.candidates)
             } else {
                 self.choose_worker(&round.candidates, &request)
@@ -236,7 +236,13 @@
                     round.note_unplaceable(demand.clone());
                 }
                 if asks_advisor {
-                    self.request_advice(first, tasks.len() - placed, &round.candidates, &request, now);
+                    self.request_advice(
+                        first,
+                        tasks.len() - placed,
+                        &round.candidates,
+                        &request,
+                        now,
+                    );
                 }
                 return;
             };
@@ -297,7 +303,8 @@
             vec![None]
         };
         for rack in racks {
-            let Some(chosen) = self.choose_gang(&suspects, request, &round.candidates, rack.as_ref())
+            let Some(chosen) =
+                self.choose_gang(&suspects, request, &round.candidates, rack.as_ref())
             else {
                 continue;
             };
--- a/ashtiller/src/workflow/core/upkeep.rs
+++ b/ashtiller/src/workflow/core/upkeep.rs
@@ -286,7 +286,8 @@
         }
         progress.steps.insert(machine.clone(), UpkeepStep::Ordered);
         let order = MachineOrder::Upkeep(progress.wave.number);
-        self.effects.push(Effect::MachineOrder(machine.clone(), order));
+        self.effects
+            .push(Effect::MachineOrder(machine.clone(), order));
     }
 
     /// Handles the reply to an order to a machine.
--- a/ashtiller/src/workflow/core/wait_report.rs
+++ b/ashtiller/src/workflow/core/wait_report.rs
@@ -26,7 +26,10 @@
     /// Logs what a long-running step needs and which workers could take it, if it has waited for
     /// long.
     pub(super) fn log_wait(&mut self, pending: WaitingStep, round: &PlacementRound, now: Now) {
-        let since = self.job_timings.ready_since(pending.key()).unwrap_or(now.at);
+        let since = self
+            .job_timings
+            .ready_since(pending.key())
+            .unwrap_or(now.at);
         let due = self
             .wait_logged_at
             .get(&pending.key())
@@ -59,7 +62,10 @@
         ];
         for pending in self.collect_waiting_steps(now) {
             let waits = &mut kinds[usize::from(!self.is_long_running(&pending))].1;
-            let since = self.job_timings.ready_since(pending.key()).unwrap_or(now.at);
+            let since = self
+                .job_timings
+                .ready_since(pending.key())
+                .unwrap_or(now.at);
             waits.tasks += u32::try_from(self.waiting_tasks(pending).len()).unwrap_or(u32::MAX);
             waits.longest = waits.longest.max(now.at.saturating_sub(since));
         }
@@ -68,8 +74,11 @@
 
     /// Returns the steps that have waited longest, for a dump.
     pub(super) fn dump_waits(&self, limit: usize, now: Now) -> Vec<serde_json::Value> {
-        let since =
-            |pending: &WaitingStep| self.job_timings.ready_since(pending.key()).unwrap_or(now.at);
+        let since = |pending: &WaitingStep| {
+            self.job_timings
+                .ready_since(pending.key())
+                .unwrap_or(now.at)
+        };
         let mut waiting = self.collect_waiting_steps(now);
         waiting.sort_by_key(since);
         let longest = waiting.iter().take(limit).map(|pending| {
--- a/ashtiller/src/workflow/membership/election.rs
+++ b/ashtiller/src/workflow/membership/election.rs
@@ -106,7 +106,10 @@
 async fn follow(node: &Rc<Node>, owner: &LogOwner) -> Loss {
     let mut grace_end = Instant::now() + NEW_OWNER_GRACE;
     loop {
-        if node.log_owner().is_none_or(|known| known.epoch != owner.epoch) {
+        if node
+            .log_owner()
+            .is_none_or(|known| known.epoch != owner.epoch)
+        {
             return Loss::Replaced;
         }
         let began = Instant::now();
--- a/ashtiller/src/workflow/node/forward.rs
+++ b/ashtiller/src/workflow/node/forward.rs
@@ -59,7 +59,10 @@
         if self.owns() {
             return Ok(self.ask_local_owner(request.clone(), remaining).await);
         }
-        let Some(owner) = self.log_owner().filter(|owner| owner.incarnation != self.incarnation) else {
+        let Some(owner) = self
+            .log_owner()
+            .filter(|owner| owner.incarnation != self.incarnation)
+        else {
             return Ok(Reply::NotOwner);
         };
         self.links
--- a/ashtiller/tests/owner/news.rs
+++ b/ashtiller/tests/owner/news.rs
@@ -101,7 +101,9 @@
     assert_eq!(driver.core.counts().lost, 0);
     assert_eq!(driver.stops().len(), 0);
     driver.ticket += 1;
-    driver.core.cancel("1", RequestToken(driver.ticket), driver.now);
+    driver
+        .core
+        .cancel("1", RequestToken(driver.ticket), driver.now);
     driver.pass(100 * MS);
     assert_eq!(driver.stops().len(), 1);
 }
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -270,7 +270,9 @@
             format!("placed {}#{} on {worker}", attempt.task, attempt.number)
         }
         LogRecord::Evicting(attempt) => format!("evicting {}#{}", attempt.task, attempt.number),
-        LogRecord::Ended(attempt, end) => format!("ended {}#{} {end:?}", attempt.task, attempt.number),
+        LogRecord::Ended(attempt, end) => {
+            format!("ended {}#{} {end:?}", attempt.task, attempt.number)
+        }
         LogRecord::Forgotten(job) => format!("forgotten {job}"),
     }
 }
