--- a/ashtiller/src/workflow/log/mod.rs
+++ b/ashtiller/src/workflow/log/mod.rs
@@ -307,8 +307,8 @@
     }
 
     /// Confirms, after an entry was found written, that this process still owns the log: a former
-    /// owner must not act on the entry. Returns a moment no later
-    /// than the one at which the confirming read was sent.
+    /// owner must not act on the entry. Returns a moment no later than the one at which the
+    /// confirming read was sent.
     async fn confirm_lead(&self, epoch: u64, mut sent: Moment) -> Result<Moment, AppendError> {
         loop {
             match self.read_owner(false).await {
--- a/ashtiller/src/workflow/membership/handover.rs
+++ b/ashtiller/src/workflow/membership/handover.rs
@@ -6,7 +6,7 @@
 use crate::workflow::membership::member::{MAX_STORE_AGE_MS, Member};
 
 /// Time without an answer of the store after which the log is handed over to an instance that
-/// reaches it. The slowest answers seen took 0.35 s.
+/// reaches it: above the slowest answers seen, which took 0.35 s.
 const HANDOVER_STALL: Duration = Duration::from_millis(800);
 /// Time by which answers to calls in flight may arrive after the store became unreachable.
 const LATE_REPLY_MARGIN: Duration = Duration::from_millis(100);
