--- a/ashtiller/src/agreed/apply.rs
+++ b/ashtiller/src/agreed/apply.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use crate::failure::{Failure, RemoteEffect};
-use crate::ledger::{self, Head, Stored};
+use crate::ledger::{self, Head, StoredTemplate};
 use crate::store::{Commit, Item, Store};
 
 /// What became of a template.
@@ -15,9 +15,9 @@
     /// The store holds the same text already.
     Unchanged(u64),
     /// A dry run: it would replace this text.
-    Would(Option<Arc<str>>),
+    DryRun(Option<Arc<str>>),
     /// Another operator was faster; this is the text now.
-    Raced(u64, Arc<str>),
+    Conflict(u64, Arc<str>),
 }
 
 /// The value of an account that a change starts from.
@@ -25,7 +25,7 @@
 pub struct Base {
     head: Head,
     head_index: u64,
-    stored: Option<Stored>,
+    stored: Option<StoredTemplate>,
     index: u64,
 }
 
@@ -45,8 +45,8 @@
 /// # Errors
 /// The store cannot be read, or holds what is not a template's value.
 pub async fn read(store: &dyn Store, account: &str) -> Result<Base, Failure> {
-    let (head, head_index) = read_key(store, ledger::HEAD).await?;
-    let key = format!("{}{account}", ledger::ACCOUNTS);
+    let (head, head_index) = read_key(store, ledger::HEAD_KEY).await?;
+    let key = format!("{}{account}", ledger::ACCOUNT_PREFIX);
     let (stored, index) = read_key(store, &key).await?;
     Ok(Base {
         head: head.unwrap_or_default(),
@@ -84,19 +84,19 @@
         return Ok(Applied::Unchanged(stored.revision));
     }
     if dry {
-        return Ok(Applied::Would(base.text().cloned()));
+        return Ok(Applied::DryRun(base.text().cloned()));
     }
     let mut base = base.clone();
     loop {
         let head = base.head.next(account, now_millis());
-        let stored = Stored {
+        let stored = StoredTemplate {
             revision: head.revision,
             text: text.clone(),
         };
         let writes = [
-            ledger::swap(ledger::HEAD.to_owned(), &head, base.head_index),
+            ledger::swap(ledger::HEAD_KEY.to_owned(), &head, base.head_index),
             ledger::swap(
-                format!("{}{account}", ledger::ACCOUNTS),
+                format!("{}{account}", ledger::ACCOUNT_PREFIX),
                 &stored,
                 base.index,
             ),
@@ -116,7 +116,7 @@
             let (revision, text) = fresh
                 .stored
                 .map_or((0, Arc::from("")), |stored| (stored.revision, stored.text));
-            return Ok(Applied::Raced(revision, text));
+            return Ok(Applied::Conflict(revision, text));
         }
         // Only the head moved, by a change of another account.
         base = fresh;
--- a/ashtiller/src/agreed/config.rs
+++ b/ashtiller/src/agreed/config.rs
@@ -17,7 +17,7 @@
 use tokio::time;
 
 use crate::failure::Failure;
-use crate::ledger::{self, Force, Head, Ledger, Next, Stored, Taken};
+use crate::ledger::{self, ActiveConfig, Head, ConfigState, HeadAction, StoredTemplate, AdoptResult};
 use crate::store::{Commit, Store, Write};
 
 /// Longest wait of the watch. Its end shows what a watch that was not woken missed,
@@ -31,25 +31,25 @@
 /// A running configuration actor.
 pub struct Config {
     actor: ActorRef<Keeper>,
-    force: watch::Receiver<Arc<Force>>,
+    force: watch::Receiver<Arc<ActiveConfig>>,
     watcher: JoinHandle<()>,
 }
 
 impl Config {
     /// The configuration in force.
     #[must_use]
-    pub fn force(&self) -> Arc<Force> {
+    pub fn force(&self) -> Arc<ActiveConfig> {
         self.force.borrow().clone()
     }
 
     /// A receiver that is told of each change.
     #[must_use]
-    pub fn subscribe(&self) -> watch::Receiver<Arc<Force>> {
+    pub fn subscribe(&self) -> watch::Receiver<Arc<ActiveConfig>> {
         self.force.clone()
     }
 
     /// Another process knows `revision`; looks at the store when it is newer.
-    pub fn heard(&self, revision: u64) {
+    pub fn observe_revision(&self, revision: u64) {
         if revision > self.force.borrow().revision {
             let _ = self.actor.tell(Look).try_send();
         }
@@ -65,10 +65,10 @@
 
 /// Starts the actor; it keeps trying while the store is down.
 pub fn spawn(store: Arc<dyn Store>) -> Config {
-    let (sender, force) = watch::channel(Arc::new(Force::default()));
+    let (sender, force) = watch::channel(Arc::new(ActiveConfig::default()));
     let actor = Keeper::spawn(Keeper {
         store: store.clone(),
-        ledger: Ledger::default(),
+        ledger: ConfigState::default(),
         sender,
     });
     let watcher = tokio::spawn(watch_head(store, actor.clone()));
@@ -82,7 +82,7 @@
 async fn watch_head(store: Arc<dyn Store>, actor: ActorRef<Keeper>) {
     let mut index = 0;
     loop {
-        let Ok(view) = store.watch(ledger::HEAD, index, WAIT).await else {
+        let Ok(view) = store.watch(ledger::HEAD_KEY, index, WAIT).await else {
             time::sleep(PAUSE).await;
             index = 0;
             continue;
@@ -98,8 +98,8 @@
 
 struct Keeper {
     store: Arc<dyn Store>,
-    ledger: Ledger,
-    sender: watch::Sender<Arc<Force>>,
+    ledger: ConfigState,
+    sender: watch::Sender<Arc<ActiveConfig>>,
 }
 
 impl Actor for Keeper {
@@ -149,7 +149,7 @@
     type Reply = ();
 
     async fn handle(&mut self, _: Look, _: &mut Context<Self, ()>) {
-        if let Ok(item) = self.store.get(ledger::HEAD).await {
+        if let Ok(item) = self.store.get(ledger::HEAD_KEY).await {
             let value = item.map(|item| item.value);
             if let Some(head) = read_head(value.as_deref()) {
                 let _ = self.follow(&head).await;
@@ -168,31 +168,31 @@
 
 impl Keeper {
     async fn follow(&mut self, head: &Head) -> Result<(), Failure> {
-        match self.ledger.look(head) {
-            Next::Rest => Ok(()),
-            Next::Read(accounts) => self.read(head, &accounts).await,
-            Next::ReadAll => self.read_all(head).await,
-            Next::Repair(lost) => self.repair(lost).await,
+        match self.ledger.next_action(head) {
+            HeadAction::UpToDate => Ok(()),
+            HeadAction::Read(accounts) => self.read(head, &accounts).await,
+            HeadAction::ReadAll => self.read_all(head).await,
+            HeadAction::Repair(lost) => self.repair(lost).await,
         }
     }
 
     async fn read(&mut self, head: &Head, accounts: &[Arc<str>]) -> Result<(), Failure> {
         for account in accounts {
-            let key = format!("{}{account}", ledger::ACCOUNTS);
+            let key = format!("{}{account}", ledger::ACCOUNT_PREFIX);
             if let Some(item) = self.store.get(&key).await? {
                 self.take(account, &item.value);
             }
         }
-        self.ledger.reach(head.revision, false);
+        self.ledger.advance_to(head.revision, false);
         self.publish();
         Ok(())
     }
 
     async fn read_all(&mut self, head: &Head) -> Result<(), Failure> {
-        let view = self.store.list(ledger::ACCOUNTS).await?;
+        let view = self.store.list(ledger::ACCOUNT_PREFIX).await?;
         let mut seen = BTreeMap::new();
         for item in &view.items {
-            let Some(account) = item.key.strip_prefix(ledger::ACCOUNTS) else {
+            let Some(account) = item.key.strip_prefix(ledger::ACCOUNT_PREFIX) else {
                 continue;
             };
             let account = Arc::from(account);
@@ -200,9 +200,9 @@
                 seen.insert(account, revision);
             }
         }
-        self.ledger.reach(head.revision, true);
+        self.ledger.advance_to(head.revision, true);
         self.publish();
-        let lost = self.ledger.lost(&seen);
+        let lost = self.ledger.missing_in_store(&seen);
         if lost.is_empty() {
             Ok(())
         } else {
@@ -211,7 +211,7 @@
     }
 
     fn take(&mut self, account: &Arc<str>, value: &[u8]) -> Option<u64> {
-        let stored: Stored = match serde_json::from_slice(value) {
+        let stored: StoredTemplate = match serde_json::from_slice(value) {
             Ok(stored) => stored,
             Err(error) => {
                 tracing::warn!(%account, %error, "a damaged template was left out");
@@ -219,25 +219,25 @@
             }
         };
         let revision = stored.revision;
-        match self.ledger.take(account, stored) {
-            Taken::Adopted => tracing::info!(%account, revision, "configuration in force"),
-            Taken::Older => tracing::warn!(%account, revision, "an older template was refused"),
-            Taken::Invalid(mistakes) => {
+        match self.ledger.adopt(account, stored) {
+            AdoptResult::Adopted => tracing::info!(%account, revision, "configuration in force"),
+            AdoptResult::Older => tracing::warn!(%account, revision, "an older template was refused"),
+            AdoptResult::Invalid(mistakes) => {
                 tracing::warn!(%account, %mistakes, "an invalid template was left out");
             }
-            Taken::Same => {}
+            AdoptResult::Same => {}
         }
         Some(revision)
     }
 
     fn publish(&self) {
-        self.sender.send_replace(Arc::new(self.ledger.force()));
+        self.sender.send_replace(Arc::new(self.ledger.active()));
     }
 
     /// Writes newer values again after the store fell back. Several processes may
     /// do so at once; the comparison lets one of them win.
-    async fn repair(&mut self, lost: Vec<(Arc<str>, Stored)>) -> Result<(), Failure> {
-        let item = self.store.get(ledger::HEAD).await?;
+    async fn repair(&mut self, lost: Vec<(Arc<str>, StoredTemplate)>) -> Result<(), Failure> {
+        let item = self.store.get(ledger::HEAD_KEY).await?;
         let (value, index) = item.map_or((None, 0), |item| (Some(item.value), item.index));
         let Some(mut head) = read_head(value.as_deref()) else {
             return Ok(());
@@ -254,7 +254,7 @@
         }
         head.revision = head.revision.max(self.ledger.revision());
         head.changes.sort_by_key(|change| change.revision);
-        writes.push(ledger::swap(ledger::HEAD.to_owned(), &head, index));
+        writes.push(ledger::swap(ledger::HEAD_KEY.to_owned(), &head, index));
         let done = self.store.commit(&writes).await? == Commit::Done;
         if done {
             tracing::warn!(
@@ -268,12 +268,12 @@
     async fn repair_one(
         &self,
         account: &Arc<str>,
-        stored: &Stored,
+        stored: &StoredTemplate,
     ) -> Result<Option<Write>, Failure> {
-        let key = format!("{}{account}", ledger::ACCOUNTS);
+        let key = format!("{}{account}", ledger::ACCOUNT_PREFIX);
         let item = self.store.get(&key).await?;
         let index = item.as_ref().map_or(0, |item| item.index);
-        let found = item.and_then(|item| serde_json::from_slice::<Stored>(&item.value).ok());
+        let found = item.and_then(|item| serde_json::from_slice::<StoredTemplate>(&item.value).ok());
         let older = found.is_none_or(|found| found.revision < stored.revision);
         Ok(older.then(|| ledger::swap(key, stored, index)))
     }
--- a/ashtiller/src/agreed/document.rs
+++ b/ashtiller/src/agreed/document.rs
@@ -85,13 +85,13 @@
 
     /// Whether the file has the section.
     #[must_use]
-    pub fn has(&self, section: &str) -> bool {
+    pub fn has_section(&self, section: &str) -> bool {
         self.sections.contains_key(section)
     }
 
     /// Names behind `[kind name]` sections, in order.
     #[must_use]
-    pub fn named(&self, kind: &str) -> Vec<String> {
+    pub fn names_of(&self, kind: &str) -> Vec<String> {
         self.sections
             .keys()
             .filter_map(|section| section.strip_prefix(kind)?.strip_prefix(' '))
@@ -191,7 +191,7 @@
         let allowed = "1 to 63 letters, digits, `-`, `_` or `.`";
         let default = default.map(Arc::from);
         self.read(key, default, allowed, |text| {
-            is_name(text).then(|| Arc::from(text))
+            is_valid_name(text).then(|| Arc::from(text))
         })
         .unwrap_or_else(|| Arc::from(""))
     }
@@ -211,8 +211,8 @@
         range: RangeInclusive<Duration>,
     ) -> Duration {
         let (low, high) = (
-            unit::show_duration(*range.start()),
-            unit::show_duration(*range.end()),
+            unit::format_duration(*range.start()),
+            unit::format_duration(*range.end()),
         );
         let allowed = format!("a time in ms, s, min or h from {low} to {high}");
         let parse = |text: &str| unit::parse_duration(text).filter(|time| range.contains(time));
@@ -232,8 +232,8 @@
     /// Reads a size in bytes within `range`.
     pub fn size(&mut self, key: &str, default: Option<u64>, range: RangeInclusive<u64>) -> u64 {
         let (low, high) = (
-            unit::show_size(*range.start()),
-            unit::show_size(*range.end()),
+            unit::format_size(*range.start()),
+            unit::format_size(*range.end()),
         );
         let allowed = format!("a size in B, KiB, MiB, GiB or TiB from {low} to {high}");
         let parse = |text: &str| unit::parse_size(text).filter(|size| range.contains(size));
@@ -301,7 +301,7 @@
 
 /// Whether `text` can name an account, service, job or instance.
 #[must_use]
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(allowed)
 }
--- a/ashtiller/src/agreed/ledger.rs
+++ b/ashtiller/src/agreed/ledger.rs
@@ -16,9 +16,9 @@
 use crate::template::Template;
 
 /// Key of the head.
-pub const HEAD: &str = "ashtiller/config/head";
+pub const HEAD_KEY: &str = "ashtiller/config/head";
 /// Prefix of the accounts' keys.
-pub const ACCOUNTS: &str = "ashtiller/config/account/";
+pub const ACCOUNT_PREFIX: &str = "ashtiller/config/account/";
 /// Changes that the head names.
 const CHANGES_MAX: usize = 16;
 
@@ -42,7 +42,7 @@
 
 /// An account's value in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Stored {
+pub struct StoredTemplate {
     /// Revision of the change that wrote it.
     pub revision: u64,
     /// Template as INI; empty when the account was removed.
@@ -72,25 +72,25 @@
 pub fn swap(key: String, value: &impl Serialize, index: u64) -> Write {
     // These types have no map keys or numbers that JSON cannot write.
     let value = serde_json::to_vec(value).unwrap_or_default().into();
-    Write::Swap { key, value, index }
+    Write::CompareAndSwap { key, value, index }
 }
 
 /// What to read or write after a look at the head.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum HeadAction {
     /// Nothing has changed.
-    Rest,
+    UpToDate,
     /// Read these accounts.
     Read(Vec<Arc<str>>),
     /// Read every account.
     ReadAll,
     /// The store fell back: write these newer values again.
-    Repair(Vec<(Arc<str>, Stored)>),
+    Repair(Vec<(Arc<str>, StoredTemplate)>),
 }
 
 /// What became of a value that was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum AdoptResult {
     /// It is in force now.
     Adopted,
     /// It was in force already.
@@ -104,13 +104,13 @@
 /// One account in force.
 #[derive(Clone, Debug)]
 struct Entry {
-    stored: Stored,
+    stored: StoredTemplate,
     template: Option<Arc<Template>>,
 }
 
 /// Accounts in force, shared as a whole.
 #[derive(Clone, Debug, Default)]
-pub struct Force {
+pub struct ActiveConfig {
     /// Newest revision in force.
     pub revision: u64,
     /// Templates by account.
@@ -119,13 +119,13 @@
 
 /// The configuration in force.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct ConfigState {
     revision: u64,
     whole: bool,
     entries: BTreeMap<Arc<str>, Entry>,
 }
 
-impl Ledger {
+impl ConfigState {
     /// Newest revision in force.
     #[must_use]
     pub fn revision(&self) -> u64 {
@@ -134,15 +134,15 @@
 
     /// Decides what a head asks for.
     #[must_use]
-    pub fn look(&self, head: &Head) -> Next {
+    pub fn next_action(&self, head: &Head) -> HeadAction {
         if !self.whole {
-            return Next::ReadAll;
+            return HeadAction::ReadAll;
         }
         if head.revision < self.revision {
-            return Next::Repair(self.newer_than(head.revision));
+            return HeadAction::Repair(self.newer_than(head.revision));
         }
         if head.revision == self.revision {
-            return Next::Rest;
+            return HeadAction::UpToDate;
         }
         // Only a head that names the revision in force continues from it: one that
         // does not is too far ahead, or the store fell back in between.
@@ -151,7 +151,7 @@
             .iter()
             .any(|change| change.revision == self.revision)
         {
-            return Next::ReadAll;
+            return HeadAction::ReadAll;
         }
         let mut accounts: Vec<Arc<str>> = head
             .changes
@@ -161,10 +161,10 @@
             .collect();
         accounts.sort();
         accounts.dedup();
-        Next::Read(accounts)
+        HeadAction::Read(accounts)
     }
 
-    fn newer_than(&self, revision: u64) -> Vec<(Arc<str>, Stored)> {
+    fn newer_than(&self, revision: u64) -> Vec<(Arc<str>, StoredTemplate)> {
         self.entries
             .iter()
             .filter(|(_, entry)| entry.stored.revision > revision)
@@ -173,13 +173,13 @@
     }
 
     /// Takes one account's value.
-    pub fn take(&mut self, account: &Arc<str>, stored: Stored) -> Taken {
+    pub fn adopt(&mut self, account: &Arc<str>, stored: StoredTemplate) -> AdoptResult {
         if let Some(entry) = self.entries.get(account) {
             if stored.revision < entry.stored.revision {
-                return Taken::Older;
+                return AdoptResult::Older;
             }
             if stored == entry.stored {
-                return Taken::Same;
+                return AdoptResult::Same;
             }
         }
         let template = if stored.text.is_empty() {
@@ -187,23 +187,23 @@
         } else {
             match Template::parse(account, &stored.text) {
                 Ok(template) => Some(Arc::new(template)),
-                Err(mistakes) => return Taken::Invalid(mistakes),
+                Err(mistakes) => return AdoptResult::Invalid(mistakes),
             }
         };
         self.entries
             .insert(account.clone(), Entry { stored, template });
-        Taken::Adopted
+        AdoptResult::Adopted
     }
 
     /// Every account named by a head of `revision` has been read.
-    pub fn reach(&mut self, revision: u64, whole: bool) {
+    pub fn advance_to(&mut self, revision: u64, whole: bool) {
         self.revision = self.revision.max(revision);
         self.whole |= whole;
     }
 
     /// Values in force that the store lacks or has in an older revision.
     #[must_use]
-    pub fn lost(&self, seen: &BTreeMap<Arc<str>, u64>) -> Vec<(Arc<str>, Stored)> {
+    pub fn missing_in_store(&self, seen: &BTreeMap<Arc<str>, u64>) -> Vec<(Arc<str>, StoredTemplate)> {
         self.entries
             .iter()
             .filter(|(account, entry)| {
@@ -216,13 +216,13 @@
 
     /// A copy for readers.
     #[must_use]
-    pub fn force(&self) -> Force {
+    pub fn active(&self) -> ActiveConfig {
         let templates = self
             .entries
             .iter()
             .filter_map(|(account, entry)| Some((account.clone(), entry.template.clone()?)))
             .collect();
-        Force {
+        ActiveConfig {
             revision: self.revision,
             templates,
         }
--- a/ashtiller/src/agreed/members.rs
+++ b/ashtiller/src/agreed/members.rs
@@ -11,11 +11,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::peer::{Greeting, Role};
+use crate::peer::{Heartbeat, Role};
 use crate::settings;
 
 /// Prefix of the members' keys.
-pub const PREFIX: &str = "ashtiller/members/";
+pub const KEY_PREFIX: &str = "ashtiller/members/";
 /// How often two members exchange heartbeats.
 const GREET_EVERY: Duration = Duration::from_secs(2);
 /// Silence after which the member that is not to begin asks all the same.
@@ -64,13 +64,13 @@
     /// The member's key in the store.
     #[must_use]
     pub fn key(&self) -> String {
-        format!("{PREFIX}{}/{}", self.role.name(), self.name)
+        format!("{KEY_PREFIX}{}/{}", self.role.name(), self.name)
     }
 }
 
 /// What is known of one member.
 #[derive(Clone, Debug, Serialize)]
-pub struct Known {
+pub struct MemberState {
     /// Its own description.
     pub member: Member,
     /// Whether the store lists it.
@@ -90,18 +90,18 @@
 /// All members known.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    known: BTreeMap<(Role, Arc<str>), Known>,
+    known: BTreeMap<(Role, Arc<str>), MemberState>,
 }
 
 impl Members {
     /// Takes the store's list.
-    pub fn list(&mut self, members: &[Member], now: Duration) {
+    pub fn update_list(&mut self, members: &[Member], now: Duration) {
         for known in self.known.values_mut() {
             known.listed = false;
         }
         for member in members {
             let key = (member.role, member.name.clone());
-            let fresh = Known {
+            let fresh = MemberState {
                 member: member.clone(),
                 listed: true,
                 leaving: false,
@@ -127,7 +127,7 @@
     }
 
     /// Takes the answer to a heartbeat, or its failure.
-    pub fn heard(&mut self, role: Role, name: &str, answer: Option<&Greeting>, now: Duration) {
+    pub fn heard(&mut self, role: Role, name: &str, answer: Option<&Heartbeat>, now: Duration) {
         let Some(known) = self.known.get_mut(&(role, Arc::from(name))) else {
             return;
         };
@@ -148,7 +148,7 @@
     /// first in order begins, so that a pair costs one exchange; the other asks
     /// when it hears nothing, and anyone asks again after a failure.
     #[must_use]
-    pub fn due(&self, own: &Member, now: Duration) -> Vec<Member> {
+    pub fn heartbeats_due(&self, own: &Member, now: Duration) -> Vec<Member> {
         let first = (own.role, own.name.clone());
         let due = self.known.iter().filter(|(key, known)| {
             let silence = now.saturating_sub(known.heard);
@@ -163,13 +163,13 @@
     }
 
     /// Everything known, for heartbeats and the dump.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &MemberState> {
         self.known.values()
     }
 
     /// Names of the members of a role that work can be dealt to.
     #[must_use]
-    pub fn present(&self, role: Role) -> Vec<Arc<str>> {
+    pub fn available(&self, role: Role) -> Vec<Arc<str>> {
         self.known
             .values()
             .filter(|known| known.member.role == role && !known.leaving && known.misses < MISSES)
@@ -179,13 +179,13 @@
 
     /// One member.
     #[must_use]
-    pub fn get(&self, role: Role, name: &str) -> Option<&Known> {
+    pub fn get(&self, role: Role, name: &str) -> Option<&MemberState> {
         self.known.get(&(role, Arc::from(name)))
     }
 
     /// The scheduler that last said it owns `cell`.
     #[must_use]
-    pub fn owner(&self, cell: &str) -> Option<&Known> {
+    pub fn owner(&self, cell: &str) -> Option<&MemberState> {
         self.known
             .values()
             .filter(|known| known.cells.iter().any(|name| &**name == cell))
--- a/ashtiller/src/agreed/membership.rs
+++ b/ashtiller/src/agreed/membership.rs
@@ -14,9 +14,9 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::members::{self, Member, Members};
-use crate::peer::{Greeting, Role};
+use crate::peer::{Heartbeat, Role};
 use crate::store::Store;
-use crate::wire::Wire;
+use crate::wire::RpcClient;
 
 /// How often members are looked at for a heartbeat that is due.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
@@ -36,13 +36,13 @@
     /// Lease of the member's key.
     pub lease: Duration,
     /// Wire to other processes.
-    pub wire: Wire,
+    pub wire: RpcClient,
     /// Configuration, told of newer revisions.
     pub config: Arc<Config>,
     /// Time.
     pub clock: Arc<dyn Clock>,
     /// This process's heartbeat.
-    pub greeting: Arc<dyn Fn() -> Greeting + Send + Sync>,
+    pub greeting: Arc<dyn Fn() -> Heartbeat + Send + Sync>,
 }
 
 /// A running membership.
@@ -68,19 +68,19 @@
     }
 
     /// Tells every member at once what this process's heartbeat says now.
-    pub async fn spread(&self) {
+    pub async fn broadcast(&self) {
         let others = self.members();
         let mut greetings = JoinSet::new();
         for known in others.iter().filter(|known| known.member != self.args.own) {
             let peer = self.args.wire.connect(known.member.peers);
             let greeting = (self.args.greeting)();
-            greetings.spawn(async move { peer.greet(greeting).await });
+            greetings.spawn(async move { peer.heartbeat(greeting).await });
         }
         greetings.join_all().await;
     }
 
     /// Takes a heartbeat that another member began.
-    pub fn greeted(&self, greeting: Greeting, now: Duration) {
+    pub fn receive_heartbeat(&self, greeting: Heartbeat, now: Duration) {
         let Some(role) = Role::parse(&greeting.role) else {
             return;
         };
@@ -97,7 +97,7 @@
     }
 
     /// Stops to announce and to watch, as a kill does.
-    pub fn end(&self) {
+    pub fn abort(&self) {
         for task in &self.tasks {
             task.abort();
         }
@@ -105,7 +105,7 @@
     }
 
     /// Takes this process off the store's list, in a planned stop.
-    pub async fn leave(&self) {
+    pub async fn deregister(&self) {
         for task in &self.tasks {
             task.abort();
         }
@@ -118,7 +118,7 @@
 
 impl Drop for Membership {
     fn drop(&mut self) {
-        self.end();
+        self.abort();
     }
 }
 
@@ -151,7 +151,7 @@
     let value = serde_json::to_vec(&args.own).unwrap_or_default();
     let key = args.own.key();
     loop {
-        let opened = args.store.lease(args.lease).await;
+        let opened = args.store.open_lease(args.lease).await;
         let Ok(lease) = opened else {
             time::sleep(PAUSE).await;
             continue;
@@ -159,7 +159,7 @@
         held.send_replace(Some(lease.clone()));
         // The key of an earlier life is held by a lease that soon ends.
         while !matches!(
-            args.store.hold(&key, value.clone().into(), &lease).await,
+            args.store.acquire(&key, value.clone().into(), &lease).await,
             Ok(true)
         ) {
             time::sleep(PAUSE).await;
@@ -180,7 +180,7 @@
 async fn watch_members(args: Arc<Args>, actor: ActorRef<Registrar>) {
     let mut index = 0;
     loop {
-        let Ok(view) = args.store.watch(members::PREFIX, index, WAIT).await else {
+        let Ok(view) = args.store.watch(members::KEY_PREFIX, index, WAIT).await else {
             time::sleep(PAUSE).await;
             index = 0;
             continue;
@@ -219,7 +219,7 @@
                 continue;
             }
         }
-        let due = members.borrow().due(&args.own, args.clock.now());
+        let due = members.borrow().heartbeats_due(&args.own, args.clock.now());
         for member in due {
             let key = (member.role, member.name.clone());
             if busy.insert(key.clone()) {
@@ -237,13 +237,13 @@
     let answer = args
         .wire
         .connect(member.peers)
-        .greet((args.greeting)())
+        .heartbeat((args.greeting)())
         .await
         .ok();
     // A greeting from another life at the same address says nothing of this one.
     let answer = answer.filter(|greeting| greeting.name == member.name);
     if let Some(greeting) = &answer {
-        args.config.heard(greeting.revision);
+        args.config.observe_revision(greeting.revision);
     }
     let heard = Heard {
         role: member.role,
@@ -278,7 +278,7 @@
 struct Heard {
     role: Role,
     name: Arc<str>,
-    answer: Option<Greeting>,
+    answer: Option<Heartbeat>,
     now: Duration,
 }
 
@@ -286,7 +286,7 @@
     type Reply = ();
 
     async fn handle(&mut self, listed: Listed, _: &mut Context<Self, ()>) {
-        self.members.list(&listed.list, listed.now);
+        self.members.update_list(&listed.list, listed.now);
         self.sender.send_replace(Arc::new(self.members.clone()));
     }
 }
--- a/ashtiller/src/agreed/template.rs
+++ b/ashtiller/src/agreed/template.rs
@@ -44,7 +44,7 @@
     /// Time limit of a request that names none.
     pub timeout: Duration,
     /// Methods that may be repeated.
-    pub repeat: Vec<Arc<str>>,
+    pub repeatable_methods: Vec<Arc<str>>,
     /// Most requests in flight in one gateway.
     pub limit: u32,
     /// Most requests that wait in one gateway.
@@ -55,7 +55,7 @@
     /// Whether a request with this method may run twice.
     #[must_use]
     pub fn may_repeat(&self, method: &str) -> bool {
-        self.repeat.iter().any(|name| &**name == method)
+        self.repeatable_methods.iter().any(|name| &**name == method)
     }
 }
 
@@ -123,9 +123,9 @@
 
 fn read_names(document: &mut Document, kind: &str) -> Vec<(Arc<str>, String)> {
     let mut names = Vec::new();
-    for name in document.named(kind) {
+    for name in document.names_of(kind) {
         let section = format!("{kind} {name}");
-        if !document::is_name(&name) {
+        if !document::is_valid_name(&name) {
             let allowed = "1 to 63 letters, digits, `-`, `_` or `.`";
             document.add_mistake(&section, "", &format!("the name `{name}`"), allowed);
         }
@@ -146,11 +146,11 @@
             class,
             target: section.duration("target", Some(timeout), SECOND / 1000..=HOUR),
             timeout,
-            repeat: section.words("repeat", "GET, HEAD, OPTIONS"),
+            repeatable_methods: section.words("repeat", "GET, HEAD, OPTIONS"),
             limit: section.count("limit", Some(1024), 1..=1_000_000),
             queue: section.count("queue", Some(256), 0..=1_000_000),
         };
-        for method in &service.repeat {
+        for method in &service.repeatable_methods {
             let known = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"];
             if !known.contains(&&**method) {
                 section.reject("repeat", &format!("`{method}`"), &known.join(", "));
--- a/ashtiller/src/agreed/unit.rs
+++ b/ashtiller/src/agreed/unit.rs
@@ -49,7 +49,7 @@
 
 /// Writes a duration with the largest unit that leaves no remainder.
 #[must_use]
-pub fn show_duration(duration: Duration) -> String {
+pub fn format_duration(duration: Duration) -> String {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
     let fits = TIMES
         .iter()
@@ -61,7 +61,7 @@
 
 /// Writes a size with the largest unit that leaves no remainder.
 #[must_use]
-pub fn show_size(bytes: u64) -> String {
+pub fn format_size(bytes: u64) -> String {
     let units = [SIZES[3], SIZES[2], SIZES[1], SIZES[0]];
     let fits = units
         .iter()
--- a/ashtiller/src/base/resources.rs
+++ b/ashtiller/src/base/resources.rs
@@ -76,7 +76,7 @@
         if thousandths > 0 {
             write!(f, ".{thousandths:03}")?;
         }
-        write!(f, " processors, {} memory", unit::show_size(self.memory))?;
+        write!(f, " processors, {} memory", unit::format_size(self.memory))?;
         write!(f, ", {} accelerators", self.accelerators)
     }
 }
--- a/ashtiller/src/command.rs
+++ b/ashtiller/src/command.rs
@@ -274,8 +274,8 @@
             Applied::Unchanged(revision) => {
                 println!("{path}: {account} unchanged, revision {revision}");
             }
-            Applied::Would(old) => show_change(path, old.as_deref().unwrap_or(""), &text),
-            Applied::Raced(revision, now) => {
+            Applied::DryRun(old) => show_change(path, old.as_deref().unwrap_or(""), &text),
+            Applied::Conflict(revision, now) => {
                 raced = true;
                 println!("{path}: {account} was changed meanwhile, to revision {revision}");
                 show_change(path, base.text().map_or("", |text| text), &now);
@@ -380,7 +380,7 @@
             names.push(text);
         }
     }
-    if names.len() < least || names.iter().any(|name| !ashtiller::document::is_name(name)) {
+    if names.len() < least || names.iter().any(|name| !ashtiller::document::is_valid_name(name)) {
         return Err(Failed::Wrong(format!(
             "wrong names or number of names\n\n{USAGE}"
         )));
--- a/ashtiller/src/net/calls.rs
+++ b/ashtiller/src/net/calls.rs
@@ -19,32 +19,32 @@
 
 use crate::codec;
 use crate::failure::Failure;
-use crate::meter::{self, Meter};
-use crate::peer::{Ask, Greeting, Submission, Verdict};
+use crate::meter::{self, CountedStream};
+use crate::peer::{LoanRequest, Heartbeat, Submission, JobReply};
 use crate::schema::peer_capnp::peer;
 
 /// Where an answer goes.
-pub type Asked<T> = oneshot::Sender<Result<T, Failure>>;
+pub type ReplySender<T> = oneshot::Sender<Result<T, Failure>>;
 
 /// A call that waits for the wire's thread.
 pub enum Call {
     /// Heartbeat.
-    Greet(Greeting, Asked<Greeting>),
+    Heartbeat(Heartbeat, ReplySender<Heartbeat>),
     /// Question for slots.
-    Lend(Ask, Asked<Vec<(u64, u32)>>),
+    Lend(LoanRequest, ReplySender<Vec<(u64, u32)>>),
     /// A job for a cell.
-    Submit(Arc<str>, Box<Submission>, Asked<Verdict>),
+    Submit(Arc<str>, Box<Submission>, ReplySender<JobReply>),
     /// Cancellation of cell, account, job.
-    Cancel([Arc<str>; 3], Asked<Verdict>),
+    Cancel([Arc<str>; 3], ReplySender<JobReply>),
     /// State of cell, account, job.
-    Show([Arc<str>; 3], Asked<String>),
+    Show([Arc<str>; 3], ReplySender<String>),
 }
 
 /// A connection as the library sees it.
-pub type Network<R = OwnedReadHalf> = twoparty::VatNetwork<Compat<Meter<R>>>;
+pub type Network<R = OwnedReadHalf> = twoparty::VatNetwork<Compat<CountedStream<R>>>;
 
 /// One connection, counted and without delay.
-pub fn network_of(stream: TcpStream, side: Side, bytes: &Arc<meter::Bytes>) -> Network {
+pub fn tcp_network(stream: TcpStream, side: Side, bytes: &Arc<meter::ByteCounts>) -> Network {
     // A delayed small message would cost more than the saved packet.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
@@ -52,21 +52,21 @@
 }
 
 /// One connection over any pair of streams, counted.
-pub fn network_over<R, W>(reader: R, writer: W, side: Side, bytes: &Arc<meter::Bytes>) -> Network<R>
+pub fn network_over<R, W>(reader: R, writer: W, side: Side, bytes: &Arc<meter::ByteCounts>) -> Network<R>
 where
     R: AsyncRead + Unpin + 'static,
     W: AsyncWrite + Unpin + 'static,
 {
-    let reader = Meter::new(reader, bytes.clone()).compat();
-    let writer = Meter::new(writer, bytes.clone()).compat_write();
+    let reader = CountedStream::new(reader, bytes.clone()).compat();
+    let writer = CountedStream::new(writer, bytes.clone()).compat_write();
     twoparty::VatNetwork::new(reader, writer, side, capnp::message::ReaderOptions::new())
 }
 
 /// Carries out queued calls until the queue is closed; each may take `limit`.
-pub async fn carry(
+pub async fn run(
     mut received: mpsc::Receiver<(SocketAddr, Call)>,
     limit: Duration,
-    bytes: Arc<meter::Bytes>,
+    bytes: Arc<meter::ByteCounts>,
 ) {
     let links = Rc::new(Links {
         open: RefCell::default(),
@@ -79,7 +79,7 @@
 
 struct Links {
     open: RefCell<HashMap<SocketAddr, Rc<Link>>>,
-    bytes: Arc<meter::Bytes>,
+    bytes: Arc<meter::ByteCounts>,
 }
 
 /// One connection to another process; dropping it closes it.
@@ -104,7 +104,7 @@
             .await
             .map_err(|error| Failure::no_effect(step, address, error))?;
         let mut system = RpcSystem::new(
-            Box::new(network_of(stream, Side::Client, &self.bytes)),
+            Box::new(tcp_network(stream, Side::Client, &self.bytes)),
             None,
         );
         let client: peer::Client = system.bootstrap(Side::Server);
@@ -128,7 +128,7 @@
 
 async fn perform(links: Rc<Links>, address: SocketAddr, asked: Call, limit: Duration) {
     match asked {
-        Call::Greet(mine, asked) => {
+        Call::Heartbeat(mine, asked) => {
             let done = within(&links, "greet", address, limit, |client| {
                 greet(client, mine)
             });
@@ -182,14 +182,14 @@
     Err(failure)
 }
 
-async fn greet(client: peer::Client, mine: Greeting) -> Result<Greeting, capnp::Error> {
+async fn greet(client: peer::Client, mine: Heartbeat) -> Result<Heartbeat, capnp::Error> {
     let mut request = client.greet_request();
     codec::write_greeting(request.get().init_mine(), &mine);
     let response = request.send().promise.await?;
     codec::read_greeting(response.get()?.get_yours()?)
 }
 
-async fn lend(client: peer::Client, ask: Ask) -> Result<Vec<(u64, u32)>, capnp::Error> {
+async fn lend(client: peer::Client, ask: LoanRequest) -> Result<Vec<(u64, u32)>, capnp::Error> {
     let mut request = client.lend_request();
     codec::write_ask(request.get().init_ask(), &ask);
     let response = request.send().promise.await?;
@@ -200,7 +200,7 @@
     client: peer::Client,
     cell: Arc<str>,
     job: Box<Submission>,
-) -> Result<Verdict, capnp::Error> {
+) -> Result<JobReply, capnp::Error> {
     let mut request = client.submit_request();
     request.get().set_cell(&*cell);
     codec::write_submission(request.get().init_job(), &job);
@@ -208,7 +208,7 @@
     codec::read_verdict(response.get()?.get_verdict()?)
 }
 
-async fn cancel(client: peer::Client, names: [Arc<str>; 3]) -> Result<Verdict, capnp::Error> {
+async fn cancel(client: peer::Client, names: [Arc<str>; 3]) -> Result<JobReply, capnp::Error> {
     let mut request = client.cancel_request();
     request.get().set_cell(&*names[0]);
     request.get().set_account(&*names[1]);
--- a/ashtiller/src/net/codec.rs
+++ b/ashtiller/src/net/codec.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::peer::{Ask, Greeting, Submission, Verdict};
+use crate::peer::{LoanRequest, Heartbeat, Submission, JobReply};
 use crate::resources::Resources;
 use crate::schema::peer_capnp as schema;
 use crate::template::Class;
@@ -23,7 +23,7 @@
 }
 
 /// Writes a heartbeat.
-pub fn write_greeting(mut to: schema::greeting::Builder, greeting: &Greeting) {
+pub fn write_greeting(mut to: schema::greeting::Builder, greeting: &Heartbeat) {
     to.set_name(&*greeting.name);
     to.set_role(&*greeting.role);
     to.set_revision(greeting.revision);
@@ -38,13 +38,13 @@
 ///
 /// # Errors
 /// A field is damaged.
-pub fn read_greeting(from: schema::greeting::Reader) -> Result<Greeting, capnp::Error> {
+pub fn read_greeting(from: schema::greeting::Reader) -> Result<Heartbeat, capnp::Error> {
     let cells: Result<Vec<_>, capnp::Error> = from
         .get_cells()?
         .iter()
         .map(|cell| read_name(cell?))
         .collect();
-    Ok(Greeting {
+    Ok(Heartbeat {
         name: read_name(from.get_name()?)?,
         role: read_name(from.get_role()?)?,
         revision: from.get_revision(),
@@ -71,11 +71,11 @@
 }
 
 /// Writes a question for slots.
-pub fn write_ask(mut to: schema::ask::Builder, ask: &Ask) {
+pub fn write_ask(mut to: schema::ask::Builder, ask: &LoanRequest) {
     to.set_service(&*ask.service);
     to.set_borrower(&*ask.borrower);
     to.set_want(u16::try_from(ask.want).unwrap_or(u16::MAX));
-    to.set_settles(ask.settles);
+    to.set_settles(ask.replaces_loan);
     write_loans(to.init_keep(length(ask.keep.len())), &ask.keep);
 }
 
@@ -83,13 +83,13 @@
 ///
 /// # Errors
 /// A field is damaged.
-pub fn read_ask(from: schema::ask::Reader) -> Result<Ask, capnp::Error> {
-    Ok(Ask {
+pub fn read_ask(from: schema::ask::Reader) -> Result<LoanRequest, capnp::Error> {
+    Ok(LoanRequest {
         service: read_name(from.get_service()?)?,
         borrower: read_name(from.get_borrower()?)?,
         keep: read_loans(from.get_keep()?),
         want: from.get_want().into(),
-        settles: from.get_settles(),
+        replaces_loan: from.get_settles(),
     })
 }
 
@@ -154,15 +154,15 @@
 }
 
 /// Writes a verdict.
-pub fn write_verdict(mut to: schema::verdict::Builder, verdict: &Verdict) {
+pub fn write_verdict(mut to: schema::verdict::Builder, verdict: &JobReply) {
     match verdict {
-        Verdict::Accepted => to.set_accepted(()),
-        Verdict::Known => to.set_known(()),
-        Verdict::Conflict(reason) => to.set_conflict(&**reason),
-        Verdict::Never(reason) => to.set_never(&**reason),
-        Verdict::NotOwner(owner) => to.set_not_owner(&**owner),
-        Verdict::Unknown(reason) => to.set_unknown(&**reason),
-        Verdict::Missing => to.set_missing(()),
+        JobReply::Accepted => to.set_accepted(()),
+        JobReply::Known => to.set_known(()),
+        JobReply::Conflict(reason) => to.set_conflict(&**reason),
+        JobReply::Never(reason) => to.set_never(&**reason),
+        JobReply::NotOwner(owner) => to.set_not_owner(&**owner),
+        JobReply::Unknown(reason) => to.set_unknown(&**reason),
+        JobReply::Missing => to.set_missing(()),
     }
 }
 
@@ -170,15 +170,15 @@
 ///
 /// # Errors
 /// A field is damaged or not known to this version.
-pub fn read_verdict(from: schema::verdict::Reader) -> Result<Verdict, capnp::Error> {
+pub fn read_verdict(from: schema::verdict::Reader) -> Result<JobReply, capnp::Error> {
     use schema::verdict::Which;
     Ok(match from.which()? {
-        Which::Accepted(()) => Verdict::Accepted,
-        Which::Known(()) => Verdict::Known,
-        Which::Conflict(reason) => Verdict::Conflict(read_name(reason?)?),
-        Which::Never(reason) => Verdict::Never(read_name(reason?)?),
-        Which::NotOwner(owner) => Verdict::NotOwner(read_name(owner?)?),
-        Which::Unknown(reason) => Verdict::Unknown(read_name(reason?)?),
-        Which::Missing(()) => Verdict::Missing,
+        Which::Accepted(()) => JobReply::Accepted,
+        Which::Known(()) => JobReply::Known,
+        Which::Conflict(reason) => JobReply::Conflict(read_name(reason?)?),
+        Which::Never(reason) => JobReply::Never(read_name(reason?)?),
+        Which::NotOwner(owner) => JobReply::NotOwner(read_name(owner?)?),
+        Which::Unknown(reason) => JobReply::Unknown(read_name(reason?)?),
+        Which::Missing(()) => JobReply::Missing,
     })
 }
--- a/ashtiller/src/net/consul.rs
+++ b/ashtiller/src/net/consul.rs
@@ -16,8 +16,8 @@
 use crate::endpoint::Phase;
 use crate::failure::Failure;
 use crate::resources::Resources;
-use crate::roster::{self, Roster};
-use crate::store::{Called, Commit, Item, Store, View, Write};
+use crate::roster::{self, ServiceCatalog};
+use crate::store::{CallFuture, Commit, Item, Store, View, Write};
 use crate::unit;
 use crate::web;
 
@@ -79,7 +79,7 @@
 
 /// Calls made to the store since the start.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads and watches.
     pub reads: AtomicU64,
     /// Writes and lease calls.
@@ -93,7 +93,7 @@
     address: SocketAddr,
     timeout: Duration,
     client: web::Client,
-    calls: Arc<Calls>,
+    calls: Arc<CallCounts>,
 }
 
 /// Opens a client; no connection is made yet.
@@ -110,7 +110,7 @@
 impl Consul {
     /// Calls made so far.
     #[must_use]
-    pub fn calls(&self) -> &Arc<Calls> {
+    pub fn calls(&self) -> &Arc<CallCounts> {
         &self.calls
     }
 
@@ -204,7 +204,7 @@
 }
 
 impl Store for Consul {
-    fn get<'a>(&'a self, key: &'a str) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move {
             let view = self
                 .read("get", &format!("/v1/kv/{key}"), self.timeout)
@@ -213,14 +213,14 @@
         })
     }
 
-    fn list<'a>(&'a self, prefix: &'a str) -> Called<'a, View> {
+    fn list<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, View> {
         Box::pin(async move {
             self.read("list", &format!("/v1/kv/{prefix}?recurse"), self.timeout)
                 .await
         })
     }
 
-    fn watch<'a>(&'a self, prefix: &'a str, index: u64, wait: Duration) -> Called<'a, View> {
+    fn watch<'a>(&'a self, prefix: &'a str, index: u64, wait: Duration) -> CallFuture<'a, View> {
         Box::pin(async move {
             let millis = wait.as_millis();
             let target = format!("/v1/kv/{prefix}?recurse&index={index}&wait={millis}ms");
@@ -228,7 +228,7 @@
         })
     }
 
-    fn swap<'a>(&'a self, key: &'a str, value: Bytes, index: u64) -> Called<'a, bool> {
+    fn compare_and_swap<'a>(&'a self, key: &'a str, value: Bytes, index: u64) -> CallFuture<'a, bool> {
         Box::pin(async move {
             self.write(
                 "swap",
@@ -240,7 +240,7 @@
         })
     }
 
-    fn commit<'a>(&'a self, writes: &'a [Write]) -> Called<'a, Commit> {
+    fn commit<'a>(&'a self, writes: &'a [Write]) -> CallFuture<'a, Commit> {
         Box::pin(async move {
             let steps: Vec<Step> = writes.iter().map(step_of).collect();
             let body = serde_json::to_vec(&steps)
@@ -261,7 +261,7 @@
         })
     }
 
-    fn remove<'a>(&'a self, key: &'a str, index: u64) -> Called<'a, bool> {
+    fn remove<'a>(&'a self, key: &'a str, index: u64) -> CallFuture<'a, bool> {
         Box::pin(async move {
             let target = format!("/v1/kv/{key}?cas={index}");
             self.write("remove", Method::DELETE, &target, Bytes::new())
@@ -269,7 +269,7 @@
         })
     }
 
-    fn remove_all<'a>(&'a self, prefix: &'a str) -> Called<'a, ()> {
+    fn remove_all<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, ()> {
         Box::pin(async move {
             let target = format!("/v1/kv/{prefix}?recurse");
             self.write("remove all", Method::DELETE, &target, Bytes::new())
@@ -278,7 +278,7 @@
         })
     }
 
-    fn lease(&self, ttl: Duration) -> Called<'_, Arc<str>> {
+    fn open_lease(&self, ttl: Duration) -> CallFuture<'_, Arc<str>> {
         Box::pin(async move {
             let ttl = format!("{}ms", ttl.as_millis());
             let body = serde_json::json!({ "TTL": ttl, "Behavior": "delete" }).to_string();
@@ -291,7 +291,7 @@
         })
     }
 
-    fn renew<'a>(&'a self, lease: &'a str) -> Called<'a, bool> {
+    fn renew<'a>(&'a self, lease: &'a str) -> CallFuture<'a, bool> {
         Box::pin(async move {
             let target = format!("/v1/session/renew/{lease}");
             let answer = self
@@ -305,7 +305,7 @@
         })
     }
 
-    fn revoke<'a>(&'a self, lease: &'a str) -> Called<'a, ()> {
+    fn revoke<'a>(&'a self, lease: &'a str) -> CallFuture<'a, ()> {
         Box::pin(async move {
             let target = format!("/v1/session/destroy/{lease}");
             self.write("revoke", Method::PUT, &target, Bytes::new())
@@ -314,7 +314,7 @@
         })
     }
 
-    fn hold<'a>(&'a self, key: &'a str, value: Bytes, lease: &'a str) -> Called<'a, bool> {
+    fn acquire<'a>(&'a self, key: &'a str, value: Bytes, lease: &'a str) -> CallFuture<'a, bool> {
         Box::pin(async move {
             let target = format!("/v1/kv/{key}?acquire={lease}");
             self.write("hold", Method::PUT, &target, value).await
@@ -322,13 +322,13 @@
     }
 }
 
-impl Roster for Consul {
+impl ServiceCatalog for Consul {
     fn watch<'a>(
         &'a self,
         service: &'a str,
         index: u64,
         wait: Duration,
-    ) -> Called<'a, roster::Listed> {
+    ) -> CallFuture<'a, roster::InstanceList> {
         Box::pin(async move {
             let millis = wait.as_millis();
             let target = format!("/v1/catalog/service/{service}?index={index}&wait={millis}ms");
@@ -345,7 +345,7 @@
             }
             let listed: Vec<Listed> = self.decode("instances", &answer.body)?;
             let instances = listed.iter().filter_map(instance_of).collect();
-            Ok(roster::Listed {
+            Ok(roster::InstanceList {
                 instances,
                 index: answer.index.unwrap_or(0),
             })
@@ -355,13 +355,13 @@
 
 fn step_of(write: &Write) -> Step<'_> {
     let kv = match write {
-        Write::Swap { key, value, index } => StepBody {
+        Write::CompareAndSwap { key, value, index } => StepBody {
             verb: "cas",
             key,
             value: STANDARD.encode(value),
             index: *index,
         },
-        Write::Absent { key } => StepBody {
+        Write::CheckAbsent { key } => StepBody {
             verb: "check-not-exists",
             key,
             value: String::new(),
--- a/ashtiller/src/net/follow.rs
+++ b/ashtiller/src/net/follow.rs
@@ -7,7 +7,7 @@
 use tokio::task::JoinHandle;
 use tokio::time;
 
-use crate::roster::{Instance, Roster};
+use crate::roster::{Instance, ServiceCatalog};
 
 /// Longest wait of a watch; its end reads the whole list again. With the slack of a call
 /// (2 s) and the pause after it (1 s, unless set), it bounds what a silent connection hides:
@@ -15,12 +15,12 @@
 const WAIT: Duration = Duration::from_secs(2);
 
 /// A running follower.
-pub struct Follower {
+pub struct ServiceWatcher {
     list: watch::Receiver<Arc<Vec<Instance>>>,
     task: JoinHandle<()>,
 }
 
-impl Follower {
+impl ServiceWatcher {
     /// The list as last read; empty before the first reading.
     #[must_use]
     pub fn list(&self) -> Arc<Vec<Instance>> {
@@ -34,7 +34,7 @@
     }
 }
 
-impl Drop for Follower {
+impl Drop for ServiceWatcher {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -42,14 +42,14 @@
 
 /// Starts to follow a service; a failed reading is tried again after `pause`.
 #[must_use]
-pub fn spawn(roster: Arc<dyn Roster>, service: Arc<str>, pause: Duration) -> Follower {
+pub fn spawn(roster: Arc<dyn ServiceCatalog>, service: Arc<str>, pause: Duration) -> ServiceWatcher {
     let (sender, list) = watch::channel(Arc::default());
     let task = tokio::spawn(follow(roster, service, pause, sender));
-    Follower { list, task }
+    ServiceWatcher { list, task }
 }
 
 async fn follow(
-    roster: Arc<dyn Roster>,
+    roster: Arc<dyn ServiceCatalog>,
     service: Arc<str>,
     pause: Duration,
     sender: watch::Sender<Arc<Vec<Instance>>>,
--- a/ashtiller/src/net/hosted.rs
+++ b/ashtiller/src/net/hosted.rs
@@ -9,7 +9,7 @@
 use crate::schema::peer_capnp::peer;
 
 /// Serves a [`Peer`] to other processes.
-pub struct Hosted {
+pub struct PeerServer {
     /// The own process.
     pub peer: Arc<dyn Peer>,
 }
@@ -18,7 +18,7 @@
     capnp::Error::failed(failure.to_string())
 }
 
-impl peer::Server for Hosted {
+impl peer::Server for PeerServer {
     async fn greet(
         self: Rc<Self>,
         params: peer::GreetParams,
@@ -27,7 +27,7 @@
         let mine = codec::read_greeting(params.get()?.get_mine()?)?;
         let yours = self
             .peer
-            .greet(mine)
+            .heartbeat(mine)
             .await
             .map_err(|failure| remote_error(&failure))?;
         codec::write_greeting(results.get().init_yours(), &yours);
--- a/ashtiller/src/net/meter.rs
+++ b/ashtiller/src/net/meter.rs
@@ -10,7 +10,7 @@
 
 /// Bytes of all connections of one process with its peers.
 #[derive(Debug, Default)]
-pub struct Bytes {
+pub struct ByteCounts {
     /// Bytes received.
     pub received: AtomicU64,
     /// Bytes sent.
@@ -19,19 +19,19 @@
 
 /// A stream, or half of one, whose bytes are counted.
 #[derive(Debug)]
-pub struct Meter<S> {
+pub struct CountedStream<S> {
     stream: S,
-    bytes: Arc<Bytes>,
+    bytes: Arc<ByteCounts>,
 }
 
-impl<S> Meter<S> {
+impl<S> CountedStream<S> {
     /// Counts what passes through `stream`.
-    pub fn new(stream: S, bytes: Arc<Bytes>) -> Self {
+    pub fn new(stream: S, bytes: Arc<ByteCounts>) -> Self {
         Self { stream, bytes }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Meter<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -45,7 +45,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Meter<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/ashtiller/src/net/ops.rs
+++ b/ashtiller/src/net/ops.rs
@@ -56,10 +56,10 @@
 }
 
 /// Status and JSON body of an answer to an operator.
-pub type Said = (StatusCode, String);
+pub type CommandReply = (StatusCode, String);
 
 /// A role as operators see it.
-pub trait Operated: Send + Sync {
+pub trait OperatorApi: Send + Sync {
     /// Health.
     fn health(&self) -> Health;
     /// Metrics.
@@ -67,16 +67,16 @@
     /// The whole state, bounded in size.
     fn dump(&self) -> BoxFuture<'_, String>;
     /// A command of the role; `None` when there is no such command.
-    fn command(&self, command: Command) -> BoxFuture<'_, Option<Said>>;
+    fn command(&self, command: Command) -> BoxFuture<'_, Option<CommandReply>>;
 }
 
 /// A running operators' port.
-pub struct Ops {
+pub struct OperatorServer {
     address: SocketAddr,
     listener: JoinHandle<()>,
 }
 
-impl Ops {
+impl OperatorServer {
     /// The address that the kernel gave.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
@@ -84,7 +84,7 @@
     }
 }
 
-impl Drop for Ops {
+impl Drop for OperatorServer {
     fn drop(&mut self) {
         self.listener.abort();
     }
@@ -94,15 +94,15 @@
 ///
 /// # Errors
 /// The port cannot be bound.
-pub async fn bind(address: SocketAddr, role: Arc<dyn Operated>) -> Result<Ops, Failure> {
+pub async fn bind(address: SocketAddr, role: Arc<dyn OperatorApi>) -> Result<OperatorServer, Failure> {
     let failed = |error| Failure::no_effect("bind operators' port", address, error);
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     let listener = tokio::spawn(accept(listener, role));
-    Ok(Ops { address, listener })
+    Ok(OperatorServer { address, listener })
 }
 
-async fn accept(listener: TcpListener, role: Arc<dyn Operated>) {
+async fn accept(listener: TcpListener, role: Arc<dyn OperatorApi>) {
     // Held here so that the end of this task ends every connection.
     let mut connections = JoinSet::new();
     loop {
@@ -121,7 +121,7 @@
 }
 
 async fn answer(
-    role: Arc<dyn Operated>,
+    role: Arc<dyn OperatorApi>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let json = "application/json";
@@ -169,7 +169,7 @@
     }
 }
 
-fn metrics(role: &dyn Operated) -> String {
+fn metrics(role: &dyn OperatorApi) -> String {
     let mut buffer = Vec::new();
     match TextEncoder::new().encode(&role.registry().gather(), &mut buffer) {
         Ok(()) => String::from_utf8_lossy(&buffer).into_owned(),
--- a/ashtiller/src/net/peer.rs
+++ b/ashtiller/src/net/peer.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::resources::Resources;
-use crate::store::Called;
+use crate::store::CallFuture;
 use crate::template::Class;
 
 /// The roles of a process.
@@ -40,7 +40,7 @@
 
 /// A heartbeat between two processes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Greeting {
+pub struct Heartbeat {
     /// Sender.
     pub name: Arc<str>,
     /// Role of the sender.
@@ -55,13 +55,13 @@
 
 /// A gateway asks another for slots.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ask {
+pub struct LoanRequest {
     /// Service.
     pub service: Arc<str>,
     /// Gateway that asks.
     pub borrower: Arc<str>,
     /// Whether `keep` replaces the loan; otherwise the loan goes on and grows.
-    pub settles: bool,
+    pub replaces_loan: bool,
     /// Slots that it keeps from earlier, by endpoint.
     pub keep: Vec<(u64, u32)>,
     /// Further slots that it wants.
@@ -100,7 +100,7 @@
 /// The answer to a job's submission or cancellation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum JobReply {
     /// Recorded; it will be carried out.
     Accepted,
     /// The same request was recorded before.
@@ -120,17 +120,17 @@
 /// Another process, or the own one as others see it.
 pub trait Peer: Send + Sync {
     /// Exchanges heartbeats.
-    fn greet(&self, mine: Greeting) -> Called<'_, Greeting>;
+    fn heartbeat(&self, mine: Heartbeat) -> CallFuture<'_, Heartbeat>;
 
     /// Lends slots; the answer is what was added to the loan.
-    fn lend(&self, ask: Ask) -> Called<'_, Vec<(u64, u32)>>;
+    fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>>;
 
     /// Submits a job to a cell.
-    fn submit(&self, cell: Arc<str>, job: Submission) -> Called<'_, Verdict>;
+    fn submit(&self, cell: Arc<str>, job: Submission) -> CallFuture<'_, JobReply>;
 
     /// Cancels a job in a cell.
-    fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> Called<'_, Verdict>;
+    fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, JobReply>;
 
     /// Shows a cell, an account or a job as JSON; empty names show all.
-    fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> Called<'_, String>;
+    fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, String>;
 }
--- a/ashtiller/src/net/remote.rs
+++ b/ashtiller/src/net/remote.rs
@@ -6,25 +6,25 @@
 use tokio::sync::oneshot;
 use tokio::time;
 
-use crate::calls::{Asked, Call};
+use crate::calls::{ReplySender, Call};
 use crate::failure::Failure;
-use crate::peer::{Ask, Greeting, Peer, Submission, Verdict};
-use crate::store::Called;
-use crate::wire::Wire;
+use crate::peer::{LoanRequest, Heartbeat, Peer, Submission, JobReply};
+use crate::store::CallFuture;
+use crate::wire::RpcClient;
 
 /// A [`Peer`] that stands for the process at an address.
-pub struct Remote {
+pub struct PeerClient {
     /// The wire's thread.
-    pub wire: Wire,
+    pub wire: RpcClient,
     /// Where the process listens.
     pub address: SocketAddr,
 }
 
-impl Remote {
+impl PeerClient {
     async fn ask<T>(
         &self,
         step: &'static str,
-        call: impl FnOnce(Asked<T>) -> Call,
+        call: impl FnOnce(ReplySender<T>) -> Call,
     ) -> Result<T, Failure> {
         let (asked, answer) = oneshot::channel();
         let sent = self.wire.send(self.address, call(asked));
@@ -41,24 +41,24 @@
     }
 }
 
-impl Peer for Remote {
-    fn greet(&self, mine: Greeting) -> Called<'_, Greeting> {
-        Box::pin(self.ask("greet", |asked| Call::Greet(mine, asked)))
+impl Peer for PeerClient {
+    fn heartbeat(&self, mine: Heartbeat) -> CallFuture<'_, Heartbeat> {
+        Box::pin(self.ask("greet", |asked| Call::Heartbeat(mine, asked)))
     }
 
-    fn lend(&self, ask: Ask) -> Called<'_, Vec<(u64, u32)>> {
+    fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(self.ask("lend", |asked| Call::Lend(ask, asked)))
     }
 
-    fn submit(&self, cell: Arc<str>, job: Submission) -> Called<'_, Verdict> {
+    fn submit(&self, cell: Arc<str>, job: Submission) -> CallFuture<'_, JobReply> {
         Box::pin(self.ask("submit", |asked| Call::Submit(cell, Box::new(job), asked)))
     }
 
-    fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> Called<'_, Verdict> {
+    fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, JobReply> {
         Box::pin(self.ask("cancel", |asked| Call::Cancel([cell, account, job], asked)))
     }
 
-    fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> Called<'_, String> {
+    fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, String> {
         Box::pin(self.ask("show", |asked| Call::Show([cell, account, job], asked)))
     }
 }
--- a/ashtiller/src/net/roster.rs
+++ b/ashtiller/src/net/roster.rs
@@ -6,7 +6,7 @@
 
 use crate::endpoint::Phase;
 use crate::resources::Resources;
-use crate::store::Called;
+use crate::store::CallFuture;
 
 /// One listed instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -29,7 +29,7 @@
 
 /// Instances of one service, and the position from which to watch on.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Listed {
+pub struct InstanceList {
     /// Instances as last listed.
     pub instances: Vec<Instance>,
     /// Position to pass to the next [`Roster::watch`].
@@ -37,8 +37,8 @@
 }
 
 /// The list of instances.
-pub trait Roster: Send + Sync {
+pub trait ServiceCatalog: Send + Sync {
     /// Waits until the instances of a service differ from position `index`, at most
     /// `wait`, and reads them; position 0 reads at once.
-    fn watch<'a>(&'a self, service: &'a str, index: u64, wait: Duration) -> Called<'a, Listed>;
+    fn watch<'a>(&'a self, service: &'a str, index: u64, wait: Duration) -> CallFuture<'a, InstanceList>;
 }
--- a/ashtiller/src/net/store.rs
+++ b/ashtiller/src/net/store.rs
@@ -13,7 +13,7 @@
 use crate::failure::Failure;
 
 /// Result of a call to the store.
-pub type Called<'a, T> = BoxFuture<'a, Result<T, Failure>>;
+pub type CallFuture<'a, T> = BoxFuture<'a, Result<T, Failure>>;
 
 /// A stored value.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Write {
     /// Write a key when its revision is `index`, 0 for an absent key.
-    Swap {
+    CompareAndSwap {
         /// Key.
         key: String,
         /// New value.
@@ -48,7 +48,7 @@
         index: u64,
     },
     /// Only check that a key is absent.
-    Absent {
+    CheckAbsent {
         /// Key.
         key: String,
     },
@@ -66,36 +66,36 @@
 /// The key-value service.
 pub trait Store: Send + Sync {
     /// Reads one key.
-    fn get<'a>(&'a self, key: &'a str) -> Called<'a, Option<Item>>;
+    fn get<'a>(&'a self, key: &'a str) -> CallFuture<'a, Option<Item>>;
 
     /// Reads all keys below a prefix.
-    fn list<'a>(&'a self, prefix: &'a str) -> Called<'a, View>;
+    fn list<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, View>;
 
     /// Waits until the keys below `prefix` differ from position `index`, at most
     /// `wait`, and reads them.
-    fn watch<'a>(&'a self, prefix: &'a str, index: u64, wait: Duration) -> Called<'a, View>;
+    fn watch<'a>(&'a self, prefix: &'a str, index: u64, wait: Duration) -> CallFuture<'a, View>;
 
     /// Writes a key when its revision is `index`, 0 for an absent key.
-    fn swap<'a>(&'a self, key: &'a str, value: Bytes, index: u64) -> Called<'a, bool>;
+    fn compare_and_swap<'a>(&'a self, key: &'a str, value: Bytes, index: u64) -> CallFuture<'a, bool>;
 
     /// Makes all writes or none; at most 64.
-    fn commit<'a>(&'a self, writes: &'a [Write]) -> Called<'a, Commit>;
+    fn commit<'a>(&'a self, writes: &'a [Write]) -> CallFuture<'a, Commit>;
 
     /// Deletes a key when its revision is `index`.
-    fn remove<'a>(&'a self, key: &'a str, index: u64) -> Called<'a, bool>;
+    fn remove<'a>(&'a self, key: &'a str, index: u64) -> CallFuture<'a, bool>;
 
     /// Deletes every key below a prefix.
-    fn remove_all<'a>(&'a self, prefix: &'a str) -> Called<'a, ()>;
+    fn remove_all<'a>(&'a self, prefix: &'a str) -> CallFuture<'a, ()>;
 
     /// Opens a lease that ends `ttl` after its last renewal.
-    fn lease(&self, ttl: Duration) -> Called<'_, Arc<str>>;
+    fn open_lease(&self, ttl: Duration) -> CallFuture<'_, Arc<str>>;
 
     /// Renews a lease; false when it has ended.
-    fn renew<'a>(&'a self, lease: &'a str) -> Called<'a, bool>;
+    fn renew<'a>(&'a self, lease: &'a str) -> CallFuture<'a, bool>;
 
     /// Ends a lease and deletes what it holds.
-    fn revoke<'a>(&'a self, lease: &'a str) -> Called<'a, ()>;
+    fn revoke<'a>(&'a self, lease: &'a str) -> CallFuture<'a, ()>;
 
     /// Writes a key that is deleted when the lease ends; false when another holds it.
-    fn hold<'a>(&'a self, key: &'a str, value: Bytes, lease: &'a str) -> Called<'a, bool>;
+    fn acquire<'a>(&'a self, key: &'a str, value: Bytes, lease: &'a str) -> CallFuture<'a, bool>;
 }
--- a/ashtiller/src/net/web.rs
+++ b/ashtiller/src/net/web.rs
@@ -44,7 +44,7 @@
 /// Counts the connections on which a call got no answer in time, of all clients of this
 /// process.
 #[must_use]
-pub fn silent_links() -> IntCounter {
+pub fn silent_connections() -> IntCounter {
     SILENT.clone()
 }
 
@@ -72,7 +72,7 @@
     pub body: Bytes,
     /// Whether it goes over a new connection though idle ones may be there, as it stands
     /// in for a call whose connection may have gone silent.
-    pub apart: bool,
+    pub new_connection: bool,
 }
 
 impl<'a> Call<'a> {
@@ -84,7 +84,7 @@
             target,
             headers: Vec::new(),
             body,
-            apart: false,
+            new_connection: false,
         }
     }
 }
@@ -147,7 +147,7 @@
     ) -> Result<Answer, Failure> {
         let started = Instant::now();
         let timed_out = |_| Failure::no_effect(step, peer, "no connection in time");
-        let link = time::timeout(limit, self.connect(step, peer, call.apart))
+        let link = time::timeout(limit, self.connect(step, peer, call.new_connection))
             .await
             .map_err(timed_out)??;
         let left = limit.saturating_sub(started.elapsed());
--- a/ashtiller/src/net/wire.rs
+++ b/ashtiller/src/net/wire.rs
@@ -28,17 +28,17 @@
 
 /// A handle to the wire's thread.
 #[derive(Clone)]
-pub struct Wire {
+pub struct RpcClient {
     calls: mpsc::Sender<(SocketAddr, Call)>,
     limit: Duration,
-    bytes: Arc<meter::Bytes>,
+    bytes: Arc<meter::ByteCounts>,
 }
 
-impl Wire {
+impl RpcClient {
     /// A peer that stands for the process at `address`; connects when first asked.
     #[must_use]
     pub fn connect(&self, address: SocketAddr) -> Arc<dyn Peer> {
-        Arc::new(remote::Remote {
+        Arc::new(remote::PeerClient {
             wire: self.clone(),
             address,
         })
@@ -57,14 +57,14 @@
 }
 
 /// A served port; dropping it closes the port and its connections.
-pub struct Served {
+pub struct RpcServer {
     address: SocketAddr,
-    wire: Wire,
+    wire: RpcClient,
     /// Dropped with this handle, which ends the thread.
     _alive: oneshot::Sender<()>,
 }
 
-impl Served {
+impl RpcServer {
     /// The address that the kernel gave.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
@@ -73,13 +73,13 @@
 
     /// Bytes that passed to and from other processes.
     #[must_use]
-    pub fn bytes(&self) -> &Arc<meter::Bytes> {
+    pub fn bytes(&self) -> &Arc<meter::ByteCounts> {
         &self.wire.bytes
     }
 
     /// The wire through which other processes are reached.
     #[must_use]
-    pub fn wire(&self) -> &Wire {
+    pub fn wire(&self) -> &RpcClient {
         &self.wire
     }
 }
@@ -92,14 +92,14 @@
     address: SocketAddr,
     limit: Duration,
     local: Arc<dyn Peer>,
-) -> anyhow::Result<Served> {
+) -> anyhow::Result<RpcServer> {
     let listener = std::net::TcpListener::bind(address)
         .map_err(|error| Failure::no_effect("bind peers' port", address, error))?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
     let (calls, received) = mpsc::channel(BACKLOG);
     let (ready, started) = oneshot::channel();
-    let bytes = Arc::new(meter::Bytes::default());
+    let bytes = Arc::new(meter::ByteCounts::default());
     let counted = bytes.clone();
     let (alive, ended) = oneshot::channel();
     std::thread::Builder::new()
@@ -118,9 +118,9 @@
             );
         })?;
     started.await??;
-    Ok(Served {
+    Ok(RpcServer {
         address,
-        wire: Wire {
+        wire: RpcClient {
             calls,
             limit,
             bytes,
@@ -133,7 +133,7 @@
 struct Terms {
     limit: Duration,
     local: Arc<dyn Peer>,
-    bytes: Arc<meter::Bytes>,
+    bytes: Arc<meter::ByteCounts>,
 }
 
 fn run(
@@ -154,13 +154,13 @@
     LocalSet::new().block_on(&runtime, async move {
         tokio::select! {
             () = accept(listener, terms.local, terms.bytes.clone()) => {}
-            () = calls::carry(received, terms.limit, terms.bytes) => {}
+            () = calls::run(received, terms.limit, terms.bytes) => {}
             _ = ended => {}
         }
     });
 }
 
-async fn accept(listener: std::net::TcpListener, local: Arc<dyn Peer>, bytes: Arc<meter::Bytes>) {
+async fn accept(listener: std::net::TcpListener, local: Arc<dyn Peer>, bytes: Arc<meter::ByteCounts>) {
     let Ok(listener) = TcpListener::from_std(listener) else {
         return;
     };
@@ -170,10 +170,10 @@
             time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let client: peer::Client = capnp_rpc::new_client(hosted::Hosted {
+        let client: peer::Client = capnp_rpc::new_client(hosted::PeerServer {
             peer: local.clone(),
         });
-        let network = calls::network_of(stream, Side::Server, &bytes);
+        let network = calls::tcp_network(stream, Side::Server, &bytes);
         task::spawn_local(RpcSystem::new(Box::new(network), Some(client.client)));
     }
 }
--- a/ashtiller/src/request/claims.rs
+++ b/ashtiller/src/request/claims.rs
@@ -179,15 +179,15 @@
 fn steps_of(claim: &Claim, period: u64) -> [Write; 3] {
     let value = Bytes::from(claim.nonce.to_string());
     [
-        Write::Swap {
+        Write::CompareAndSwap {
             key: key_of(claim, period),
             value,
             index: 0,
         },
-        Write::Absent {
+        Write::CheckAbsent {
             key: key_of(claim, period.saturating_sub(1)),
         },
-        Write::Absent {
+        Write::CheckAbsent {
             key: key_of(claim, period + 1),
         },
     ]
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -29,14 +29,14 @@
 use crate::lender::{self, Lender};
 use crate::members::Member;
 use crate::membership::{self, Membership};
-use crate::ops::{self, Command, Health, Operated, Ops, Said};
-use crate::peer::{Ask, Greeting, Peer, Role, Submission, Verdict};
+use crate::ops::{self, Command, Health, OperatorApi, OperatorServer, CommandReply};
+use crate::peer::{LoanRequest, Heartbeat, Peer, Role, Submission, JobReply};
 use crate::pool::Pool;
 use crate::prober;
-use crate::roster::{Instance, Roster};
+use crate::roster::{Instance, ServiceCatalog};
 use crate::router::Router;
 use crate::settings::Settings;
-use crate::store::{Called, Store};
+use crate::store::{CallFuture, Store};
 use crate::tally::Tally;
 use crate::wire;
 
@@ -66,8 +66,8 @@
 /// A running gateway; dropping it cuts everything, as a kill does.
 pub struct Gateway {
     shared: Arc<Shared>,
-    ops: Ops,
-    served: wire::Served,
+    ops: OperatorServer,
+    served: wire::RpcServer,
     _tasks: JoinSet<()>,
 }
 
@@ -80,7 +80,7 @@
     let clock = clock::open();
     let consul = consul::open(settings.platform.store, settings.platform.timeout);
     let store: Arc<dyn Store> = consul.clone();
-    let instances: Arc<dyn Roster> = consul;
+    let instances: Arc<dyn ServiceCatalog> = consul;
     let registry = Registry::new();
     let tally = Arc::new(Tally::open(&registry)?);
     let config = Arc::new(config::spawn(store.clone()));
@@ -106,7 +106,7 @@
         shared: shared.clone(),
     });
     let served = wire::bind(settings.gateway.peers, WIRE_LIMIT, local).await?;
-    let operated: Arc<dyn Operated> = Arc::new(Local {
+    let operated: Arc<dyn OperatorApi> = Arc::new(Local {
         shared: shared.clone(),
     });
     let ops = ops::bind(settings.gateway.operators, operated).await?;
@@ -193,19 +193,19 @@
         let drain = self.shared.settings.gateway.drain;
         // The first poll of the stop says that this gateway leaves; then the others
         // hear it, and deal its slots among themselves.
-        tokio::join!(biased; parts.front.stop(drain), parts.membership.spread());
-        parts.membership.leave().await;
+        tokio::join!(biased; parts.front.stop(drain), parts.membership.broadcast());
+        parts.membership.deregister().await;
     }
 }
 
 impl Drop for Gateway {
     fn drop(&mut self) {
         self.parts().front.cut();
-        self.parts().membership.end();
+        self.parts().membership.abort();
     }
 }
 
-fn greeter(shared: &Arc<Shared>) -> Arc<dyn Fn() -> Greeting + Send + Sync> {
+fn greeter(shared: &Arc<Shared>) -> Arc<dyn Fn() -> Heartbeat + Send + Sync> {
     let shared = Arc::downgrade(shared);
     Arc::new(move || {
         shared
@@ -216,8 +216,8 @@
 }
 
 impl Shared {
-    fn greeting(&self) -> Greeting {
-        Greeting {
+    fn greeting(&self) -> Heartbeat {
+        Heartbeat {
             name: self.settings.instance.name.clone(),
             role: Role::Gateway.name().into(),
             revision: self.config.force().revision,
@@ -260,7 +260,7 @@
             return;
         };
         let own = &self.settings.instance.name;
-        let mut gateways = parts.membership.members().present(Role::Gateway);
+        let mut gateways = parts.membership.members().available(Role::Gateway);
         if !gateways.contains(own) {
             gateways.push(own.clone());
         }
@@ -272,8 +272,8 @@
 /// gateways come and go.
 async fn follow_templates(
     shared: Arc<Shared>,
-    roster: Arc<dyn Roster>,
-    wire: wire::Wire,
+    roster: Arc<dyn ServiceCatalog>,
+    wire: wire::RpcClient,
     tally: Arc<Tally>,
 ) {
     let mut helpers = JoinSet::new();
@@ -307,7 +307,7 @@
 }
 
 /// Keeps a service's endpoints in step with the platform's list.
-async fn follow_endpoints(shared: Arc<Shared>, desk: Arc<Desk>, roster: Arc<dyn Roster>) {
+async fn follow_endpoints(shared: Arc<Shared>, desk: Arc<Desk>, roster: Arc<dyn ServiceCatalog>) {
     let pause = shared.settings.platform.refresh;
     let follower = follow::spawn(roster, desk.name.clone(), pause);
     let mut changes = follower.subscribe();
@@ -322,7 +322,7 @@
 fn lender_of(
     shared: &Shared,
     desk: &Arc<Desk>,
-    wire: &wire::Wire,
+    wire: &wire::RpcClient,
     tally: &Arc<Tally>,
 ) -> Option<Lender> {
     let parts = shared.parts.get()?;
@@ -350,7 +350,7 @@
     shared: Arc<Shared>,
 }
 
-fn not_here<T>(step: &'static str) -> Called<'static, T>
+fn not_here<T>(step: &'static str) -> CallFuture<'static, T>
 where
     T: Send + 'static,
 {
@@ -364,15 +364,15 @@
 }
 
 impl Peer for Local {
-    fn greet(&self, mine: Greeting) -> Called<'_, Greeting> {
-        self.shared.config.heard(mine.revision);
+    fn heartbeat(&self, mine: Heartbeat) -> CallFuture<'_, Heartbeat> {
+        self.shared.config.observe_revision(mine.revision);
         if let Some(parts) = self.shared.parts.get() {
-            parts.membership.greeted(mine, self.shared.clock.now());
+            parts.membership.receive_heartbeat(mine, self.shared.clock.now());
         }
         Box::pin(async { Ok(self.shared.greeting()) })
     }
 
-    fn lend(&self, ask: Ask) -> Called<'_, Vec<(u64, u32)>> {
+    fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(async move {
             let Some(desk) = self.shared.router.desk(&ask.service) else {
                 return Ok(Vec::new());
@@ -382,20 +382,20 @@
         })
     }
 
-    fn submit(&self, _: Arc<str>, _: Submission) -> Called<'_, Verdict> {
+    fn submit(&self, _: Arc<str>, _: Submission) -> CallFuture<'_, JobReply> {
         not_here("submit")
     }
 
-    fn cancel(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> Called<'_, Verdict> {
+    fn cancel(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, JobReply> {
         not_here("cancel")
     }
 
-    fn show(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> Called<'_, String> {
+    fn show(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, String> {
         not_here("show")
     }
 }
 
-impl Operated for Local {
+impl OperatorApi for Local {
     fn health(&self) -> Health {
         let seen = !self.shared.seen.lock().is_empty();
         Health {
@@ -412,7 +412,7 @@
         Box::pin(async move { dump(&self.shared) })
     }
 
-    fn command(&self, command: Command) -> BoxFuture<'_, Option<Said>> {
+    fn command(&self, command: Command) -> BoxFuture<'_, Option<CommandReply>> {
         Box::pin(async move { self.shared.parts.get()?.jobs.command(&command).await })
     }
 }
--- a/ashtiller/src/request/lender.rs
+++ b/ashtiller/src/request/lender.rs
@@ -12,9 +12,9 @@
 use crate::desk::Desk;
 use crate::members::{Member, Members};
 use crate::membership::Membership;
-use crate::peer::{Ask, Role};
+use crate::peer::{LoanRequest, Role};
 use crate::tally::Tally;
-use crate::wire::Wire;
+use crate::wire::RpcClient;
 
 /// A loan lapses this long after the last message about it.
 pub const TERM: Duration = Duration::from_secs(6);
@@ -38,7 +38,7 @@
     /// The other gateways.
     pub membership: Arc<Membership>,
     /// Wire to them.
-    pub wire: Wire,
+    pub wire: RpcClient,
     /// Counters.
     pub tally: Arc<Tally>,
 }
@@ -68,7 +68,7 @@
     }
 
     fn others(&self, members: &Members) -> Vec<Member> {
-        let names = members.present(Role::Gateway);
+        let names = members.available(Role::Gateway);
         let others = names.iter().filter(|name| **name != self.own);
         others
             .filter_map(|name| members.get(Role::Gateway, name))
@@ -139,10 +139,10 @@
     ) -> Option<Vec<(u64, u32)>> {
         self.tally.asks.inc();
         let (service, borrower) = (self.desk.name.clone(), self.own.clone());
-        let ask = Ask {
+        let ask = LoanRequest {
             service,
             borrower,
-            settles,
+            replaces_loan: settles,
             keep,
             want,
         };
--- a/ashtiller/src/request/loans.rs
+++ b/ashtiller/src/request/loans.rs
@@ -5,7 +5,7 @@
 
 use crate::dispatch::{self, Dispatch};
 use crate::endpoint::Endpoint;
-use crate::peer::Ask;
+use crate::peer::LoanRequest;
 
 /// Free slots that a lender keeps, as a divisor of its slots.
 const RESERVE: u32 = 32;
@@ -54,11 +54,11 @@
     /// Goes on with the loan to `peer` until `until`, reduced to `keep` when it
     /// settles, and adds up to `want` slots, at most half of what is free. Returns
     /// what was added.
-    pub fn lend(&mut self, ask: &Ask, until: Duration, now: Duration) -> Vec<(u64, u32)> {
+    pub fn lend(&mut self, ask: &LoanRequest, until: Duration, now: Duration) -> Vec<(u64, u32)> {
         let peer = &ask.borrower;
         for endpoint in &mut self.endpoints {
             let mut lent = endpoint.slots.lent_to(peer, now);
-            if ask.settles {
+            if ask.replaces_loan {
                 let kept = ask.keep.iter().find(|(id, _)| *id == endpoint.id);
                 lent = lent.min(kept.map_or(0, |(_, count)| *count));
             }
--- a/ashtiller/src/task/agent.rs
+++ b/ashtiller/src/task/agent.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::failure::Failure;
-use crate::store::Called;
+use crate::store::CallFuture;
 use crate::web;
 
 /// HTTP path of the request.
@@ -169,7 +169,7 @@
 /// Client for calls to workers.
 pub trait WorkerClient: Send + std::marker::Sync {
     /// Sends one request to a worker and returns its report.
-    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report>;
+    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> CallFuture<'a, Report>;
 }
 
 struct HttpWorkerClient {
@@ -187,7 +187,7 @@
 }
 
 impl WorkerClient for HttpWorkerClient {
-    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> Called<'a, Report> {
+    fn sync<'a>(&'a self, worker: SocketAddr, sync: &'a SyncRequest) -> CallFuture<'a, Report> {
         Box::pin(async move {
             let body = serde_json::to_vec(sync)
                 .map_err(|error| Failure::no_effect("sync", worker, error))?;
--- a/ashtiller/src/task/events.rs
+++ b/ashtiller/src/task/events.rs
@@ -11,7 +11,7 @@
 use crate::failure::Failure;
 use crate::journal::{AppendOutcome, Journal};
 use crate::owner::{Owner, PENDING_MAX};
-use crate::peer::{Submission, Verdict};
+use crate::peer::{Submission, JobReply};
 use crate::plan;
 use crate::reconcile;
 use crate::roster;
@@ -20,14 +20,14 @@
 /// Submission of a job.
 pub(crate) struct Submit {
     pub(crate) job: Submission,
-    pub(crate) reply: oneshot::Sender<Verdict>,
+    pub(crate) reply: oneshot::Sender<JobReply>,
 }
 
 /// Cancellation of a job.
 pub(crate) struct Cancel {
     pub(crate) account: Arc<str>,
     pub(crate) job: Arc<str>,
-    pub(crate) reply: oneshot::Sender<Verdict>,
+    pub(crate) reply: oneshot::Sender<JobReply>,
 }
 
 /// Query of the cell's state; an empty name selects all accounts or jobs.
@@ -97,7 +97,7 @@
     async fn handle(&mut self, submit: Submit, context: &mut Context<Self, ()>) {
         let Submit { job, reply } = submit;
         if self.handing_over || self.pending.len() >= PENDING_MAX {
-            let _ = reply.send(Verdict::NotOwner("the cell is busy or moving".into()));
+            let _ = reply.send(JobReply::NotOwner("the cell is busy or moving".into()));
             return;
         }
         let now = self.now();
@@ -117,7 +117,7 @@
             reply,
         } = cancel;
         if self.handing_over {
-            let _ = reply.send(Verdict::NotOwner("the cell is moving".into()));
+            let _ = reply.send(JobReply::NotOwner("the cell is moving".into()));
             return;
         }
         let now = self.now();
--- a/ashtiller/src/task/job_forwarder.rs
+++ b/ashtiller/src/task/job_forwarder.rs
@@ -13,13 +13,13 @@
 use crate::config::Config;
 use crate::failure::{Failure, RemoteEffect};
 use crate::membership::Membership;
-use crate::ops::{Command, Said};
+use crate::ops::{Command, CommandReply};
 use crate::outcome::Outcome;
-use crate::peer::{Peer, Role, Submission, Verdict};
+use crate::peer::{Peer, Role, Submission, JobReply};
 use crate::rendezvous;
-use crate::roster::Roster;
+use crate::roster::ServiceCatalog;
 use crate::store::Store;
-use crate::wire::Wire;
+use crate::wire::RpcClient;
 
 /// Prefix of the keys that name each account's home cell.
 pub const HOMES: &str = "ashtiller/homes/";
@@ -33,7 +33,7 @@
     /// Key-value service.
     pub store: Arc<dyn Store>,
     /// The platform's list of instances.
-    pub roster: Arc<dyn Roster>,
+    pub roster: Arc<dyn ServiceCatalog>,
     /// Service whose instances are workers.
     pub workers: Arc<str>,
     /// Configuration that contains the templates.
@@ -41,14 +41,14 @@
     /// Membership, from which the schedulers are known.
     pub membership: Arc<Membership>,
     /// Connections to the schedulers.
-    pub wire: Wire,
+    pub wire: RpcClient,
     /// Cache of home cells by account.
     pub home_cells: Mutex<BTreeMap<Arc<str>, Arc<str>>>,
 }
 
 impl JobForwarder {
     /// Executes a command on jobs; returns `None` for any other command.
-    pub async fn command(&self, command: &Command) -> Option<Said> {
+    pub async fn command(&self, command: &Command) -> Option<CommandReply> {
         let path: Vec<&str> = command.path.iter().map(|part| &**part).collect();
         match (&command.method, path.as_slice()) {
             (&Method::PUT, ["v1", "jobs", account, job]) => Some(
@@ -72,7 +72,7 @@
         }
     }
 
-    async fn submit(&self, command: &Command, account: &Arc<str>, job: &Arc<str>) -> Said {
+    async fn submit(&self, command: &Command, account: &Arc<str>, job: &Arc<str>) -> CommandReply {
         let submission = match self.submission(command, account, job) {
             Ok(submission) => submission,
             Err(error_response) => return error_response,
@@ -95,9 +95,9 @@
         command: &Command,
         account: &Arc<str>,
         job: &Arc<str>,
-    ) -> Result<Submission, Said> {
+    ) -> Result<Submission, CommandReply> {
         let bad_request = |reason: &str| response(StatusCode::BAD_REQUEST, Outcome::NotRun, reason);
-        if !crate::document::is_name(job) {
+        if !crate::document::is_valid_name(job) {
             return Err(bad_request(
                 "a job's name needs 1 to 63 letters, digits, `-`, `_` or `.`",
             ));
@@ -135,7 +135,7 @@
         })
     }
 
-    async fn cancel(&self, account: &Arc<str>, job: &Arc<str>) -> Said {
+    async fn cancel(&self, account: &Arc<str>, job: &Arc<str>) -> CommandReply {
         let cell = match self.home_cell(account).await {
             Ok(cell) => cell,
             Err(failure) => return unavailable(&failure.to_string()),
@@ -149,14 +149,14 @@
         verdict_response(&verdict)
     }
 
-    async fn show(&self, account: &Arc<str>, job: &Arc<str>) -> Said {
+    async fn show(&self, account: &Arc<str>, job: &Arc<str>) -> CommandReply {
         match self.home_cell(account).await {
             Ok(cell) => self.show_cell(&cell, account, job).await,
             Err(failure) => unavailable(&failure.to_string()),
         }
     }
 
-    async fn show_cell(&self, cell: &Arc<str>, account: &Arc<str>, job: &Arc<str>) -> Said {
+    async fn show_cell(&self, cell: &Arc<str>, account: &Arc<str>, job: &Arc<str>) -> CommandReply {
         for peer in self.candidates(cell) {
             let view = peer.show(cell.clone(), account.clone(), job.clone()).await;
             if let Some(json) = view.ok().filter(|json| !json.is_empty()) {
@@ -180,7 +180,7 @@
             let cell = self.choose_home_cell(account).await?;
             let value = Bytes::copy_from_slice(cell.as_bytes());
             // The first writer wins; the key is read back in any case.
-            match self.store.swap(&key, value, 0).await {
+            match self.store.compare_and_swap(&key, value, 0).await {
                 Err(failure) if failure.effect == RemoteEffect::None => return Err(failure),
                 _ => stored = self.store.get(&key).await?,
             }
@@ -207,7 +207,7 @@
     fn candidates(&self, cell: &str) -> Vec<Arc<dyn Peer>> {
         let members = self.membership.members();
         let owner = members.owner(cell).map(|known| known.member.name.clone());
-        let ranked = rendezvous::rank(cell, &members.present(Role::Scheduler));
+        let ranked = rendezvous::rank(cell, &members.available(Role::Scheduler));
         let mut names: Vec<Arc<str>> = owner.into_iter().chain(ranked).collect();
         let mut seen = BTreeSet::new();
         names.retain(|name| seen.insert(name.clone()));
@@ -221,19 +221,19 @@
 
     /// Asks the schedulers until an owner gives a verdict. Repeating the request is safe: the same
     /// job under the same name is one job.
-    async fn ask_owner<F>(&self, cell: &str, ask: impl Fn(Arc<dyn Peer>) -> F) -> Verdict
+    async fn ask_owner<F>(&self, cell: &str, ask: impl Fn(Arc<dyn Peer>) -> F) -> JobReply
     where
-        F: Future<Output = Result<Verdict, Failure>>,
+        F: Future<Output = Result<JobReply, Failure>>,
     {
         let deadline = time::Instant::now() + ASK_TIMEOUT;
         let mut may_have_run = false;
         while time::Instant::now() < deadline {
             for peer in self.candidates(cell) {
                 match ask(peer).await {
-                    Ok(Verdict::NotOwner(_)) => {}
-                    Ok(Verdict::Known) if !may_have_run => return Verdict::Known,
+                    Ok(JobReply::NotOwner(_)) => {}
+                    Ok(JobReply::Known) if !may_have_run => return JobReply::Known,
                     // The job is known because an earlier request of this loop was applied.
-                    Ok(Verdict::Known) => return Verdict::Accepted,
+                    Ok(JobReply::Known) => return JobReply::Accepted,
                     Ok(verdict) => return verdict,
                     Err(failure) => may_have_run |= failure.effect == RemoteEffect::Unknown,
                 }
@@ -241,38 +241,38 @@
             time::sleep(RETRY_PAUSE).await;
         }
         if may_have_run {
-            return Verdict::Unknown("the cell's owner gave no answer".into());
+            return JobReply::Unknown("the cell's owner gave no answer".into());
         }
-        Verdict::NotOwner("no scheduler owns the cell just now".into())
+        JobReply::NotOwner("no scheduler owns the cell just now".into())
     }
 }
 
-fn response(status: StatusCode, outcome: Outcome, reason: &str) -> Said {
+fn response(status: StatusCode, outcome: Outcome, reason: &str) -> CommandReply {
     (
         status,
         json!({ "outcome": outcome.name(), "reason": reason }).to_string(),
     )
 }
 
-fn unavailable(reason: &str) -> Said {
+fn unavailable(reason: &str) -> CommandReply {
     response(StatusCode::SERVICE_UNAVAILABLE, Outcome::NotRun, reason)
 }
 
 /// Converts a verdict to an HTTP response.
-fn verdict_response(verdict: &Verdict) -> Said {
+fn verdict_response(verdict: &JobReply) -> CommandReply {
     match verdict {
-        Verdict::Accepted => (
+        JobReply::Accepted => (
             StatusCode::ACCEPTED,
             json!({ "outcome": "accepted" }).to_string(),
         ),
-        Verdict::Known => (StatusCode::OK, json!({ "outcome": "known" }).to_string()),
-        Verdict::Conflict(reason) => response(StatusCode::CONFLICT, Outcome::NotRun, reason),
-        Verdict::Never(reason) => {
+        JobReply::Known => (StatusCode::OK, json!({ "outcome": "known" }).to_string()),
+        JobReply::Conflict(reason) => response(StatusCode::CONFLICT, Outcome::NotRun, reason),
+        JobReply::Never(reason) => {
             response(StatusCode::UNPROCESSABLE_ENTITY, Outcome::NotRun, reason)
         }
-        Verdict::NotOwner(reason) => unavailable(reason),
-        Verdict::Unknown(reason) => response(StatusCode::GATEWAY_TIMEOUT, Outcome::Unknown, reason),
-        Verdict::Missing => response(
+        JobReply::NotOwner(reason) => unavailable(reason),
+        JobReply::Unknown(reason) => response(StatusCode::GATEWAY_TIMEOUT, Outcome::Unknown, reason),
+        JobReply::Missing => response(
             StatusCode::NOT_FOUND,
             Outcome::NotRun,
             "there is no such job",
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -295,7 +295,7 @@
         let key = log_key(&self.cell, position);
         let mut backoff = RETRY_PAUSE_MIN;
         loop {
-            let result = self.store.swap(&key, bytes.clone(), 0).await;
+            let result = self.store.compare_and_swap(&key, bytes.clone(), 0).await;
             match self.resolve_write(&key, &bytes, result).await {
                 WriteOutcome::Known(outcome) => return outcome,
                 WriteOutcome::Unknown => {
@@ -348,7 +348,7 @@
         for chunk in state.chunks(CHUNK_BYTES) {
             let key = format!("{prefix}{chunks:04}");
             self.store
-                .swap(&key, Bytes::copy_from_slice(chunk), 0)
+                .compare_and_swap(&key, Bytes::copy_from_slice(chunk), 0)
                 .await?;
             chunks += 1;
         }
@@ -363,7 +363,7 @@
         let value = record::encode(&self.head)
             .map_err(|damage| Failure::no_effect("snapshot", &self.cell, damage))?;
         let key = head_key(&self.cell);
-        if !self.store.swap(&key, value.into(), self.head_index).await? {
+        if !self.store.compare_and_swap(&key, value.into(), self.head_index).await? {
             return Err(Failure::no_effect(
                 "snapshot",
                 &self.cell,
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -23,7 +23,7 @@
 };
 use crate::fact::{Body, LogRecord};
 use crate::journal::{Journal, OpenedCell};
-use crate::peer::{Submission, Verdict};
+use crate::peer::{Submission, JobReply};
 use crate::placement::InterferenceAware;
 use crate::plan::{self, Planner};
 use crate::reconcile::{self, StepContext};
@@ -81,14 +81,14 @@
     }
 
     /// Submits a job and returns the verdict once it is durable; `None` if the owner has stopped.
-    pub async fn submit(&self, job: Submission) -> Option<Verdict> {
+    pub async fn submit(&self, job: Submission) -> Option<JobReply> {
         let (reply, verdict) = oneshot::channel();
         self.actor.tell(Submit { job, reply }).await.ok()?;
         verdict.await.ok()
     }
 
     /// Cancels a job and returns the verdict once it is durable; `None` if the owner has stopped.
-    pub async fn cancel(&self, account: Arc<str>, job: Arc<str>) -> Option<Verdict> {
+    pub async fn cancel(&self, account: Arc<str>, job: Arc<str>) -> Option<JobReply> {
         let (reply, verdict) = oneshot::channel();
         self.actor
             .tell(Cancel {
@@ -198,7 +198,7 @@
     pub(crate) write_in_flight: bool,
     pub(crate) last_write_at: Duration,
     pub(crate) pending: Vec<LogRecord>,
-    pub(crate) replies: VecDeque<(u64, oneshot::Sender<Verdict>, Verdict)>,
+    pub(crate) replies: VecDeque<(u64, oneshot::Sender<JobReply>, JobReply)>,
     pub(crate) entries_since_snapshot: u32,
     pub(crate) snapshot_in_flight: bool,
     pub(crate) handing_over: bool,
@@ -303,8 +303,8 @@
 
     pub(crate) fn queue_reply(
         &mut self,
-        reply: oneshot::Sender<Verdict>,
-        verdict: Verdict,
+        reply: oneshot::Sender<JobReply>,
+        verdict: JobReply,
         record: Option<LogRecord>,
     ) {
         // A verdict without a record of its own may depend on a record that is still pending.
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -16,7 +16,7 @@
 use crate::fact::{Attempt, End, LogRecord, TaskId};
 use crate::interference_model::InterferenceModel;
 use crate::job::Phase;
-use crate::peer::{Submission, Verdict};
+use crate::peer::{Submission, JobReply};
 use crate::placement::{CandidateHost, PlacementPolicy};
 use crate::resources::Resources;
 use crate::session::LeaseTerms;
@@ -444,25 +444,25 @@
     submission: Submission,
     position: u64,
     now: Duration,
-) -> (Verdict, Option<LogRecord>) {
+) -> (JobReply, Option<LogRecord>) {
     if let Some(known) = cell.find_job(&submission.account, &submission.job) {
         let same = cell
             .job(known)
             .is_some_and(|job| is_same_work(&job.submission, &submission));
         if same {
-            return (Verdict::Known, None);
+            return (JobReply::Known, None);
         }
         return (
-            Verdict::Conflict("the name is taken by another job".into()),
+            JobReply::Conflict("the name is taken by another job".into()),
             None,
         );
     }
     if let Some(reason) = infeasible_reason(cell, &submission) {
-        return (Verdict::Never(reason.into()), None);
+        return (JobReply::Never(reason.into()), None);
     }
     let record = LogRecord::Submitted(Box::new(submission));
     cell.apply(&record, position, now);
-    (Verdict::Accepted, Some(record))
+    (JobReply::Accepted, Some(record))
 }
 
 /// Returns whether two submissions ask for the same work. Their quotas are not compared, because
@@ -509,17 +509,17 @@
     job: &Arc<str>,
     position: u64,
     now: Duration,
-) -> (Verdict, Option<LogRecord>) {
+) -> (JobReply, Option<LogRecord>) {
     let Some(number) = cell.find_job(account, job) else {
-        return (Verdict::Missing, None);
+        return (JobReply::Missing, None);
     };
     if cell
         .job(number)
         .is_some_and(|job| job.cancelled || job.is_over())
     {
-        return (Verdict::Known, None);
+        return (JobReply::Known, None);
     }
     let record = LogRecord::Cancelled(number);
     cell.apply(&record, position, now);
-    (Verdict::Accepted, Some(record))
+    (JobReply::Accepted, Some(record))
 }
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -23,15 +23,15 @@
 use crate::journal::{self, OpenError};
 use crate::members::{Member, Members};
 use crate::membership::{self, Membership};
-use crate::ops::{self, Command, Health, Operated, Ops, Said};
+use crate::ops::{self, Command, Health, OperatorApi, OperatorServer, CommandReply};
 use crate::owner::{self, OwnerDeps, OwnerHandle};
-use crate::peer::{Ask, Greeting, Peer, Role, Submission, Verdict};
+use crate::peer::{LoanRequest, Heartbeat, Peer, Role, Submission, JobReply};
 use crate::rendezvous;
-use crate::roster::{Instance, Roster};
+use crate::roster::{Instance, ServiceCatalog};
 use crate::scheduler_metrics::SchedulerMetrics;
 use crate::session::LeaseTerms;
 use crate::settings::Settings;
-use crate::store::{Called, Store};
+use crate::store::{CallFuture, Store};
 use crate::wire;
 
 /// Timeout of a call to another process; the reply to a job request waits for the log.
@@ -48,7 +48,7 @@
 struct Shared {
     settings: Settings,
     store: Arc<dyn Store>,
-    roster: Arc<dyn Roster>,
+    roster: Arc<dyn ServiceCatalog>,
     worker_client: Arc<dyn WorkerClient>,
     config: Arc<Config>,
     registry: Registry,
@@ -89,8 +89,8 @@
 /// Running scheduler; dropping it stops everything without a handover, as a killed process would.
 pub struct Scheduler {
     shared: Arc<Shared>,
-    ops: Ops,
-    served: wire::Served,
+    ops: OperatorServer,
+    served: wire::RpcServer,
     _tasks: JoinSet<()>,
 }
 
@@ -124,7 +124,7 @@
         shared: shared.clone(),
     });
     let served = wire::bind(settings.scheduler.peers, CALL_TIMEOUT, local).await?;
-    let operated: Arc<dyn Operated> = Arc::new(SchedulerService {
+    let operated: Arc<dyn OperatorApi> = Arc::new(SchedulerService {
         shared: shared.clone(),
     });
     let ops = ops::bind(settings.scheduler.operators, operated).await?;
@@ -195,8 +195,8 @@
         let _ = time::timeout(STOP_TIMEOUT, handovers.join_all()).await;
         if let Some(membership) = self.shared.membership.get() {
             // Other schedulers take the cells over at once when they learn of this.
-            membership.spread().await;
-            membership.leave().await;
+            membership.broadcast().await;
+            membership.deregister().await;
         }
     }
 }
@@ -207,7 +207,7 @@
             handle.kill();
         }
         if let Some(membership) = self.shared.membership.get() {
-            membership.end();
+            membership.abort();
         }
     }
 }
@@ -222,8 +222,8 @@
             .collect()
     }
 
-    fn greeting(&self) -> Greeting {
-        Greeting {
+    fn greeting(&self) -> Heartbeat {
+        Heartbeat {
             name: self.settings.instance.name.clone(),
             role: Role::Scheduler.name().into(),
             revision: self.config.force().revision,
@@ -234,7 +234,7 @@
 
     async fn spread(&self) {
         if let Some(membership) = self.membership.get() {
-            membership.spread().await;
+            membership.broadcast().await;
         }
     }
 
@@ -256,7 +256,7 @@
     fn decide(&self, cell: &Arc<str>) -> CellAction {
         let own = &self.settings.instance.name;
         let members = self.members();
-        let mut present = members.present(Role::Scheduler);
+        let mut present = members.available(Role::Scheduler);
         if !present.contains(own) {
             present.push(own.clone());
         }
@@ -385,20 +385,20 @@
     shared: Arc<Shared>,
 }
 
-fn not_owner(cell: &str) -> Verdict {
-    Verdict::NotOwner(format!("this scheduler does not own cell {cell}").into())
+fn not_owner(cell: &str) -> JobReply {
+    JobReply::NotOwner(format!("this scheduler does not own cell {cell}").into())
 }
 
 impl Peer for SchedulerService {
-    fn greet(&self, mine: Greeting) -> Called<'_, Greeting> {
-        self.shared.config.heard(mine.revision);
+    fn heartbeat(&self, mine: Heartbeat) -> CallFuture<'_, Heartbeat> {
+        self.shared.config.observe_revision(mine.revision);
         if let Some(membership) = self.shared.membership.get() {
-            membership.greeted(mine, self.shared.clock.now());
+            membership.receive_heartbeat(mine, self.shared.clock.now());
         }
         Box::pin(async { Ok(self.shared.greeting()) })
     }
 
-    fn lend(&self, _: Ask) -> Called<'_, Vec<(u64, u32)>> {
+    fn lend(&self, _: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(async {
             Err(Failure::no_effect(
                 "lend",
@@ -408,7 +408,7 @@
         })
     }
 
-    fn submit(&self, cell: Arc<str>, job: Submission) -> Called<'_, Verdict> {
+    fn submit(&self, cell: Arc<str>, job: Submission) -> CallFuture<'_, JobReply> {
         Box::pin(async move {
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
@@ -419,7 +419,7 @@
         })
     }
 
-    fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> Called<'_, Verdict> {
+    fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, JobReply> {
         Box::pin(async move {
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(not_owner(&cell));
@@ -430,7 +430,7 @@
         })
     }
 
-    fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> Called<'_, String> {
+    fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, String> {
         Box::pin(async move {
             let Some(handle) = self.shared.handle(&cell) else {
                 return Ok(String::new());
@@ -440,7 +440,7 @@
     }
 }
 
-impl Operated for SchedulerService {
+impl OperatorApi for SchedulerService {
     fn health(&self) -> Health {
         let known = self.shared.members().iter().next().is_some();
         Health {
@@ -457,7 +457,7 @@
         Box::pin(dump(&self.shared))
     }
 
-    fn command(&self, command: Command) -> BoxFuture<'_, Option<Said>> {
+    fn command(&self, command: Command) -> BoxFuture<'_, Option<CommandReply>> {
         Box::pin(async move {
             let path: Vec<&str> = command.path.iter().map(|part| &**part).collect();
             let (&Method::GET, ["v1", "cells", cell]) = (&command.method, path.as_slice()) else {
--- a/ashtiller/src/workflow/advisor.rs
+++ b/ashtiller/src/workflow/advisor.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::store::Called;
+use crate::store::CallFuture;
 use crate::workflow::incarnation::Incarnation;
 
 /// Worker incarnations that may run a step, each with the ticket to start it there.
@@ -20,5 +20,5 @@
         step: u16,
         workers: &'a [Incarnation],
         limit: Duration,
-    ) -> Called<'a, Tickets>;
+    ) -> CallFuture<'a, Tickets>;
 }
--- a/ashtiller/src/workflow/agents.rs
+++ b/ashtiller/src/workflow/agents.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::store::Called;
+use crate::store::CallFuture;
 use crate::workflow::incarnation::Incarnation;
 
 /// Shortest timeout of an order: a hundred times the one-way delay to another zone. By then the
@@ -195,8 +195,8 @@
 pub trait WorkerClient: Send + Sync {
     /// Sends an order. After a failure with unknown effect it may still be carried out seconds
     /// later.
-    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> Called<'a, OrderReply>;
+    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> CallFuture<'a, OrderReply>;
 
     /// Polls a worker.
-    fn poll<'a>(&'a self, to: &'a Target, poll: &'a Poll) -> Called<'a, PollReply>;
+    fn poll<'a>(&'a self, to: &'a Target, poll: &'a Poll) -> CallFuture<'a, PollReply>;
 }
--- a/ashtiller/src/workflow/kv.rs
+++ b/ashtiller/src/workflow/kv.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 
-use crate::store::Called;
+use crate::store::CallFuture;
 
 /// A stored value.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -70,21 +70,21 @@
 /// Client of the key-value store.
 pub trait Store: Send + Sync {
     /// Reads one key; a stale read is cheap and may return data that is seconds old.
-    fn get<'a>(&'a self, key: &'a str, stale: bool) -> Called<'a, Option<Item>>;
+    fn get<'a>(&'a self, key: &'a str, stale: bool) -> CallFuture<'a, Option<Item>>;
 
     /// Reads the items below a prefix, starting after the key `after` if there is one.
-    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page>;
+    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> CallFuture<'a, Page>;
 
     /// Reads a page like [`Store::scan`] for the replay of a log, where a page must arrive even
     /// over a slow link.
-    fn fetch<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
+    fn fetch<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> CallFuture<'a, Page> {
         self.scan(prefix, after)
     }
 
     /// Waits for a change below a prefix after revision `at`, at most for `wait`.
-    fn watch<'a>(&'a self, prefix: &'a str, at: u64, wait: Duration) -> Called<'a, Watched>;
+    fn watch<'a>(&'a self, prefix: &'a str, at: u64, wait: Duration) -> CallFuture<'a, Watched>;
 
     /// Commits a transaction. After a failure with unknown effect it may still be applied later, as
     /// long as the expected revisions hold.
-    fn commit<'a>(&'a self, txn: &'a Txn) -> Called<'a, Committed>;
+    fn commit<'a>(&'a self, txn: &'a Txn) -> CallFuture<'a, Committed>;
 }
--- a/ashtiller/src/workflow/link.rs
+++ b/ashtiller/src/workflow/link.rs
@@ -81,7 +81,7 @@
 
 /// Serves requests of other instances on `listener` until the task is dropped.
 pub async fn serve<A: RequestHandler + 'static>(listener: TcpListener, handler: Rc<A>) {
-    let bytes = Arc::new(meter::Bytes::default());
+    let bytes = Arc::new(meter::ByteCounts::default());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             // Most likely the process is out of file descriptors; some will be closed again.
@@ -97,7 +97,7 @@
 pub fn host<A: RequestHandler + 'static>(
     stream: impl Stream + 'static,
     handler: Rc<A>,
-    bytes: &Arc<meter::Bytes>,
+    bytes: &Arc<meter::ByteCounts>,
 ) {
     let client: entry::Client = capnp_rpc::new_client(EntryServer { handler });
     let (reader, writer) = io::split(stream);
--- a/ashtiller/src/workflow/machines.rs
+++ b/ashtiller/src/workflow/machines.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::store::Called;
+use crate::store::CallFuture;
 
 /// Availability of a machine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -74,7 +74,7 @@
 /// Client of the platform's machine interface.
 pub trait Machines: Send + Sync {
     /// Lists all machines.
-    fn list(&self) -> Called<'_, Vec<Machine>>;
+    fn list(&self) -> CallFuture<'_, Vec<Machine>>;
 
     /// Sends an order to a machine.
     fn order<'a>(
@@ -82,5 +82,5 @@
         holder: &'a Holder,
         machine: &'a str,
         duty: &'a MachineOrder,
-    ) -> Called<'a, Done>;
+    ) -> CallFuture<'a, Done>;
 }
--- a/ashtiller/src/workflow/metrics.rs
+++ b/ashtiller/src/workflow/metrics.rs
@@ -132,7 +132,7 @@
             Box::new(metrics.waited.clone()),
             Box::new(metrics.workers.clone()),
             Box::new(metrics.pressure.clone()),
-            Box::new(web::silent_links()),
+            Box::new(web::silent_connections()),
             Box::new(messages),
             Box::new(bytes),
             Box::new(metrics.silent.clone()),
--- a/ashtiller/src/workflow/peers.rs
+++ b/ashtiller/src/workflow/peers.rs
@@ -76,7 +76,7 @@
 pub struct PeerConnections {
     dial: Rc<dyn Dial>,
     open: RefCell<HashMap<SocketAddr, Rc<Connection>>>,
-    bytes: Arc<meter::Bytes>,
+    bytes: Arc<meter::ByteCounts>,
     silent: IntCounter,
 }
 
--- a/ashtiller/tests/configuration.rs
+++ b/ashtiller/tests/configuration.rs
@@ -111,7 +111,7 @@
     let raced = apply::write(&*client, &account, &second, &base, false)
         .await
         .expect("answered");
-    let Applied::Raced(_, now) = raced else {
+    let Applied::Conflict(_, now) = raced else {
         panic!("{raced:?}")
     };
     assert_eq!(now, first, "told what is in force");
--- a/ashtiller/tests/links/follower.rs
+++ b/ashtiller/tests/links/follower.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::agents::{Order, OrderReply, Poll, PollReply, Target, WorkerClient};
 use ashtiller::workflow::config::{Config, ListedWorker, OperatorEntry, PlatformCodec};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
@@ -64,7 +64,7 @@
 }
 
 impl Store for Memory {
-    fn get<'a>(&'a self, key: &'a str, stale: bool) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str, stale: bool) -> CallFuture<'a, Option<Item>> {
         self.reads.fetch_add(usize::from(!stale), Ordering::Relaxed);
         Box::pin(async move {
             time::sleep(CALL).await;
@@ -72,7 +72,7 @@
         })
     }
 
-    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
+    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> CallFuture<'a, Page> {
         Box::pin(async move {
             time::sleep(CALL).await;
             let items = self.items.lock().expect("items");
@@ -89,14 +89,14 @@
         })
     }
 
-    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> Called<'a, Watched> {
+    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> CallFuture<'a, Watched> {
         Box::pin(async move {
             time::sleep(wait).await;
             Ok(Watched::Changes(Vec::new(), at))
         })
     }
 
-    fn commit<'a>(&'a self, txn: &'a Txn) -> Called<'a, Committed> {
+    fn commit<'a>(&'a self, txn: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async move {
             time::sleep(CALL).await;
             Ok(self.write(txn))
@@ -107,7 +107,7 @@
 struct Nobody;
 
 impl WorkerClient for Nobody {
-    fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> Called<'a, OrderReply> {
+    fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> CallFuture<'a, OrderReply> {
         Box::pin(async move {
             Err(Failure::no_effect(
                 "order",
@@ -117,7 +117,7 @@
         })
     }
 
-    fn poll<'a>(&'a self, to: &'a Target, _: &'a Poll) -> Called<'a, PollReply> {
+    fn poll<'a>(&'a self, to: &'a Target, _: &'a Poll) -> CallFuture<'a, PollReply> {
         Box::pin(async move {
             Err(Failure::no_effect(
                 "look",
--- a/ashtiller/tests/links/net.rs
+++ b/ashtiller/tests/links/net.rs
@@ -34,7 +34,7 @@
 impl Net {
     /// Lets `answers` listen at `address`.
     pub fn host<A: RequestHandler + 'static>(&self, address: SocketAddr, answers: Rc<A>) {
-        let bytes = Arc::new(meter::Bytes::default());
+        let bytes = Arc::new(meter::ByteCounts::default());
         let accept = move |stream| link::host(stream, answers.clone(), &bytes);
         self.hosts.borrow_mut().insert(address, Rc::new(accept));
     }
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ashtiller::failure::{Failure, RemoteEffect};
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::agents::{
     Order, OrderReply, Poll, PollReply, Start, Target, TaskName, WorkerClient,
 };
@@ -43,7 +43,7 @@
 }
 
 impl WorkerClient for View {
-    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> Called<'a, OrderReply> {
+    fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> CallFuture<'a, OrderReply> {
         let call = (self.from, to.clone(), order.clone());
         self.workers.calls.lock().push(call);
         let down = self.workers.down.lock().contains(to);
@@ -68,7 +68,7 @@
         })
     }
 
-    fn poll<'a>(&'a self, to: &'a Target, look: &'a Poll) -> Called<'a, PollReply> {
+    fn poll<'a>(&'a self, to: &'a Target, look: &'a Poll) -> CallFuture<'a, PollReply> {
         self.workers.looks.lock().push(to.clone());
         let wait = look.wait;
         Box::pin(async move {
--- a/ashtiller/tests/owner/compaction.rs
+++ b/ashtiller/tests/owner/compaction.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use ashtiller::workflow::log::{Acquisition, Log, PartSize};
 use ashtiller::workflow::log_state::LogState;
@@ -87,11 +87,11 @@
 }
 
 impl Store for Thin {
-    fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str, _: bool) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move { Ok(self.0.lock().items.get(key).cloned()) })
     }
 
-    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
+    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> CallFuture<'a, Page> {
         let state = self.0.lock();
         let below = state.items.values().filter(|it| it.key.starts_with(prefix));
         let behind = below.filter(|it| after.is_none_or(|after| &*it.key > after));
@@ -101,11 +101,11 @@
         Box::pin(async move { Ok(Page { items, more, at: 1 }) })
     }
 
-    fn watch<'a>(&'a self, key: &'a str, _: u64, _: Duration) -> Called<'a, Watched> {
+    fn watch<'a>(&'a self, key: &'a str, _: u64, _: Duration) -> CallFuture<'a, Watched> {
         Box::pin(async move { Err(Failure::no_effect("watch", key, "not asked for")) })
     }
 
-    fn commit<'a>(&'a self, txn: &'a Txn) -> Called<'a, Committed> {
+    fn commit<'a>(&'a self, txn: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async move {
             let bytes = txn.put.iter().map(|(key, value)| key.len() + value.len());
             let through = self.send(bytes.sum());
--- a/ashtiller/tests/owner/freshness.rs
+++ b/ashtiller/tests/owner/freshness.rs
@@ -5,7 +5,7 @@
 
 use ashtiller::clock::Moment;
 use ashtiller::failure::Failure;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use parking_lot::Mutex;
@@ -24,11 +24,11 @@
 struct Lists(Mutex<Vec<(u32, u64)>>);
 
 impl Store for Lists {
-    fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str, _: bool) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
-    fn scan<'a>(&'a self, prefix: &'a str, _: Option<&'a str>) -> Called<'a, Page> {
+    fn scan<'a>(&'a self, prefix: &'a str, _: Option<&'a str>) -> CallFuture<'a, Page> {
         let (millis, at) = self.0.lock().pop().expect("a list");
         let item = Item {
             key: prefix.into(),
@@ -46,14 +46,14 @@
         })
     }
 
-    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> Called<'a, Watched> {
+    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> CallFuture<'a, Watched> {
         Box::pin(async move {
             time::sleep(wait / 2).await;
             Ok(Watched::Changes(Vec::new(), at))
         })
     }
 
-    fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
+    fn commit<'a>(&'a self, _: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
--- a/ashtiller/tests/owner/growth.rs
+++ b/ashtiller/tests/owner/growth.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use ashtiller::workflow::log::Log;
 use tokio::time::{self, Instant};
@@ -14,11 +14,11 @@
 struct Entries(AtomicU64);
 
 impl Store for Entries {
-    fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str, _: bool) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
-    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
+    fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> CallFuture<'a, Page> {
         let after = after.unwrap_or_default().to_owned();
         let keys = (1..=self.0.load(Ordering::Relaxed)).map(move |at| format!("{prefix}{at:012x}"));
         let items = keys.filter(|key| **key > *after).map(|key| Item {
@@ -34,11 +34,11 @@
         Box::pin(async move { Ok(page) })
     }
 
-    fn watch<'a>(&'a self, key: &'a str, _: u64, _: Duration) -> Called<'a, Watched> {
+    fn watch<'a>(&'a self, key: &'a str, _: u64, _: Duration) -> CallFuture<'a, Watched> {
         Box::pin(async move { Err(Failure::no_effect("watch", key, "not asked for")) })
     }
 
-    fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
+    fn commit<'a>(&'a self, _: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
--- a/ashtiller/tests/owner/listing.rs
+++ b/ashtiller/tests/owner/listing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ashtiller::failure::Failure;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
 use tokio::sync::{mpsc, watch};
@@ -21,11 +21,11 @@
 }
 
 impl Store for Pages {
-    fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str, _: bool) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
-    fn scan<'a>(&'a self, _: &'a str, after: Option<&'a str>) -> Called<'a, Page> {
+    fn scan<'a>(&'a self, _: &'a str, after: Option<&'a str>) -> CallFuture<'a, Page> {
         let (items, more) = match after {
             None => (vec![item("workers/a", 9), item("workers/b", 3)], true),
             Some("workers/b") => (vec![item("workers/c", 5)], false),
@@ -34,14 +34,14 @@
         Box::pin(async move { Ok(Page { items, more, at: 9 }) })
     }
 
-    fn watch<'a>(&'a self, _: &'a str, at: u64, _: Duration) -> Called<'a, Watched> {
+    fn watch<'a>(&'a self, _: &'a str, at: u64, _: Duration) -> CallFuture<'a, Watched> {
         Box::pin(async move {
             std::future::pending::<()>().await;
             Ok(Watched::Changes(Vec::new(), at))
         })
     }
 
-    fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
+    fn commit<'a>(&'a self, _: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
--- a/ashtiller/tests/owner/slow.rs
+++ b/ashtiller/tests/owner/slow.rs
@@ -6,7 +6,7 @@
 
 use ashtiller::clock::Moment;
 use ashtiller::failure::Failure;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::agents::ORDER_TIMEOUT_MIN;
 use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Committed, Item, Page, Store, Txn, Watched};
@@ -75,11 +75,11 @@
 }
 
 impl Store for Quiet {
-    fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str, _: bool) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
-    fn scan<'a>(&'a self, _: &'a str, _: Option<&'a str>) -> Called<'a, Page> {
+    fn scan<'a>(&'a self, _: &'a str, _: Option<&'a str>) -> CallFuture<'a, Page> {
         let number = self.lists.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
             match self.manner {
@@ -94,7 +94,7 @@
         })
     }
 
-    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> Called<'a, Watched> {
+    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> CallFuture<'a, Watched> {
         self.watches.fetch_add(1, Ordering::Relaxed);
         let nothing = Watched::Changes(Vec::new(), at);
         Box::pin(async move {
@@ -114,7 +114,7 @@
         })
     }
 
-    fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
+    fn commit<'a>(&'a self, _: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
--- a/ashtiller/tests/owner/watching.rs
+++ b/ashtiller/tests/owner/watching.rs
@@ -5,7 +5,7 @@
 
 use ashtiller::clock::Moment;
 use ashtiller::failure::Failure;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::workflow::follow::{self, StoreUpdate};
 use ashtiller::workflow::kv::{Change, Committed, Item, Page, Store, Txn, Watched};
 use parking_lot::Mutex;
@@ -51,15 +51,15 @@
 }
 
 impl Store for Told {
-    fn get<'a>(&'a self, key: &'a str, _: bool) -> Called<'a, Option<Item>> {
+    fn get<'a>(&'a self, key: &'a str, _: bool) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
 
-    fn scan<'a>(&'a self, _: &'a str, _: Option<&'a str>) -> Called<'a, Page> {
+    fn scan<'a>(&'a self, _: &'a str, _: Option<&'a str>) -> CallFuture<'a, Page> {
         Box::pin(async { Ok(Page::default()) })
     }
 
-    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> Called<'a, Watched> {
+    fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> CallFuture<'a, Watched> {
         let fate = self.next();
         Box::pin(async move {
             match fate {
@@ -84,7 +84,7 @@
         })
     }
 
-    fn commit<'a>(&'a self, _: &'a Txn) -> Called<'a, Committed> {
+    fn commit<'a>(&'a self, _: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async { Err(Failure::no_effect("write", "store", "not asked for")) })
     }
 }
--- a/ashtiller/tests/peers.rs
+++ b/ashtiller/tests/peers.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::peer::{Ask, Greeting, Peer, Submission, Verdict};
-use ashtiller::store::Called;
-use ashtiller::wire::{self, Served};
+use ashtiller::peer::{LoanRequest, Heartbeat, Peer, Submission, JobReply};
+use ashtiller::store::CallFuture;
+use ashtiller::wire::{self, RpcServer};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -19,8 +19,8 @@
 
 struct Greeter;
 
-fn greeting() -> Greeting {
-    Greeting {
+fn greeting() -> Heartbeat {
+    Heartbeat {
         name: "entry-1".into(),
         role: "scheduler".into(),
         revision: 1,
@@ -30,28 +30,28 @@
 }
 
 impl Peer for Greeter {
-    fn greet(&self, _: Greeting) -> Called<'_, Greeting> {
+    fn heartbeat(&self, _: Heartbeat) -> CallFuture<'_, Heartbeat> {
         Box::pin(async { Ok(greeting()) })
     }
 
-    fn lend(&self, _: Ask) -> Called<'_, Vec<(u64, u32)>> {
+    fn lend(&self, _: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(async { Ok(Vec::new()) })
     }
 
-    fn submit(&self, _: Arc<str>, _: Submission) -> Called<'_, Verdict> {
-        Box::pin(async { Ok(Verdict::Accepted) })
+    fn submit(&self, _: Arc<str>, _: Submission) -> CallFuture<'_, JobReply> {
+        Box::pin(async { Ok(JobReply::Accepted) })
     }
 
-    fn cancel(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> Called<'_, Verdict> {
-        Box::pin(async { Ok(Verdict::Accepted) })
+    fn cancel(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, JobReply> {
+        Box::pin(async { Ok(JobReply::Accepted) })
     }
 
-    fn show(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> Called<'_, String> {
+    fn show(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, String> {
         Box::pin(async { Ok(String::new()) })
     }
 }
 
-async fn bind() -> Served {
+async fn bind() -> RpcServer {
     let any = ([127, 0, 0, 1], 0).into();
     wire::bind(any, LIMIT, Arc::new(Greeter))
         .await
@@ -141,15 +141,15 @@
     let (near, far) = (bind().await, bind().await);
     let proxy = Proxy::bind(far.address()).await;
     let peer = near.wire().connect(proxy.address);
-    peer.greet(greeting()).await.expect("an answer");
+    peer.heartbeat(greeting()).await.expect("an answer");
     proxy.silence();
     let second = async {
         time::sleep(LIMIT / 2).await;
-        peer.greet(greeting()).await
+        peer.heartbeat(greeting()).await
     };
     let others = async {
-        let first = peer.greet(greeting()).await;
-        (first, peer.greet(greeting()).await)
+        let first = peer.heartbeat(greeting()).await;
+        (first, peer.heartbeat(greeting()).await)
     };
     let (second, (first, third)) = tokio::join!(second, others);
     assert!(
@@ -157,7 +157,7 @@
         "the connection is silent"
     );
     third.expect("an answer on a new connection");
-    peer.greet(greeting()).await.expect("an answer");
+    peer.heartbeat(greeting()).await.expect("an answer");
     assert_eq!(proxy.passed.borrow().opened, 2);
 }
 
@@ -175,10 +175,10 @@
     let (near, far) = (bind().await, bind().await);
     let proxy = Proxy::bind(far.address()).await;
     let peer = near.wire().connect(proxy.address);
-    peer.greet(greeting()).await.expect("an answer");
+    peer.heartbeat(greeting()).await.expect("an answer");
     proxy.silence();
-    peer.greet(greeting()).await.expect_err("it is silent");
-    peer.greet(greeting()).await.expect("an answer");
+    peer.heartbeat(greeting()).await.expect_err("it is silent");
+    peer.heartbeat(greeting()).await.expect("an answer");
     let mut passed = proxy.passed.subscribe();
     let closed = passed.wait_for(|passed| passed.closed == 1);
     time::timeout(CAP, closed)
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -12,7 +12,7 @@
 use ashtiller::fact::Body;
 use ashtiller::health::Sample;
 use ashtiller::line::Ticket;
-use ashtiller::peer::Ask;
+use ashtiller::peer::LoanRequest;
 use ashtiller::template::Class;
 use fleet::Fleet;
 
@@ -181,10 +181,10 @@
     }
 
     fn lend(&mut self, peer: &str, settles: bool, want: u32, now: Duration) -> String {
-        let ask = Ask {
+        let ask = LoanRequest {
             service: "s".into(),
             borrower: peer.into(),
-            settles,
+            replaces_loan: settles,
             keep: Vec::new(),
             want,
         };
--- a/ashtiller/tests/settings.rs
+++ b/ashtiller/tests/settings.rs
@@ -69,8 +69,8 @@
     assert_eq!(unit::parse_processors("1.2345"), None);
     assert_eq!(unit::parse_share("20%"), Some(0.2));
     assert_eq!(unit::parse_share("120%"), None);
-    assert_eq!(unit::show_duration(Duration::from_mins(2)), "2min");
-    assert_eq!(unit::show_size(64 << 20), "64MiB");
+    assert_eq!(unit::format_duration(Duration::from_mins(2)), "2min");
+    assert_eq!(unit::format_size(64 << 20), "64MiB");
 }
 
 #[test]
--- a/ashtiller/tests/silence.rs
+++ b/ashtiller/tests/silence.rs
@@ -11,8 +11,8 @@
 use ashtiller::failure::Failure;
 use ashtiller::follow;
 use ashtiller::resources::Resources;
-use ashtiller::roster::{Instance, Listed, Roster};
-use ashtiller::store::Called;
+use ashtiller::roster::{Instance, InstanceList, ServiceCatalog};
+use ashtiller::store::CallFuture;
 use ashtiller::web;
 use bytes::Bytes;
 use hyper::Method;
@@ -285,8 +285,8 @@
     leaves: Instant,
 }
 
-impl Roster for List {
-    fn watch<'a>(&'a self, _: &'a str, index: u64, wait: Duration) -> Called<'a, Listed> {
+impl ServiceCatalog for List {
+    fn watch<'a>(&'a self, _: &'a str, index: u64, wait: Duration) -> CallFuture<'a, InstanceList> {
         Box::pin(async move {
             let asked = Instant::now();
             if index > 0 {
@@ -302,7 +302,7 @@
             }
             let leaving = Instant::now() > self.leaves;
             let phase = if leaving { Phase::Leaving } else { Phase::Live };
-            Ok(Listed {
+            Ok(InstanceList {
                 instances: vec![instance(phase)],
                 index: 1,
             })
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -13,7 +13,7 @@
 use ashtiller::desk::{Admitted, Desk};
 use ashtiller::dispatch::{self, Limits};
 use ashtiller::endpoint::{Listing, Phase};
-use ashtiller::ledger::{Head, Ledger, Next, Stored, Taken};
+use ashtiller::ledger::{Head, ConfigState, HeadAction, StoredTemplate, AdoptResult};
 use ashtiller::line::Ticket;
 use ashtiller::pool::Pool;
 use ashtiller::rendezvous;
@@ -89,74 +89,74 @@
 fn an_older_template_is_refused() {
     let account: Arc<str> = "north".into();
     let text: Arc<str> = "[account]\nname = north\n".into();
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigState::default();
     assert_eq!(
-        ledger.take(
+        ledger.adopt(
             &account,
-            Stored {
+            StoredTemplate {
                 revision: 7,
                 text: text.clone()
             }
         ),
-        Taken::Adopted
+        AdoptResult::Adopted
     );
     assert_eq!(
-        ledger.take(
+        ledger.adopt(
             &account,
-            Stored {
+            StoredTemplate {
                 revision: 6,
                 text: "".into()
             }
         ),
-        Taken::Older
+        AdoptResult::Older
     );
-    assert!(ledger.force().templates.contains_key(&account));
+    assert!(ledger.active().templates.contains_key(&account));
     assert_eq!(
-        ledger.take(
+        ledger.adopt(
             &account,
-            Stored {
+            StoredTemplate {
                 revision: 8,
                 text: "".into()
             }
         ),
-        Taken::Adopted
+        AdoptResult::Adopted
     );
     assert!(
-        !ledger.force().templates.contains_key(&account),
+        !ledger.active().templates.contains_key(&account),
         "removed by a newer one"
     );
     assert!(matches!(
-        ledger.take(
+        ledger.adopt(
             &account,
-            Stored {
+            StoredTemplate {
                 revision: 9,
                 text: "[wine]".into()
             }
         ),
-        Taken::Invalid(_)
+        AdoptResult::Invalid(_)
     ));
 }
 
 #[test]
 fn a_head_that_does_not_continue_makes_everything_be_read() {
     let account: Arc<str> = "north".into();
-    let mut ledger = Ledger::default();
+    let mut ledger = ConfigState::default();
     let one = Head::default().next(&account, 10);
-    assert_eq!(ledger.look(&one), Next::ReadAll, "nothing was read yet");
-    ledger.reach(one.revision, true);
+    assert_eq!(ledger.next_action(&one), HeadAction::ReadAll, "nothing was read yet");
+    ledger.advance_to(one.revision, true);
     let two = one.next(&"south".into(), 20);
-    assert_eq!(ledger.look(&two), Next::Read(vec!["south".into()]));
+    assert_eq!(ledger.next_action(&two), HeadAction::Read(vec!["south".into()]));
     let other = Head::default().next(&"east".into(), 30);
     assert_eq!(
-        ledger.look(&other),
-        Next::ReadAll,
+        ledger.next_action(&other),
+        HeadAction::ReadAll,
         "the store fell back in between"
     );
     assert_eq!(
-        ledger.look(&Head::default().next(&account, 5)),
-        Next::Repair(Vec::new())
+        ledger.next_action(&Head::default().next(&account, 5)),
+        HeadAction::Repair(Vec::new())
     );
-    assert!(ledger.lost(&BTreeMap::new()).is_empty());
+    assert!(ledger.missing_in_store(&BTreeMap::new()).is_empty());
 }
 
 #[test]
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -13,14 +13,14 @@
 use ashtiller::endpoint::{Listing, Phase};
 use ashtiller::fact::{Attempt, Body, End, Entry, LogRecord, TaskId};
 use ashtiller::health::Sample;
-use ashtiller::ledger::{Head, Ledger, Stored};
+use ashtiller::ledger::{Head, ConfigState, StoredTemplate};
 use ashtiller::line::Ticket;
-use ashtiller::peer::{Ask, Greeting, Peer, Submission, Verdict};
+use ashtiller::peer::{LoanRequest, Heartbeat, Peer, Submission, JobReply};
 use ashtiller::placement::InterferenceAware;
 use ashtiller::plan::Planner;
 use ashtiller::reconcile::{self, StepContext};
 use ashtiller::record;
-use ashtiller::store::Called;
+use ashtiller::store::CallFuture;
 use ashtiller::template::Class;
 use ashtiller::wire;
 
@@ -381,13 +381,13 @@
         .into()
 }
 
-fn ledger_with(accounts: usize) -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger_with(accounts: usize) -> ConfigState {
+    let mut ledger = ConfigState::default();
     for number in 0..accounts {
         let account: Arc<str> = format!("team-{number}").into();
-        ledger.take(
+        ledger.adopt(
             &account,
-            Stored {
+            StoredTemplate {
                 revision: 1,
                 text: template_text(&account),
             },
@@ -402,9 +402,9 @@
     let text = template_text(&account);
     let began = Instant::now();
     for revision in 2..u64::from(REPEAT) + 2 {
-        ledger.take(
+        ledger.adopt(
             &account,
-            Stored {
+            StoredTemplate {
                 revision,
                 text: text.clone(),
             },
@@ -417,7 +417,7 @@
     let ledger = ledger_with(accounts);
     let began = Instant::now();
     for _ in 0..REPEAT {
-        std::hint::black_box(ledger.force());
+        std::hint::black_box(ledger.active());
     }
     micros_each(began, REPEAT)
 }
@@ -428,8 +428,8 @@
 }
 
 impl Greeter {
-    fn greeting(&self) -> Greeting {
-        Greeting {
+    fn greeting(&self) -> Heartbeat {
+        Heartbeat {
             name: "entry-1".into(),
             role: "scheduler".into(),
             revision: 1_700_000_000_000,
@@ -442,23 +442,23 @@
 }
 
 impl Peer for Greeter {
-    fn greet(&self, _: Greeting) -> Called<'_, Greeting> {
+    fn heartbeat(&self, _: Heartbeat) -> CallFuture<'_, Heartbeat> {
         Box::pin(async { Ok(self.greeting()) })
     }
 
-    fn lend(&self, _: Ask) -> Called<'_, Vec<(u64, u32)>> {
+    fn lend(&self, _: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(async { Ok(vec![(1, 1); self.cells]) })
     }
 
-    fn submit(&self, _: Arc<str>, _: Submission) -> Called<'_, Verdict> {
-        Box::pin(async { Ok(Verdict::Accepted) })
+    fn submit(&self, _: Arc<str>, _: Submission) -> CallFuture<'_, JobReply> {
+        Box::pin(async { Ok(JobReply::Accepted) })
     }
 
-    fn cancel(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> Called<'_, Verdict> {
-        Box::pin(async { Ok(Verdict::Accepted) })
+    fn cancel(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, JobReply> {
+        Box::pin(async { Ok(JobReply::Accepted) })
     }
 
-    fn show(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> Called<'_, String> {
+    fn show(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, String> {
         Box::pin(async { Ok(String::new()) })
     }
 }
@@ -473,7 +473,7 @@
         let other = wire::bind(any, limit, Arc::new(Greeter { cells })).await?;
         let peer = one.wire().connect(other.address());
         let greeting = Greeter { cells }.greeting();
-        peer.greet(greeting.clone()).await?;
+        peer.heartbeat(greeting.clone()).await?;
         let bytes = || {
             let bytes = one.bytes();
             let order = std::sync::atomic::Ordering::Relaxed;
@@ -481,7 +481,7 @@
         };
         let (before, began) = (bytes(), Instant::now());
         for _ in 0..REPEAT {
-            peer.greet(greeting.clone()).await?;
+            peer.heartbeat(greeting.clone()).await?;
         }
         times.push((as_f64(cells), micros_each(began, REPEAT)));
         let each = |before: u64| (bytes() - before) / u64::from(REPEAT);
@@ -489,10 +489,10 @@
         let before = bytes();
         for _ in 0..REPEAT {
             let keep = vec![(1, 1); cells];
-            let ask = Ask {
+            let ask = LoanRequest {
                 service: "fleet".into(),
                 borrower: "entry-1".into(),
-                settles: true,
+                replaces_loan: true,
                 keep,
                 want: 8,
             };
