--- a/ashtiller/src/agreed/config.rs
+++ b/ashtiller/src/agreed/config.rs
@@ -31,26 +31,26 @@
 /// A running configuration actor.
 pub struct Config {
     actor: ActorRef<Keeper>,
-    force: watch::Receiver<Arc<ActiveConfig>>,
+    active: watch::Receiver<Arc<ActiveConfig>>,
     watcher: JoinHandle<()>,
 }
 
 impl Config {
     /// The configuration in force.
     #[must_use]
-    pub fn force(&self) -> Arc<ActiveConfig> {
-        self.force.borrow().clone()
+    pub fn active(&self) -> Arc<ActiveConfig> {
+        self.active.borrow().clone()
     }
 
     /// A receiver that is told of each change.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<ActiveConfig>> {
-        self.force.clone()
+        self.active.clone()
     }
 
     /// Another process knows `revision`; looks at the store when it is newer.
     pub fn observe_revision(&self, revision: u64) {
-        if revision > self.force.borrow().revision {
+        if revision > self.active.borrow().revision {
             let _ = self.actor.tell(Look).try_send();
         }
     }
@@ -74,7 +74,7 @@
     let watcher = tokio::spawn(watch_head(store, actor.clone()));
     Config {
         actor,
-        force,
+        active: force,
         watcher,
     }
 }
--- a/ashtiller/src/agreed/membership.rs
+++ b/ashtiller/src/agreed/membership.rs
@@ -36,7 +36,7 @@
     /// Lease of the member's key.
     pub lease: Duration,
     /// Wire to other processes.
-    pub wire: RpcClient,
+    pub rpc: RpcClient,
     /// Configuration, told of newer revisions.
     pub config: Arc<Config>,
     /// Time.
@@ -72,7 +72,7 @@
         let others = self.members();
         let mut greetings = JoinSet::new();
         for known in others.iter().filter(|known| known.member != self.args.own) {
-            let peer = self.args.wire.connect(known.member.peers);
+            let peer = self.args.rpc.connect(known.member.peers);
             let greeting = (self.args.greeting)();
             greetings.spawn(async move { peer.heartbeat(greeting).await });
         }
@@ -235,7 +235,7 @@
 
 async fn greet(args: Arc<Args>, actor: ActorRef<Registrar>, member: Member) {
     let answer = args
-        .wire
+        .rpc
         .connect(member.peers)
         .heartbeat((args.greeting)())
         .await
@@ -296,7 +296,7 @@
 
     async fn handle(&mut self, heard: Heard, _: &mut Context<Self, ()>) {
         self.members
-            .heard(heard.role, &heard.name, heard.answer.as_ref(), heard.now);
+            .record_heartbeat(heard.role, &heard.name, heard.answer.as_ref(), heard.now);
         self.sender.send_replace(Arc::new(self.members.clone()));
     }
 }
--- a/ashtiller/src/net/remote.rs
+++ b/ashtiller/src/net/remote.rs
@@ -15,7 +15,7 @@
 /// A [`Peer`] that stands for the process at an address.
 pub struct PeerClient {
     /// The wire's thread.
-    pub wire: RpcClient,
+    pub rpc: RpcClient,
     /// Where the process listens.
     pub address: SocketAddr,
 }
@@ -27,10 +27,10 @@
         call: impl FnOnce(ReplySender<T>) -> Call,
     ) -> Result<T, Failure> {
         let (asked, answer) = oneshot::channel();
-        let sent = self.wire.send(self.address, call(asked));
+        let sent = self.rpc.send(self.address, call(asked));
         sent.map_err(|()| Failure::no_effect(step, self.address, "the wire is busy"))?;
         // The thread's own limit comes first; this one covers a stuck thread.
-        match time::timeout(self.wire.limit() * 2, answer).await {
+        match time::timeout(self.rpc.limit() * 2, answer).await {
             Ok(Ok(done)) => done,
             _ => Err(Failure::unknown_effect(
                 step,
--- a/ashtiller/src/net/wire.rs
+++ b/ashtiller/src/net/wire.rs
@@ -39,7 +39,7 @@
     #[must_use]
     pub fn connect(&self, address: SocketAddr) -> Arc<dyn Peer> {
         Arc::new(remote::PeerClient {
-            wire: self.clone(),
+            rpc: self.clone(),
             address,
         })
     }
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -119,7 +119,7 @@
         ),
         store: store.clone(),
         lease: settings.platform.lease,
-        wire: served.wire().clone(),
+        rpc: served.wire().clone(),
         config: config.clone(),
         clock,
         greeting: greeter(&shared),
@@ -220,7 +220,7 @@
         Heartbeat {
             name: self.settings.instance.name.clone(),
             role: Role::Gateway.name().into(),
-            revision: self.config.force().revision,
+            revision: self.config.active().revision,
             leaving: self.is_leaving(),
             cells: Vec::new(),
         }
@@ -248,7 +248,7 @@
 
     /// Services that any template names.
     fn services(&self) -> BTreeSet<Arc<str>> {
-        let force = self.config.force();
+        let force = self.config.active();
         let templates = force.templates.values();
         templates
             .flat_map(|template| template.services.keys().cloned())
@@ -425,7 +425,7 @@
             .filter_map(|known| serde_json::to_value(known).ok())
             .collect()
     });
-    let force = shared.config.force();
+    let force = shared.config.active();
     let services: BTreeMap<Arc<str>, serde_json::Value> = shared
         .router
         .desks()
--- a/ashtiller/src/request/router.rs
+++ b/ashtiller/src/request/router.rs
@@ -209,7 +209,7 @@
                 "the header client-account is missing",
             )
         })?;
-        let force = self.config.force();
+        let force = self.config.active();
         let (account, template) = force
             .templates
             .get_key_value(account)
--- a/ashtiller/src/task/job_forwarder.rs
+++ b/ashtiller/src/task/job_forwarder.rs
@@ -102,7 +102,7 @@
                 "a job's name needs 1 to 63 letters, digits, `-`, `_` or `.`",
             ));
         }
-        let active_config = self.config.force();
+        let active_config = self.config.active();
         let template = active_config
             .templates
             .get(account)
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -138,7 +138,7 @@
         ),
         store,
         lease: settings.platform.lease,
-        wire: served.wire().clone(),
+        rpc: served.wire().clone(),
         config,
         clock,
         greeting: Arc::new(move || {
@@ -226,7 +226,7 @@
         Heartbeat {
             name: self.settings.instance.name.clone(),
             role: Role::Scheduler.name().into(),
-            revision: self.config.force().revision,
+            revision: self.config.active().revision,
             leaving: self.leaving.load(Ordering::SeqCst),
             cells: self.cells(),
         }
@@ -504,7 +504,7 @@
         "name": shared.settings.instance.name,
         "role": "scheduler",
         "leaving": shared.leaving.load(Ordering::SeqCst),
-        "revision": shared.config.force().revision,
+        "revision": shared.config.active().revision,
         "members": members,
         "cells": cells,
         "damaged": damaged,
