--- a/ashtiller/src/agreed/settings.rs
+++ b/ashtiller/src/agreed/settings.rs
@@ -40,7 +40,7 @@
     /// Lease of this process in the key-value service.
     pub lease: Duration,
     /// How often the list of instances is read.
-    pub refresh: Duration,
+    pub refresh_interval: Duration,
     /// Service in the platform's list whose instances are workers.
     pub workers: Arc<str>,
 }
@@ -57,27 +57,27 @@
     /// How endpoints are chosen.
     pub routing: balance::Kind,
     /// Most connections to one endpoint.
-    pub connections: u32,
+    pub connections_per_endpoint: u32,
     /// Most connections from callers.
-    pub callers_max: u32,
+    pub max_callers: u32,
     /// Largest request body.
-    pub body: u64,
+    pub max_body_bytes: u64,
     /// Largest head of a request or an answer.
-    pub head: u64,
+    pub max_head_bytes: u64,
     /// Largest body that is kept for a retry.
-    pub replay: u64,
+    pub max_replay_bytes: u64,
     /// Time limit of connecting to an endpoint.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// An idle connection to an endpoint is closed after this time.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long the balancer may go on sending after a planned stop begins.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Share of retries among first attempts.
-    pub retries: f64,
+    pub retry_share: f64,
     /// Largest share of a service's endpoints that may be ejected.
-    pub ejected: f64,
+    pub max_ejected_share: f64,
     /// Most groups of idempotency keys written each second.
-    pub claims: u32,
+    pub claims_per_second: u32,
 }
 
 /// The scheduler role.
@@ -90,15 +90,15 @@
     /// Lease granted to a worker.
     pub lease: Duration,
     /// How long leases are renewed past the last confirmed ownership.
-    pub horizon: Duration,
+    pub lease_horizon: Duration,
     /// Allowance for the drift of clocks over a lease.
-    pub margin: Duration,
+    pub clock_margin: Duration,
     /// How often a worker's lease is renewed.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// Least time between two writes to a cell's log.
-    pub commit: Duration,
+    pub commit_interval: Duration,
     /// Log entries after which a snapshot cuts the log.
-    pub snapshot: u32,
+    pub snapshot_entries: u32,
 }
 
 /// Settings of one instance.
@@ -157,7 +157,7 @@
         store: section.address("store", None),
         timeout: section.duration("timeout", Some(2 * SECOND), 10 * MS..=MINUTE),
         lease: section.duration("lease", Some(15 * SECOND), SECOND..=HOUR),
-        refresh: section.duration("refresh", Some(SECOND), 50 * MS..=MINUTE),
+        refresh_interval: section.duration("refresh", Some(SECOND), 50 * MS..=MINUTE),
         workers: section.name("workers", Some("workers")),
     }
 }
@@ -171,17 +171,17 @@
         routing: section
             .choice("routing", Some(balance::Kind::Dealt), &balance::KINDS)
             .unwrap_or(balance::Kind::Dealt),
-        connections: section.count("connections", Some(6), 1..=1000),
-        callers_max: section.count("callers_max", Some(4096), 1..=1_000_000),
-        body: section.size("body", Some(16 * MIB), 1..=1024 * MIB),
-        head: section.size("head", Some(32 << 10), 8 << 10..=MIB),
-        replay: section.size("replay", Some(64 << 10), 0..=16 * MIB),
-        connect: section.duration("connect", Some(250 * MS), MS..=MINUTE),
-        idle: section.duration("idle", Some(30 * SECOND), 10 * MS..=HOUR),
-        drain: section.duration("drain", Some(5 * SECOND), Duration::ZERO..=10 * MINUTE),
-        retries: section.share("retries", Some(0.1)),
-        ejected: section.share("ejected", Some(0.3)),
-        claims: section.count("claims", Some(10), 1..=1000),
+        connections_per_endpoint: section.count("connections", Some(6), 1..=1000),
+        max_callers: section.count("callers_max", Some(4096), 1..=1_000_000),
+        max_body_bytes: section.size("body", Some(16 * MIB), 1..=1024 * MIB),
+        max_head_bytes: section.size("head", Some(32 << 10), 8 << 10..=MIB),
+        max_replay_bytes: section.size("replay", Some(64 << 10), 0..=16 * MIB),
+        connect_timeout: section.duration("connect", Some(250 * MS), MS..=MINUTE),
+        idle_timeout: section.duration("idle", Some(30 * SECOND), 10 * MS..=HOUR),
+        drain_timeout: section.duration("drain", Some(5 * SECOND), Duration::ZERO..=10 * MINUTE),
+        retry_share: section.share("retries", Some(0.1)),
+        max_ejected_share: section.share("ejected", Some(0.3)),
+        claims_per_second: section.count("claims", Some(10), 1..=1000),
     }
 }
 
@@ -191,16 +191,16 @@
         operators: section.address("operators", Some(loopback(8091))),
         peers: section.address("peers", Some(loopback(8092))),
         lease: section.duration("lease", Some(12 * SECOND), 100 * MS..=10 * MINUTE),
-        horizon: section.duration("horizon", Some(45 * MINUTE), Duration::ZERO..=24 * HOUR),
-        margin: section.duration("margin", Some(SECOND), MS..=MINUTE),
-        renew: section.duration("renew", Some(3 * SECOND), 20 * MS..=5 * MINUTE),
-        commit: section.duration("commit", Some(150 * MS), MS..=10 * SECOND),
-        snapshot: section.count("snapshot", Some(512), 1..=100_000),
+        lease_horizon: section.duration("horizon", Some(45 * MINUTE), Duration::ZERO..=24 * HOUR),
+        clock_margin: section.duration("margin", Some(SECOND), MS..=MINUTE),
+        renew_interval: section.duration("renew", Some(3 * SECOND), 20 * MS..=5 * MINUTE),
+        commit_interval: section.duration("commit", Some(150 * MS), MS..=10 * SECOND),
+        snapshot_entries: section.count("snapshot", Some(512), 1..=100_000),
     }
 }
 
 fn check_lease(document: &mut Document, scheduler: &Scheduler) {
-    if scheduler.renew * 3 > scheduler.lease {
+    if scheduler.renew_interval * 3 > scheduler.lease {
         let found = "less than three renewals (`renew`) within a lease";
         document.add_mistake("scheduler", "lease", found, "at least three times `renew`");
     }
--- a/ashtiller/src/agreed/template.rs
+++ b/ashtiller/src/agreed/template.rs
@@ -40,15 +40,15 @@
     /// Class of its requests.
     pub class: Class,
     /// Latency that the service should keep.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Time limit of a request that names none.
     pub timeout: Duration,
     /// Methods that may be repeated.
     pub repeatable_methods: Vec<Arc<str>>,
     /// Most requests in flight in one gateway.
-    pub limit: u32,
+    pub max_in_flight: u32,
     /// Most requests that wait in one gateway.
-    pub queue: u32,
+    pub max_queued: u32,
 }
 
 impl Service {
@@ -65,17 +65,17 @@
     /// Class of its tasks.
     pub class: Class,
     /// What one task needs.
-    pub needs: Resources,
+    pub resources: Resources,
     /// Number of tasks.
     pub tasks: u32,
     /// Declared run time of one task; `None` runs until it is cancelled.
-    pub length: Option<Duration>,
+    pub run_time: Option<Duration>,
     /// Latency that its tasks should keep, if they serve requests.
-    pub target: Option<Duration>,
+    pub latency_target: Option<Duration>,
     /// Whether its tasks start before all others.
     pub urgent: bool,
     /// Attempts that may fail before a task is given up.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// Everything that operators set for one client account.
@@ -86,7 +86,7 @@
     /// Most that its running tasks may hold together.
     pub quota: Resources,
     /// Evictions of its tasks that are allowed in an hour.
-    pub evictions: u32,
+    pub evictions_per_hour: u32,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Service>,
     /// Jobs by name.
@@ -114,7 +114,7 @@
         Ok(Self {
             account,
             quota,
-            evictions,
+            evictions_per_hour: evictions,
             services,
             jobs,
         })
@@ -144,11 +144,11 @@
         let timeout = section.duration("timeout", Some(10 * SECOND), SECOND / 100..=HOUR);
         let service = Service {
             class,
-            target: section.duration("target", Some(timeout), SECOND / 1000..=HOUR),
+            latency_target: section.duration("target", Some(timeout), SECOND / 1000..=HOUR),
             timeout,
             repeatable_methods: section.words("repeat", "GET, HEAD, OPTIONS"),
-            limit: section.count("limit", Some(1024), 1..=1_000_000),
-            queue: section.count("queue", Some(256), 0..=1_000_000),
+            max_in_flight: section.count("limit", Some(1024), 1..=1_000_000),
+            max_queued: section.count("queue", Some(256), 0..=1_000_000),
         };
         for method in &service.repeatable_methods {
             let known = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"];
@@ -176,17 +176,17 @@
             class: section
                 .choice("class", Some(Class::Batch), &CLASSES)
                 .unwrap_or(Class::Batch),
-            needs,
+            resources: needs,
             tasks: section.count("tasks", Some(1), 1..=10_000),
-            length: (!forever).then_some(length),
-            target: section.optional_duration("target", SECOND / 1000..=HOUR),
+            run_time: (!forever).then_some(length),
+            latency_target: section.optional_duration("target", SECOND / 1000..=HOUR),
             urgent: section.flag("urgent", Some(false)),
-            attempts: section.count("attempts", Some(5), 1..=100),
+            max_attempts: section.count("attempts", Some(5), 1..=100),
         };
         // A quota that could not be read has its own mistake.
-        if quota.processors > 0 && !job.needs.fits_within(quota) {
+        if quota.processors > 0 && !job.resources.fits_within(quota) {
             let allowed = format!("at most the account's quota of {quota}");
-            section.reject("processors", &format!("a task of {}", job.needs), &allowed);
+            section.reject("processors", &format!("a task of {}", job.resources), &allowed);
         }
         jobs.insert(name, job);
     }
--- a/ashtiller/src/net/wire.rs
+++ b/ashtiller/src/net/wire.rs
@@ -59,7 +59,7 @@
 /// A served port; dropping it closes the port and its connections.
 pub struct RpcServer {
     address: SocketAddr,
-    wire: RpcClient,
+    client: RpcClient,
     /// Dropped with this handle, which ends the thread.
     _alive: oneshot::Sender<()>,
 }
@@ -74,13 +74,13 @@
     /// Bytes that passed to and from other processes.
     #[must_use]
     pub fn bytes(&self) -> &Arc<meter::ByteCounts> {
-        &self.wire.bytes
+        &self.client.bytes
     }
 
     /// The wire through which other processes are reached.
     #[must_use]
-    pub fn wire(&self) -> &RpcClient {
-        &self.wire
+    pub fn client(&self) -> &RpcClient {
+        &self.client
     }
 }
 
@@ -120,7 +120,7 @@
     started.await??;
     Ok(RpcServer {
         address,
-        wire: RpcClient {
+        client: RpcClient {
             calls,
             limit,
             bytes,
--- a/ashtiller/src/request/front.rs
+++ b/ashtiller/src/request/front.rs
@@ -68,7 +68,7 @@
     let address = listener.local_addr().map_err(failed)?;
     let (stage, stages) = watch::channel(Stage::Open);
     let (kill, killed) = watch::channel(false);
-    let head = usize::try_from(settings.head).unwrap_or(usize::MAX);
+    let head = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
     let shared = Arc::new(Shared {
         router,
         tally,
@@ -77,7 +77,7 @@
         head,
     });
     let tracker = TaskTracker::new();
-    let room = Arc::new(Semaphore::new(settings.callers_max as usize));
+    let room = Arc::new(Semaphore::new(settings.max_callers as usize));
     let listener = tokio::spawn(accept(listener, shared, tracker.clone(), room));
     Ok(Front {
         address,
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -84,7 +84,7 @@
     let registry = Registry::new();
     let tally = Arc::new(Tally::open(&registry)?);
     let config = Arc::new(config::spawn(store.clone()));
-    let claims = claims::spawn(store.clone(), settings.gateway.claims);
+    let claims = claims::spawn(store.clone(), settings.gateway.claims_per_second);
     let router = Router::new(
         settings.gateway.clone(),
         config.clone(),
@@ -119,7 +119,7 @@
         ),
         store: store.clone(),
         lease: settings.platform.lease,
-        rpc: served.wire().clone(),
+        rpc: served.client().clone(),
         config: config.clone(),
         clock,
         greeting: greeter(&shared),
@@ -130,7 +130,7 @@
         workers: settings.platform.workers.clone(),
         config,
         membership: membership.clone(),
-        wire: served.wire().clone(),
+        wire: served.client().clone(),
         home_cells: Mutex::default(),
     };
     let _ = shared.parts.set(Parts {
@@ -142,7 +142,7 @@
     tasks.spawn(follow_templates(
         shared.clone(),
         instances,
-        served.wire().clone(),
+        served.client().clone(),
         tally,
     ));
     Ok(Gateway {
@@ -190,7 +190,7 @@
     /// finishes what is in flight.
     pub async fn stop(self) {
         let parts = self.parts();
-        let drain = self.shared.settings.gateway.drain;
+        let drain = self.shared.settings.gateway.drain_timeout;
         // The first poll of the stop says that this gateway leaves; then the others
         // hear it, and deal its slots among themselves.
         tokio::join!(biased; parts.front.stop(drain), parts.membership.broadcast());
@@ -235,14 +235,14 @@
     fn open_desk(&self, service: &Arc<str>) -> Arc<Desk> {
         let settings = &self.settings.gateway;
         let limits = Limits {
-            connections: settings.connections,
-            ejected: settings.ejected,
+            connections: settings.connections_per_endpoint,
+            ejected: settings.max_ejected_share,
         };
         let seed = crate::endpoint::id_of(&self.settings.instance.name);
         let dispatch = dispatch::Dispatch::new(balance::open(settings.routing, seed), limits);
-        let head = usize::try_from(settings.head).unwrap_or(usize::MAX);
-        let pool = Pool::new(settings.connect, settings.idle, head);
-        let budget = Budget::new(settings.retries);
+        let head = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
+        let pool = Pool::new(settings.connect_timeout, settings.idle_timeout, head);
+        let budget = Budget::new(settings.retry_share);
         Desk::new(service.clone(), dispatch, pool, budget, self.clock.clone())
     }
 
@@ -277,7 +277,7 @@
     tally: Arc<Tally>,
 ) {
     let mut helpers = JoinSet::new();
-    let mut ticks = time::interval(shared.settings.platform.refresh);
+    let mut ticks = time::interval(shared.settings.platform.refresh_interval);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     let mut force = shared.config.subscribe();
     loop {
@@ -308,7 +308,7 @@
 
 /// Keeps a service's endpoints in step with the platform's list.
 async fn follow_endpoints(shared: Arc<Shared>, desk: Arc<Desk>, roster: Arc<dyn ServiceCatalog>) {
-    let pause = shared.settings.platform.refresh;
+    let pause = shared.settings.platform.refresh_interval;
     let follower = follow::spawn(roster, desk.name.clone(), pause);
     let mut changes = follower.subscribe();
     while changes.changed().await.is_ok() {
--- a/ashtiller/src/request/router.rs
+++ b/ashtiller/src/request/router.rs
@@ -247,8 +247,8 @@
     fn allowance(&self, plan: &Plan) -> Allowance {
         let time = plan.deadline.saturating_sub(self.clock.now());
         Allowance {
-            most: self.settings.body,
-            keep: self.settings.replay,
+            most: self.settings.max_body_bytes,
+            keep: self.settings.max_replay_bytes,
             time,
         }
     }
@@ -336,8 +336,8 @@
             account: plan.account.clone(),
             class: plan.service.class,
             deadline: plan.deadline,
-            limit: plan.service.limit,
-            queue: plan.service.queue,
+            limit: plan.service.max_in_flight,
+            queue: plan.service.max_queued,
             avoid,
         }
     }
@@ -395,7 +395,7 @@
             endpoint,
             limit,
         } = sending;
-        let request = build(plan, head, body.take(self.settings.body));
+        let request = build(plan, head, body.take(self.settings.max_body_bytes));
         let exchange = link.sender.try_send_request(request);
         let unanswered = plan.desk.pool.begin(endpoint.listing.address);
         let waited = self.wait_answer(plan, limit, &unanswered, exchange).await;
--- a/ashtiller/src/task/job_forwarder.rs
+++ b/ashtiller/src/task/job_forwarder.rs
@@ -126,12 +126,12 @@
             class: template_job.class,
             urgent: template_job.urgent,
             tasks,
-            needs: template_job.needs,
-            length: template_job.length,
-            target: template_job.target,
-            attempts: template_job.attempts,
+            needs: template_job.resources,
+            length: template_job.run_time,
+            target: template_job.latency_target,
+            attempts: template_job.max_attempts,
             quota: template.quota,
-            evictions: template.evictions,
+            evictions: template.evictions_per_hour,
         })
     }
 
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -133,7 +133,7 @@
     let now = deps.clock.now();
     let terms = LeaseTerms {
         lease: deps.settings.lease,
-        margin: deps.settings.margin,
+        margin: deps.settings.clock_margin,
     };
     let OpenedCell {
         journal,
@@ -247,7 +247,7 @@
 
     /// Writes the pending records if no write is in flight and the commit interval has passed.
     pub(crate) fn flush(&mut self, actor: &ActorRef<Self>) {
-        let paused = self.now() < self.last_write_at + self.deps.settings.commit;
+        let paused = self.now() < self.last_write_at + self.deps.settings.commit_interval;
         let last = self.handing_over && self.pending.is_empty();
         if self.write_in_flight
             || (!last && (self.pending.is_empty() || paused && !self.handing_over))
@@ -323,7 +323,7 @@
         let now = self.now();
         // No lease is renewed once the last confirmed ownership is older than the horizon.
         let renewing =
-            now < self.ownership_confirmed_at + self.deps.settings.horizon && !self.handing_over;
+            now < self.ownership_confirmed_at + self.deps.settings.lease_horizon && !self.handing_over;
         let due: Vec<Arc<str>> = self
             .cell
             .workers
@@ -348,11 +348,11 @@
             return true;
         };
         let since_call = now.saturating_sub(last_called);
-        let silent = worker_state.session.since_last_report(now) > self.deps.settings.renew * 2;
+        let silent = worker_state.session.since_last_report(now) > self.deps.settings.renew_interval * 2;
         let has_updates = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
         !worker_state.call_in_flight
             && (has_updates
-                || since_call >= self.deps.settings.renew
+                || since_call >= self.deps.settings.renew_interval
                 || silent && since_call >= RETRY_INTERVAL)
     }
 
@@ -406,7 +406,7 @@
     }
 
     pub(crate) fn snapshot(&mut self, actor: &ActorRef<Self>) {
-        let due = self.entries_since_snapshot >= self.deps.settings.snapshot;
+        let due = self.entries_since_snapshot >= self.deps.settings.snapshot_entries;
         let nothing_pending = self.pending.is_empty() && !self.write_in_flight;
         if self.snapshot_in_flight || !due || !nothing_pending || self.handing_over {
             return;
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -138,7 +138,7 @@
         ),
         store,
         lease: settings.platform.lease,
-        rpc: served.wire().clone(),
+        rpc: served.client().clone(),
         config,
         clock,
         greeting: Arc::new(move || {
@@ -273,10 +273,10 @@
         let settings = &self.settings.scheduler;
         let terms = LeaseTerms {
             lease: settings.lease,
-            margin: settings.margin,
+            margin: settings.clock_margin,
         };
         let own = self.settings.instance.name.clone();
-        let (store, horizon) = (self.store.clone(), settings.horizon);
+        let (store, horizon) = (self.store.clone(), settings.lease_horizon);
         match journal::open(store, cell.clone(), own, &terms, horizon).await {
             Ok(opened) => {
                 let epoch = opened.journal.epoch();
@@ -316,13 +316,13 @@
 /// Keeps the owned cells consistent with the members and the platform's list of workers.
 async fn reconcile_cells(shared: Arc<Shared>) {
     time::sleep(STARTUP_DELAY).await;
-    let mut ticks = time::interval(shared.settings.platform.refresh);
+    let mut ticks = time::interval(shared.settings.platform.refresh_interval);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     let (roster, workers) = (
         shared.roster.clone(),
         shared.settings.platform.workers.clone(),
     );
-    let follower = follow::spawn(roster, workers, shared.settings.platform.refresh);
+    let follower = follow::spawn(roster, workers, shared.settings.platform.refresh_interval);
     let mut cells: BTreeMap<Arc<str>, Vec<Instance>> = BTreeMap::new();
     let mut last_handover: Option<Duration> = None;
     loop {
--- a/ashtiller/tests/peers.rs
+++ b/ashtiller/tests/peers.rs
@@ -140,7 +140,7 @@
 async fn a_late_failure_keeps_the_newer_connection() {
     let (near, far) = (bind().await, bind().await);
     let proxy = Proxy::bind(far.address()).await;
-    let peer = near.wire().connect(proxy.address);
+    let peer = near.client().connect(proxy.address);
     peer.heartbeat(greeting()).await.expect("an answer");
     proxy.silence();
     let second = async {
@@ -174,7 +174,7 @@
 async fn a_silent_connection_is_closed() {
     let (near, far) = (bind().await, bind().await);
     let proxy = Proxy::bind(far.address()).await;
-    let peer = near.wire().connect(proxy.address);
+    let peer = near.client().connect(proxy.address);
     peer.heartbeat(greeting()).await.expect("an answer");
     proxy.silence();
     peer.heartbeat(greeting()).await.expect_err("it is silent");
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -471,7 +471,7 @@
         let limit = Duration::from_secs(5);
         let one = wire::bind(any, limit, Arc::new(Greeter { cells })).await?;
         let other = wire::bind(any, limit, Arc::new(Greeter { cells })).await?;
-        let peer = one.wire().connect(other.address());
+        let peer = one.client().connect(other.address());
         let greeting = Greeter { cells }.greeting();
         peer.heartbeat(greeting.clone()).await?;
         let bytes = || {
