--- a/ashtiller/src/agreed/membership.rs
+++ b/ashtiller/src/agreed/membership.rs
@@ -42,7 +42,7 @@
     /// Time.
     pub clock: Arc<dyn Clock>,
     /// This process's heartbeat.
-    pub greeting: Arc<dyn Fn() -> Heartbeat + Send + Sync>,
+    pub heartbeat: Arc<dyn Fn() -> Heartbeat + Send + Sync>,
 }
 
 /// A running membership.
@@ -73,7 +73,7 @@
         let mut greetings = JoinSet::new();
         for known in others.iter().filter(|known| known.member != self.args.own) {
             let peer = self.args.rpc.connect(known.member.peers);
-            let greeting = (self.args.greeting)();
+            let greeting = (self.args.heartbeat)();
             greetings.spawn(async move { peer.heartbeat(greeting).await });
         }
         greetings.join_all().await;
@@ -237,7 +237,7 @@
     let answer = args
         .rpc
         .connect(member.peers)
-        .heartbeat((args.greeting)())
+        .heartbeat((args.heartbeat)())
         .await
         .ok();
     // A greeting from another life at the same address says nothing of this one.
--- a/ashtiller/src/net/consul.rs
+++ b/ashtiller/src/net/consul.rs
@@ -121,7 +121,7 @@
         target: &str,
         body: Bytes,
         limit: Duration,
-    ) -> Result<web::Answer, Failure> {
+    ) -> Result<web::Response, Failure> {
         let count = if method == Method::GET {
             &self.calls.reads
         } else {
--- a/ashtiller/src/net/remote.rs
+++ b/ashtiller/src/net/remote.rs
@@ -30,7 +30,7 @@
         let sent = self.rpc.send(self.address, call(asked));
         sent.map_err(|()| Failure::no_effect(step, self.address, "the wire is busy"))?;
         // The thread's own limit comes first; this one covers a stuck thread.
-        match time::timeout(self.rpc.limit() * 2, answer).await {
+        match time::timeout(self.rpc.call_timeout() * 2, answer).await {
             Ok(Ok(done)) => done,
             _ => Err(Failure::unknown_effect(
                 step,
--- a/ashtiller/src/net/web.rs
+++ b/ashtiller/src/net/web.rs
@@ -50,7 +50,7 @@
 
 /// An answer read as a whole.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: StatusCode,
     /// Value of `X-Consul-Index`, if there is one.
@@ -129,7 +129,7 @@
         target: &str,
         body: Bytes,
         limit: Duration,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         self.call_with(step, peer, Call::new(method, target, body), limit)
             .await
     }
@@ -144,7 +144,7 @@
         peer: SocketAddr,
         call: Call<'_>,
         limit: Duration,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, Failure> {
         let started = Instant::now();
         let timed_out = |_| Failure::no_effect(step, peer, "no connection in time");
         let link = time::timeout(limit, self.connect(step, peer, call.new_connection))
@@ -239,7 +239,7 @@
     peer: SocketAddr,
     mut link: Link,
     call: Call<'_>,
-) -> Result<(Answer, Link), Failure> {
+) -> Result<(Response, Link), Failure> {
     let failed = |error: &dyn std::fmt::Display| Failure::unknown_effect(step, peer, error);
     let mut request = Request::builder()
         .method(call.method)
@@ -267,7 +267,7 @@
         .and_then(|index| index.to_str().ok()?.parse().ok());
     link.sender.ready().await.map_err(|error| failed(&error))?;
     Ok((
-        Answer {
+        Response {
             status: head.status,
             index,
             body: body.to_bytes(),
--- a/ashtiller/src/net/wire.rs
+++ b/ashtiller/src/net/wire.rs
@@ -30,7 +30,7 @@
 #[derive(Clone)]
 pub struct RpcClient {
     calls: mpsc::Sender<(SocketAddr, Call)>,
-    limit: Duration,
+    call_timeout: Duration,
     bytes: Arc<meter::ByteCounts>,
 }
 
@@ -51,8 +51,8 @@
 
     /// Time limit of one call.
     #[must_use]
-    pub fn limit(&self) -> Duration {
-        self.limit
+    pub fn call_timeout(&self) -> Duration {
+        self.call_timeout
     }
 }
 
@@ -122,7 +122,7 @@
         address,
         client: RpcClient {
             calls,
-            limit,
+            call_timeout: limit,
             bytes,
         },
         _alive: alive,
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -122,7 +122,7 @@
         rpc: served.client().clone(),
         config: config.clone(),
         clock,
-        greeting: greeter(&shared),
+        heartbeat: greeter(&shared),
     }));
     let jobs = JobForwarder {
         store,
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -141,7 +141,7 @@
         rpc: served.client().clone(),
         config,
         clock,
-        greeting: Arc::new(move || {
+        heartbeat: Arc::new(move || {
             weak.upgrade()
                 .map(|shared| shared.greeting())
                 .unwrap_or_default()
