--- a/ashtiller/src/request/balance.rs
+++ b/ashtiller/src/request/balance.rs
@@ -39,7 +39,7 @@
 ];
 
 /// A way to choose an endpoint.
-pub trait Balance: Send {
+pub trait RoutingPolicy: Send {
     /// Returns the position of the endpoint for a request at `now`, or `None` when
     /// the request must wait. `avoid` names one that just failed the request.
     fn choose(
@@ -53,7 +53,7 @@
 
 /// Builds a policy; `seed` makes its draws repeatable.
 #[must_use]
-pub fn open(kind: Kind, seed: u64) -> Box<dyn Balance> {
+pub fn build(kind: Kind, seed: u64) -> Box<dyn RoutingPolicy> {
     let rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     match kind {
         Kind::Random => Box::new(Random { rng }),
@@ -78,7 +78,7 @@
     rng: Pcg64Mcg,
 }
 
-impl Balance for Random {
+impl RoutingPolicy for Random {
     fn choose(
         &mut self,
         endpoints: &[Endpoint],
@@ -95,7 +95,7 @@
     cost: fn(&Endpoint, Duration) -> u32,
 }
 
-impl Balance for LeastOfTwo {
+impl RoutingPolicy for LeastOfTwo {
     fn choose(
         &mut self,
         endpoints: &[Endpoint],
@@ -116,7 +116,7 @@
 
 fn reported_cost(endpoint: &Endpoint, now: Duration) -> u32 {
     let fresh = endpoint
-        .load
+        .reported_load
         .filter(|(_, at)| now.saturating_sub(*at) <= LOAD_AGE);
     fresh.map_or(endpoint.in_flight, |(load, _)| load.max(endpoint.in_flight))
 }
@@ -130,7 +130,7 @@
     spill: LeastOfTwo,
 }
 
-impl Balance for Dealt {
+impl RoutingPolicy for Dealt {
     fn choose(
         &mut self,
         endpoints: &[Endpoint],
@@ -168,14 +168,14 @@
     now: Duration,
 ) -> Option<usize> {
     let free = |endpoint: &Endpoint| {
-        Some(endpoint.id) != avoid && endpoint.takes(connections) && endpoint.idle_slots(now) > 0
+        Some(endpoint.id) != avoid && endpoint.accepts(connections) && endpoint.free_slots(now) > 0
     };
     let candidates = endpoints
         .iter()
         .enumerate()
         .filter(|(_, endpoint)| free(endpoint));
     candidates
-        .min_by_key(|(_, endpoint)| endpoint.begun)
+        .min_by_key(|(_, endpoint)| endpoint.last_started)
         .map(|(index, _)| index)
 }
 
@@ -185,7 +185,7 @@
     avoid: Option<u64>,
     connections: u32,
 ) -> Option<usize> {
-    let fits = |endpoint: &Endpoint| Some(endpoint.id) != avoid && endpoint.takes(connections);
+    let fits = |endpoint: &Endpoint| Some(endpoint.id) != avoid && endpoint.accepts(connections);
     if endpoints.is_empty() {
         return None;
     }
@@ -201,7 +201,7 @@
     if left.is_empty() {
         return endpoints
             .iter()
-            .position(|endpoint| endpoint.takes(connections));
+            .position(|endpoint| endpoint.accepts(connections));
     }
     Some(left[rng.random_range(0..left.len())])
 }
--- a/ashtiller/src/request/claims.rs
+++ b/ashtiller/src/request/claims.rs
@@ -48,25 +48,25 @@
 
 /// What became of a claim.
 #[derive(Clone, Debug)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// This request may be sent.
-    Ours(Box<str>),
+    Acquired(Box<str>),
     /// An earlier request has the key.
-    Taken,
+    AlreadyClaimed,
     /// The store could not be asked; nothing may be sent.
     Refused(Failure),
 }
 
-type Asked = (Claim, oneshot::Sender<Claimed>);
+type Asked = (Claim, oneshot::Sender<ClaimResult>);
 
 /// A running group writer.
-pub struct Claims {
+pub struct ClaimWriter {
     sender: mpsc::Sender<Asked>,
     writer: JoinHandle<()>,
     store: Arc<dyn Store>,
 }
 
-impl Drop for Claims {
+impl Drop for ClaimWriter {
     fn drop(&mut self) {
         self.writer.abort();
     }
@@ -74,30 +74,30 @@
 
 /// Starts a writer that writes at most `rate` groups a second.
 #[must_use]
-pub fn spawn(store: Arc<dyn Store>, rate: u32) -> Claims {
+pub fn spawn(store: Arc<dyn Store>, rate: u32) -> ClaimWriter {
     let (sender, receiver) = mpsc::channel(BACKLOG);
     let writer = tokio::spawn(write_groups(store.clone(), receiver, rate));
-    Claims {
+    ClaimWriter {
         sender,
         writer,
         store,
     }
 }
 
-impl Claims {
+impl ClaimWriter {
     /// Claims a key and waits for the result.
-    pub async fn claim(&self, claim: Claim) -> Claimed {
+    pub async fn claim(&self, claim: Claim) -> ClaimResult {
         let (asked, answer) = oneshot::channel();
         if self.sender.try_send((claim, asked)).is_err() {
-            return Claimed::Refused(Failure::no_effect("claim", "store", "too many claims wait"));
+            return ClaimResult::Refused(Failure::no_effect("claim", "store", "too many claims wait"));
         }
-        let gone = |_| Claimed::Refused(Failure::no_effect("claim", "store", "the writer stopped"));
+        let gone = |_| ClaimResult::Refused(Failure::no_effect("claim", "store", "the writer stopped"));
         answer.await.unwrap_or_else(gone)
     }
 
     /// Takes back a claim whose request was not sent, so that the caller may repeat
     /// it. Goes on in the background while the store is down.
-    pub fn undo(&self, key: Box<str>, claim: &Claim) {
+    pub fn release(&self, key: Box<str>, claim: &Claim) {
         tokio::spawn(take_back(self.store.clone(), key, claim.nonce));
     }
 }
@@ -154,7 +154,7 @@
         let name = (claim.account.clone(), claim.key);
         match pending.entry(name) {
             Entry::Occupied(_) => {
-                let _ = asked.send(Claimed::Taken);
+                let _ = asked.send(ClaimResult::AlreadyClaimed);
             }
             Entry::Vacant(place) => {
                 place.insert((claim, asked));
@@ -200,7 +200,7 @@
 fn tell_ours(store: &Arc<dyn Store>, pending: Vec<Asked>, period: u64) {
     for (claim, asked) in pending {
         let key: Box<str> = key_of(&claim, period).into();
-        if asked.send(Claimed::Ours(key.clone())).is_err() {
+        if asked.send(ClaimResult::Acquired(key.clone())).is_err() {
             // The request is gone; it was not sent.
             tokio::spawn(take_back(store.clone(), key, claim.nonce));
         }
@@ -211,7 +211,7 @@
     let mut left = Vec::new();
     for (index, (claim, asked)) in pending.into_iter().enumerate() {
         if positions.iter().any(|position| position / 3 == index) {
-            let _ = asked.send(Claimed::Taken);
+            let _ = asked.send(ClaimResult::AlreadyClaimed);
         } else {
             left.push((claim, asked));
         }
@@ -228,10 +228,10 @@
             RemoteEffect::Unknown => store.get(&key).await,
         };
         let claimed = match found {
-            Ok(Some(item)) if item.value == claim.nonce.to_string() => Claimed::Ours(key.into()),
-            Ok(Some(_)) => Claimed::Taken,
-            Ok(None) => Claimed::Refused(failure.clone()),
-            Err(failure) => Claimed::Refused(failure),
+            Ok(Some(item)) if item.value == claim.nonce.to_string() => ClaimResult::Acquired(key.into()),
+            Ok(Some(_)) => ClaimResult::AlreadyClaimed,
+            Ok(None) => ClaimResult::Refused(failure.clone()),
+            Err(failure) => ClaimResult::Refused(failure),
         };
         let _ = asked.send(claimed);
     }
--- a/ashtiller/src/request/desk.rs
+++ b/ashtiller/src/request/desk.rs
@@ -8,12 +8,12 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time;
 
-use crate::budget::Budget;
+use crate::budget::RetryBudget;
 use crate::clock::Clock;
-use crate::dispatch::{Dispatch, Next, Refusal};
+use crate::dispatch::{Dispatch, Admission, Refusal};
 use crate::endpoint::Endpoint;
-use crate::health::Sample;
-use crate::line::Ticket;
+use crate::health::RequestResult;
+use crate::line::AdmissionRequest;
 use crate::pool::Pool;
 
 struct State {
@@ -22,15 +22,15 @@
 }
 
 /// A service that requests are routed to.
-pub struct Desk {
+pub struct ServiceDispatcher {
     /// Name of the service.
     pub name: Arc<str>,
     /// Connections to its endpoints.
     pub pool: Pool,
     /// Budget for retries.
-    pub budget: Mutex<Budget>,
+    pub budget: Mutex<RetryBudget>,
     /// Told when slots run short.
-    pub short: Notify,
+    pub shortage: Notify,
     state: Mutex<State>,
     clock: Arc<dyn Clock>,
 }
@@ -38,21 +38,21 @@
 /// What became of a request that asked for a slot.
 pub enum Admitted {
     /// It has a slot.
-    Slot(Slot),
+    Slot(SlotGuard),
     /// It is refused.
     Refused(Refusal),
     /// Its deadline passed while it waited.
-    Late,
+    TimedOut,
 }
 
-impl Desk {
+impl ServiceDispatcher {
     /// A service around a dispatch.
     #[must_use]
     pub fn new(
         name: Arc<str>,
         dispatch: Dispatch,
         pool: Pool,
-        budget: Budget,
+        budget: RetryBudget,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
         let state = Mutex::new(State {
@@ -63,7 +63,7 @@
             name,
             pool,
             budget: Mutex::new(budget),
-            short: Notify::new(),
+            shortage: Notify::new(),
             state,
             clock,
         })
@@ -80,7 +80,7 @@
     }
 
     /// Reads or changes the dispatch, then hands out what became free.
-    pub fn with<T>(&self, change: impl FnOnce(&mut Dispatch, Duration) -> T) -> T {
+    pub fn with_dispatch<T>(&self, change: impl FnOnce(&mut Dispatch, Duration) -> T) -> T {
         let now = self.now();
         let mut state = self.lock();
         let result = change(&mut state.dispatch, now);
@@ -89,13 +89,13 @@
     }
 
     /// Asks for a slot and waits for it until the ticket's deadline.
-    pub async fn admit(self: &Arc<Self>, ticket: Ticket) -> Admitted {
+    pub async fn admit(self: &Arc<Self>, ticket: AdmissionRequest) -> Admitted {
         let (id, account, deadline) = (ticket.id, ticket.account.clone(), ticket.deadline);
         let (next, receiver) = self.offer(ticket);
         match next {
-            Next::Send(endpoint) => Admitted::Slot(self.slot(account, endpoint)),
-            Next::Refuse(refusal) => Admitted::Refused(refusal),
-            Next::Wait => {
+            Admission::Send(endpoint) => Admitted::Slot(self.slot(account, endpoint)),
+            Admission::Refuse(refusal) => Admitted::Refused(refusal),
+            Admission::Wait => {
                 let mut waiting = Waiting {
                     desk: self.clone(),
                     account,
@@ -107,42 +107,42 @@
                     Ok(Ok(endpoint)) => {
                         Admitted::Slot(self.slot(waiting.account.clone(), endpoint))
                     }
-                    _ => Admitted::Late,
+                    _ => Admitted::TimedOut,
                 }
             }
         }
     }
 
-    fn offer(&self, ticket: Ticket) -> (Next, oneshot::Receiver<u64>) {
+    fn offer(&self, ticket: AdmissionRequest) -> (Admission, oneshot::Receiver<u64>) {
         let id = ticket.id;
         let now = self.now();
         let mut state = self.lock();
-        let next = state.dispatch.offer(ticket, now);
+        let next = state.dispatch.admit(ticket, now);
         let (sender, receiver) = oneshot::channel();
-        if next == Next::Wait {
+        if next == Admission::Wait {
             state.waiting.insert(id, sender);
         }
         if state.dispatch.shortage() > 0 {
-            self.short.notify_one();
+            self.shortage.notify_one();
         }
         (next, receiver)
     }
 
-    fn slot(self: &Arc<Self>, account: Arc<str>, endpoint: u64) -> Slot {
+    fn slot(self: &Arc<Self>, account: Arc<str>, endpoint: u64) -> SlotGuard {
         let began = self.now();
-        Slot {
+        SlotGuard {
             desk: self.clone(),
             account,
             endpoint,
             began,
-            sample: Sample::Nothing,
+            sample: RequestResult::Ignored,
         }
     }
 
     /// Wakes the lender when slots run short.
     pub fn notify_shortage(&self) {
-        if self.with(|dispatch, _| dispatch.shortage()) > 0 {
-            self.short.notify_one();
+        if self.with_dispatch(|dispatch, _| dispatch.shortage()) > 0 {
+            self.shortage.notify_one();
         }
     }
 
@@ -171,7 +171,7 @@
 }
 
 struct Waiting {
-    desk: Arc<Desk>,
+    desk: Arc<ServiceDispatcher>,
     account: Arc<str>,
     id: u64,
     receiver: oneshot::Receiver<u64>,
@@ -182,32 +182,32 @@
         let now = self.desk.now();
         let mut state = self.desk.lock();
         state.waiting.remove(&self.id);
-        if state.dispatch.give_up(&self.account, self.id) {
+        if state.dispatch.cancel(&self.account, self.id) {
             return;
         }
         // Assigned between the last poll and now: the slot goes back.
         if let Ok(endpoint) = self.receiver.try_recv() {
             state
                 .dispatch
-                .finish(&self.account, endpoint, Sample::Nothing, now);
+                .finish(&self.account, endpoint, RequestResult::Ignored, now);
             hand_out(&mut state, now);
         }
     }
 }
 
 /// A slot at an endpoint; dropping it gives it back.
-pub struct Slot {
-    desk: Arc<Desk>,
+pub struct SlotGuard {
+    desk: Arc<ServiceDispatcher>,
     account: Arc<str>,
     /// Number of the endpoint.
     pub endpoint: u64,
     began: Duration,
-    sample: Sample,
+    sample: RequestResult,
 }
 
-impl Slot {
+impl SlotGuard {
     /// Sets what the end of this request says about the endpoint.
-    pub fn judge(&mut self, sample: Sample) {
+    pub fn judge(&mut self, sample: RequestResult) {
         self.sample = sample;
     }
 
@@ -219,15 +219,15 @@
 
     /// The service.
     #[must_use]
-    pub fn desk(&self) -> &Arc<Desk> {
+    pub fn desk(&self) -> &Arc<ServiceDispatcher> {
         &self.desk
     }
 }
 
-impl Drop for Slot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let (account, endpoint, sample) = (&self.account, self.endpoint, self.sample);
         self.desk
-            .with(|dispatch, now| dispatch.finish(account, endpoint, sample, now));
+            .with_dispatch(|dispatch, now| dispatch.finish(account, endpoint, sample, now));
     }
 }
--- a/ashtiller/src/request/dispatch.rs
+++ b/ashtiller/src/request/dispatch.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::balance::{self, Balance};
+use crate::balance::{self, RoutingPolicy};
 use crate::endpoint::{Endpoint, Listing, Phase};
-use crate::health::{self, Judgement, Reason, Sample};
-use crate::line::{Line, Ticket};
+use crate::health::{self, EjectionDecision, EjectionReason, RequestResult};
+use crate::line::{RequestQueue, AdmissionRequest};
 use crate::rendezvous;
 
 /// Weight of a new service time in the running mean.
@@ -25,7 +25,7 @@
 
 /// What to do with a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Next {
+pub enum Admission {
     /// Send it to this endpoint now.
     Send(u64),
     /// It waits; [`Dispatch::assign`] will name it.
@@ -36,7 +36,7 @@
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Cause {
+pub enum RefusalCause {
     /// The account's queue is full.
     QueueFull,
     /// The wait would pass the deadline.
@@ -49,23 +49,23 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// Why.
-    pub cause: Cause,
+    pub cause: RefusalCause,
     /// When the backlog should be gone.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// Settings of a [`Dispatch`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Most connections from this gateway to one endpoint.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Largest share of the endpoints that may be ejected.
-    pub ejected: f64,
+    pub max_ejected_share: f64,
 }
 
 /// Counts of the endpoints, for metrics and the dump.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Census {
+pub struct EndpointCounts {
     /// Endpoints that take requests.
     pub live: u32,
     /// Endpoints that are leaving.
@@ -79,16 +79,16 @@
     /// Slots borrowed from other gateways.
     pub borrowed: u32,
     /// Slots dealt to this gateway.
-    pub dealt: u32,
+    pub allocated: u32,
 }
 
 /// Admission and routing of one service.
 pub struct Dispatch {
     pub(crate) endpoints: Vec<Endpoint>,
     pub(crate) places: BTreeMap<u64, usize>,
-    pub(crate) line: Line,
+    pub(crate) line: RequestQueue,
     pub(crate) flying: BTreeMap<Arc<str>, u32>,
-    pub(crate) balance: Box<dyn Balance>,
+    pub(crate) balance: Box<dyn RoutingPolicy>,
     pub(crate) limits: Limits,
     pub(crate) service_time: f64,
     pub(crate) in_flight: u32,
@@ -98,11 +98,11 @@
 impl Dispatch {
     /// A service without endpoints.
     #[must_use]
-    pub fn new(balance: Box<dyn Balance>, limits: Limits) -> Self {
+    pub fn new(balance: Box<dyn RoutingPolicy>, limits: Limits) -> Self {
         Self {
             endpoints: Vec::new(),
             places: BTreeMap::new(),
-            line: Line::default(),
+            line: RequestQueue::default(),
             flying: BTreeMap::new(),
             balance,
             limits,
@@ -127,7 +127,7 @@
     /// Takes the platform's list. An endpoint that has gone from it is treated as
     /// leaving until its last request ends; leaving is never taken back by a list
     /// that still shows it live.
-    pub fn list(&mut self, listings: &[Listing]) {
+    pub fn update_listings(&mut self, listings: &[Listing]) {
         for endpoint in &mut self.endpoints {
             let listed = listings
                 .iter()
@@ -185,53 +185,53 @@
         for endpoint in &mut self.endpoints {
             let ranked = rendezvous::rank(&endpoint.listing.name, gateways);
             let Some(place) = ranked.iter().position(|name| &**name == own) else {
-                endpoint.slots.deal(0);
+                endpoint.slots.set_allocated(0);
                 continue;
             };
             let (place, count) = (count_of(place), count_of(ranked.len()));
             let slots = endpoint.listing.slots;
             endpoint
                 .slots
-                .deal(slots / count + u32::from(place < slots % count));
+                .set_allocated(slots / count + u32::from(place < slots % count));
         }
     }
 
     /// A request asks for a slot.
-    pub fn offer(&mut self, ticket: Ticket, now: Duration) -> Next {
+    pub fn admit(&mut self, ticket: AdmissionRequest, now: Duration) -> Admission {
         if !self
             .endpoints
             .iter()
             .any(|endpoint| endpoint.listing.phase == Phase::Live)
         {
-            return Next::Refuse(Refusal {
-                cause: Cause::NoEndpoint,
-                after: AFTER_MIN * 10,
+            return Admission::Refuse(Refusal {
+                cause: RefusalCause::NoEndpoint,
+                retry_after: AFTER_MIN * 10,
             });
         }
         let first = self.line.is_empty() && may_fly(&self.flying, &ticket);
         if let Some(id) = first.then(|| self.begin(&ticket, now)).flatten() {
-            return Next::Send(id);
+            return Admission::Send(id);
         }
         let wait = self.estimate(&ticket);
-        if self.line.waiting(&ticket.account) >= ticket.queue as usize {
-            return Next::Refuse(refuse(Cause::QueueFull, wait));
+        if self.line.waiting(&ticket.account) >= ticket.max_queued as usize {
+            return Admission::Refuse(refuse(RefusalCause::QueueFull, wait));
         }
         if now + wait >= ticket.deadline {
-            return Next::Refuse(refuse(Cause::TooLate, wait));
+            return Admission::Refuse(refuse(RefusalCause::TooLate, wait));
         }
         self.line.push(ticket);
         self.note_peak();
-        Next::Wait
+        Admission::Wait
     }
 
-    fn begin(&mut self, ticket: &Ticket, now: Duration) -> Option<u64> {
-        let connections = self.limits.connections;
+    fn begin(&mut self, ticket: &AdmissionRequest, now: Duration) -> Option<u64> {
+        let connections = self.limits.max_connections;
         let place = self
             .balance
             .choose(&self.endpoints, ticket.avoid, connections, now)?;
         let endpoint = &mut self.endpoints[place];
         endpoint.in_flight += 1;
-        endpoint.begun = now;
+        endpoint.last_started = now;
         let id = endpoint.id;
         *self.flying.entry(ticket.account.clone()).or_default() += 1;
         self.in_flight += 1;
@@ -244,15 +244,15 @@
     }
 
     /// Expected time until a new request would have its answer.
-    fn estimate(&self, ticket: &Ticket) -> Duration {
+    fn estimate(&self, ticket: &AdmissionRequest) -> Duration {
         let slots: u32 = self
             .endpoints
             .iter()
-            .filter(|endpoint| endpoint.takes(u32::MAX))
-            .map(|endpoint| endpoint.slots.dealt().max(1))
+            .filter(|endpoint| endpoint.accepts(u32::MAX))
+            .map(|endpoint| endpoint.slots.allocated().max(1))
             .sum();
         let ahead =
-            u32::try_from(self.line.ahead(&ticket.account, ticket.class)).unwrap_or(u32::MAX);
+            u32::try_from(self.line.requests_ahead(&ticket.account, ticket.class)).unwrap_or(u32::MAX);
         let turns = 1.0 + f64::from(ahead) / f64::from(slots.max(1));
         Duration::from_secs_f64((self.service_time * turns).min(3600.0))
     }
@@ -261,7 +261,7 @@
     pub fn assign(&mut self, now: Duration) -> Vec<(u64, u64)> {
         let mut assigned = Vec::new();
         while !self.line.is_empty() {
-            let connections = self.limits.connections;
+            let connections = self.limits.max_connections;
             if self
                 .balance
                 .choose(&self.endpoints, None, connections, now)
@@ -271,7 +271,7 @@
             }
             let flying = &self.flying;
             let may =
-                |ticket: &Ticket| flying.get(&ticket.account).copied().unwrap_or(0) < ticket.limit;
+                |ticket: &AdmissionRequest| flying.get(&ticket.account).copied().unwrap_or(0) < ticket.max_in_flight;
             let Some(ticket) = self.line.pop(&may) else {
                 break;
             };
@@ -286,12 +286,12 @@
     }
 
     /// A waiting request gives up; false when it was assigned already.
-    pub fn give_up(&mut self, account: &Arc<str>, id: u64) -> bool {
+    pub fn cancel(&mut self, account: &Arc<str>, id: u64) -> bool {
         self.line.remove(account, id)
     }
 
     /// A request at an endpoint has ended.
-    pub fn finish(&mut self, account: &Arc<str>, id: u64, sample: Sample, now: Duration) {
+    pub fn finish(&mut self, account: &Arc<str>, id: u64, sample: RequestResult, now: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(flying) = self.flying.get_mut(account) {
             *flying -= 1;
@@ -299,14 +299,14 @@
                 self.flying.remove(account);
             }
         }
-        if let Sample::Good(time) = sample {
+        if let RequestResult::Success(time) = sample {
             self.service_time += WEIGHT * (time.as_secs_f64() - self.service_time);
         }
         let Some(&place) = self.places.get(&id) else {
             return;
         };
         self.endpoints[place].in_flight = self.endpoints[place].in_flight.saturating_sub(1);
-        self.endpoints[place].health.add(sample);
+        self.endpoints[place].health.record(sample);
         self.judge(place, now);
     }
 
@@ -319,7 +319,7 @@
         let peers = peers
             .filter(|(other, _)| *other != place)
             .map(|(_, peer)| &peer.health);
-        let Judgement::Eject(reason) = health::judge(&endpoint.health, peers) else {
+        let EjectionDecision::Eject(reason) = health::evaluate(&endpoint.health, peers) else {
             return;
         };
         if self.may_eject() {
@@ -338,37 +338,37 @@
             .count()
             + 1;
         let share = f64::from(count_of(ejected)) / f64::from(count_of(all));
-        ejected < all && (ejected == 1 || share <= self.limits.ejected)
+        ejected < all && (ejected == 1 || share <= self.limits.max_ejected_share)
     }
 
     /// An endpoint said, by an answer, that it takes no new requests.
-    pub fn leaving(&mut self, id: u64, now: Duration) {
+    pub fn mark_leaving(&mut self, id: u64, now: Duration) {
         if let Some(&place) = self.places.get(&id) {
-            self.endpoints[place].health.eject(Reason::Leaving, now);
+            self.endpoints[place].health.eject(EjectionReason::Leaving, now);
         }
     }
 
     /// An endpoint reported its load.
-    pub fn loaded(&mut self, id: u64, load: u32, now: Duration) {
+    pub fn record_load(&mut self, id: u64, load: u32, now: Duration) {
         if let Some(&place) = self.places.get(&id) {
-            self.endpoints[place].load = Some((load, now));
+            self.endpoints[place].reported_load = Some((load, now));
         }
     }
 
     /// Endpoints whose ejection is over, to be probed.
     #[must_use]
-    pub fn due(&self, now: Duration) -> Vec<u64> {
+    pub fn due_probes(&self, now: Duration) -> Vec<u64> {
         self.endpoints
             .iter()
-            .filter(|endpoint| endpoint.listing.phase == Phase::Live && endpoint.health.is_due(now))
+            .filter(|endpoint| endpoint.listing.phase == Phase::Live && endpoint.health.is_probe_due(now))
             .map(|endpoint| endpoint.id)
             .collect()
     }
 
     /// Takes the result of a probe.
-    pub fn probed(&mut self, id: u64, good: bool, now: Duration) {
+    pub fn record_probe(&mut self, id: u64, good: bool, now: Duration) {
         if let Some(&place) = self.places.get(&id) {
-            self.endpoints[place].health.probed(good, now);
+            self.endpoints[place].health.record_probe(good, now);
         }
     }
 
@@ -380,13 +380,13 @@
 
     /// Counts of the endpoints.
     #[must_use]
-    pub fn census(&self, now: Duration) -> Census {
-        let mut census = Census::default();
+    pub fn endpoint_counts(&self, now: Duration) -> EndpointCounts {
+        let mut census = EndpointCounts::default();
         for endpoint in &self.endpoints {
             census.in_flight += endpoint.in_flight;
             census.lent += endpoint.slots.lent(now);
             census.borrowed += endpoint.slots.borrowed(now);
-            census.dealt += endpoint.slots.dealt();
+            census.allocated += endpoint.slots.allocated();
             match endpoint.listing.phase {
                 Phase::Leaving => census.leaving += 1,
                 Phase::Live if endpoint.health.is_ejected() => census.ejected += 1,
@@ -399,19 +399,19 @@
 
 /// Builds a dispatch with a policy by name.
 #[must_use]
-pub fn open(kind: balance::Kind, seed: u64, limits: Limits) -> Dispatch {
-    Dispatch::new(balance::open(kind, seed), limits)
+pub fn build(kind: balance::Kind, seed: u64, limits: Limits) -> Dispatch {
+    Dispatch::new(balance::build(kind, seed), limits)
 }
 
 /// Whether the ticket's account may have another request in flight.
-fn may_fly(flying: &BTreeMap<Arc<str>, u32>, ticket: &Ticket) -> bool {
-    flying.get(&ticket.account).copied().unwrap_or(0) < ticket.limit
+fn may_fly(flying: &BTreeMap<Arc<str>, u32>, ticket: &AdmissionRequest) -> bool {
+    flying.get(&ticket.account).copied().unwrap_or(0) < ticket.max_in_flight
 }
 
-fn refuse(cause: Cause, wait: Duration) -> Refusal {
+fn refuse(cause: RefusalCause, wait: Duration) -> Refusal {
     Refusal {
         cause,
-        after: wait.clamp(AFTER_MIN, AFTER_MAX),
+        retry_after: wait.clamp(AFTER_MIN, AFTER_MAX),
     }
 }
 
--- a/ashtiller/src/request/download.rs
+++ b/ashtiller/src/request/download.rs
@@ -11,15 +11,15 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{self, Sleep};
 
-use crate::desk::Slot;
-use crate::health::Sample;
+use crate::desk::SlotGuard;
+use crate::health::RequestResult;
 use crate::pool::Link;
 use crate::tally::Tally;
 
 /// A slot and a connection in use by one request.
 pub struct Flight {
     /// Slot at the endpoint.
-    pub slot: Slot,
+    pub slot: SlotGuard,
     /// Connection that carries it.
     pub link: Link,
     /// Whether the endpoint will close the connection.
@@ -35,10 +35,10 @@
     fn complete(mut self) {
         let pool = &self.slot.desk().pool;
         let sample = if self.failed {
-            Sample::Bad
+            RequestResult::Failure
         } else {
             pool.note_answer(&self.link);
-            Sample::Good(self.slot.elapsed())
+            RequestResult::Success(self.slot.elapsed())
         };
         if !self.closes {
             pool.give_back(self.link);
@@ -49,7 +49,7 @@
     /// The answer was cut by the endpoint.
     fn cut(mut self) {
         self.tally.cut.inc();
-        self.slot.judge(Sample::Bad);
+        self.slot.judge(RequestResult::Failure);
     }
 }
 
--- a/ashtiller/src/request/endpoint.rs
+++ b/ashtiller/src/request/endpoint.rs
@@ -42,9 +42,9 @@
     /// Requests of this gateway that are in flight.
     pub in_flight: u32,
     /// Load that the endpoint last reported, and when.
-    pub load: Option<(u32, Duration)>,
+    pub reported_load: Option<(u32, Duration)>,
     /// When this gateway last began a request here.
-    pub begun: Duration,
+    pub last_started: Duration,
     /// Slots that this gateway may use.
     pub slots: Slots,
     /// Failures, latency and ejection.
@@ -59,8 +59,8 @@
             id: id_of(&listing.name),
             listing,
             in_flight: 0,
-            load: None,
-            begun: Duration::ZERO,
+            reported_load: None,
+            last_started: Duration::ZERO,
             slots: Slots::default(),
             health: Health::default(),
         }
@@ -68,7 +68,7 @@
 
     /// Whether a new request may be sent here.
     #[must_use]
-    pub fn takes(&self, connections: u32) -> bool {
+    pub fn accepts(&self, connections: u32) -> bool {
         self.listing.phase == Phase::Live
             && !self.health.is_ejected()
             && self.in_flight < connections
@@ -76,7 +76,7 @@
 
     /// Slots that this gateway may use and does not.
     #[must_use]
-    pub fn idle_slots(&self, now: Duration) -> u32 {
+    pub fn free_slots(&self, now: Duration) -> u32 {
         self.slots.usable(now).saturating_sub(self.in_flight)
     }
 }
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -14,12 +14,12 @@
 use tokio::time;
 
 use crate::balance;
-use crate::budget::Budget;
+use crate::budget::RetryBudget;
 use crate::claims;
 use crate::clock::{self, Clock};
 use crate::config::{self, Config};
 use crate::consul;
-use crate::desk::Desk;
+use crate::desk::ServiceDispatcher;
 use crate::dispatch::{self, Limits};
 use crate::endpoint::Listing;
 use crate::failure::Failure;
@@ -232,18 +232,18 @@
             .is_some_and(|parts| parts.front.is_leaving())
     }
 
-    fn open_desk(&self, service: &Arc<str>) -> Arc<Desk> {
+    fn open_desk(&self, service: &Arc<str>) -> Arc<ServiceDispatcher> {
         let settings = &self.settings.gateway;
         let limits = Limits {
-            connections: settings.connections_per_endpoint,
-            ejected: settings.max_ejected_share,
+            max_connections: settings.connections_per_endpoint,
+            max_ejected_share: settings.max_ejected_share,
         };
         let seed = crate::endpoint::id_of(&self.settings.instance.name);
-        let dispatch = dispatch::Dispatch::new(balance::open(settings.routing, seed), limits);
+        let dispatch = dispatch::Dispatch::new(balance::build(settings.routing, seed), limits);
         let head = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
         let pool = Pool::new(settings.connect_timeout, settings.idle_timeout, head);
-        let budget = Budget::new(settings.retry_share);
-        Desk::new(service.clone(), dispatch, pool, budget, self.clock.clone())
+        let budget = RetryBudget::new(settings.retry_share);
+        ServiceDispatcher::new(service.clone(), dispatch, pool, budget, self.clock.clone())
     }
 
     /// Services that any template names.
@@ -255,7 +255,7 @@
             .collect()
     }
 
-    fn deal(&self, desk: &Desk) {
+    fn deal(&self, desk: &ServiceDispatcher) {
         let Some(parts) = self.parts.get() else {
             return;
         };
@@ -264,7 +264,7 @@
         if !gateways.contains(own) {
             gateways.push(own.clone());
         }
-        desk.with(|dispatch, _| dispatch.deal(&gateways, own));
+        desk.with_dispatch(|dispatch, _| dispatch.deal(&gateways, own));
     }
 }
 
@@ -286,9 +286,9 @@
             _ = force.changed() => {}
         }
         for service in shared.services() {
-            if shared.router.desk(&service).is_none() {
+            if shared.router.service(&service).is_none() {
                 let desk = shared.open_desk(&service);
-                shared.router.add_desk(&service, desk.clone());
+                shared.router.add_service(&service, desk.clone());
                 helpers.spawn(prober::run(desk.clone()));
                 helpers.spawn(follow_endpoints(
                     shared.clone(),
@@ -300,20 +300,20 @@
                 }
             }
         }
-        for desk in shared.router.desks() {
+        for desk in shared.router.services() {
             shared.deal(&desk);
         }
     }
 }
 
 /// Keeps a service's endpoints in step with the platform's list.
-async fn follow_endpoints(shared: Arc<Shared>, desk: Arc<Desk>, roster: Arc<dyn ServiceCatalog>) {
+async fn follow_endpoints(shared: Arc<Shared>, desk: Arc<ServiceDispatcher>, roster: Arc<dyn ServiceCatalog>) {
     let pause = shared.settings.platform.refresh_interval;
     let follower = follow::spawn(roster, desk.name.clone(), pause);
     let mut changes = follower.subscribe();
     while changes.changed().await.is_ok() {
         let listings: Vec<Listing> = follower.list().iter().map(listing_of).collect();
-        desk.with(|dispatch, _| dispatch.list(&listings));
+        desk.with_dispatch(|dispatch, _| dispatch.update_listings(&listings));
         shared.deal(&desk);
         shared.seen.lock().insert(desk.name.clone());
     }
@@ -321,7 +321,7 @@
 
 fn lender_of(
     shared: &Shared,
-    desk: &Arc<Desk>,
+    desk: &Arc<ServiceDispatcher>,
     wire: &wire::RpcClient,
     tally: &Arc<Tally>,
 ) -> Option<Lender> {
@@ -374,11 +374,11 @@
 
     fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(async move {
-            let Some(desk) = self.shared.router.desk(&ask.service) else {
+            let Some(desk) = self.shared.router.service(&ask.service) else {
                 return Ok(Vec::new());
             };
             let term = lender::TERM;
-            Ok(desk.with(|dispatch, now| dispatch.lend(&ask, now + term, now)))
+            Ok(desk.with_dispatch(|dispatch, now| dispatch.lend(&ask, now + term, now)))
         })
     }
 
@@ -428,7 +428,7 @@
     let force = shared.config.active();
     let services: BTreeMap<Arc<str>, serde_json::Value> = shared
         .router
-        .desks()
+        .services()
         .into_iter()
         .take(SHOWN)
         .map(|desk| (desk.name.clone(), dump_desk(&desk)))
@@ -445,10 +445,10 @@
     .to_string()
 }
 
-fn dump_desk(desk: &Desk) -> serde_json::Value {
+fn dump_desk(desk: &ServiceDispatcher) -> serde_json::Value {
     let idle = desk.pool.len();
-    desk.with(|dispatch, now| {
-        let census = dispatch.census(now);
+    desk.with_dispatch(|dispatch, now| {
+        let census = dispatch.endpoint_counts(now);
         let endpoints: Vec<serde_json::Value> = dispatch
             .endpoints()
             .iter()
@@ -459,10 +459,10 @@
                     "address": endpoint.listing.address,
                     "phase": endpoint.listing.phase,
                     "in_flight": endpoint.in_flight,
-                    "dealt": endpoint.slots.dealt(),
+                    "dealt": endpoint.slots.allocated(),
                     "borrowed": endpoint.slots.borrowed(now),
                     "lent": endpoint.slots.lent(now),
-                    "failing": endpoint.health.failing(),
+                    "failing": endpoint.health.failure_rate(),
                     "ejected": endpoint.health.reason(),
                 })
             })
@@ -473,7 +473,7 @@
             "live": census.live,
             "leaving": census.leaving,
             "ejected": census.ejected,
-            "dealt": census.dealt,
+            "dealt": census.allocated,
             "lent": census.lent,
             "borrowed": census.borrowed,
             "idle_connections": idle,
--- a/ashtiller/src/request/health.rs
+++ b/ashtiller/src/request/health.rs
@@ -28,19 +28,19 @@
 
 /// How a request at an endpoint ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Sample {
+pub enum RequestResult {
     /// A whole answer below status 500, after this time.
-    Good(Duration),
+    Success(Duration),
     /// An error, a cut, a refused connection or no answer in time.
-    Bad,
+    Failure,
     /// Given up by the caller; says nothing about the endpoint.
-    Nothing,
+    Ignored,
 }
 
 /// Why an endpoint is ejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reason {
+pub enum EjectionReason {
     /// It fails while its peers do not.
     Failing,
     /// It is slower than its peers.
@@ -51,39 +51,39 @@
 
 /// What [`judge`] decides.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Judgement {
+pub enum EjectionDecision {
     /// It goes on taking requests.
     Keep,
     /// It takes none for a while.
-    Eject(Reason),
+    Eject(EjectionReason),
 }
 
 /// Figures of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     row: u32,
-    failing: f64,
+    failure_rate: f64,
     latency_log: f64,
     samples: u32,
-    ejected: Option<(Reason, Duration)>,
+    ejected: Option<(EjectionReason, Duration)>,
     times: u32,
     last: Duration,
 }
 
 impl Health {
     /// Adds a sample.
-    pub fn add(&mut self, sample: Sample) {
+    pub fn record(&mut self, sample: RequestResult) {
         match sample {
-            Sample::Good(latency) => {
+            RequestResult::Success(latency) => {
                 self.row = 0;
-                self.failing *= 1.0 - WEIGHT;
+                self.failure_rate *= 1.0 - WEIGHT;
                 self.add_latency(latency);
             }
-            Sample::Bad => {
+            RequestResult::Failure => {
                 self.row += 1;
-                self.failing += WEIGHT * (1.0 - self.failing);
+                self.failure_rate += WEIGHT * (1.0 - self.failure_rate);
             }
-            Sample::Nothing => {}
+            RequestResult::Ignored => {}
         }
     }
 
@@ -99,8 +99,8 @@
 
     /// Share of failures among recent requests.
     #[must_use]
-    pub fn failing(&self) -> f64 {
-        self.failing
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 
     /// Typical latency in seconds, once there are enough samples.
@@ -117,18 +117,18 @@
 
     /// Why it is ejected.
     #[must_use]
-    pub fn reason(&self) -> Option<Reason> {
+    pub fn reason(&self) -> Option<EjectionReason> {
         self.ejected.map(|(reason, _)| reason)
     }
 
     /// Whether the ejection is over and a probe may let it back.
     #[must_use]
-    pub fn is_due(&self, now: Duration) -> bool {
+    pub fn is_probe_due(&self, now: Duration) -> bool {
         self.ejected.is_some_and(|(_, until)| now >= until)
     }
 
     /// Ejects it; each time in a row lasts twice as long.
-    pub fn eject(&mut self, reason: Reason, now: Duration) {
+    pub fn eject(&mut self, reason: EjectionReason, now: Duration) {
         if now.saturating_sub(self.last) > FORGIVE {
             self.times /= 2;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Takes the result of a probe.
-    pub fn probed(&mut self, good: bool, now: Duration) {
+    pub fn record_probe(&mut self, good: bool, now: Duration) {
         let Some((reason, _)) = self.ejected else {
             return;
         };
@@ -151,28 +151,28 @@
         }
         self.ejected = None;
         self.row = 0;
-        self.failing = 0.0;
+        self.failure_rate = 0.0;
         self.samples = 0;
     }
 }
 
 /// Compares one endpoint with its peers.
 #[must_use]
-pub fn judge<'a>(health: &Health, peers: impl Iterator<Item = &'a Health> + Clone) -> Judgement {
+pub fn evaluate<'a>(health: &Health, peers: impl Iterator<Item = &'a Health> + Clone) -> EjectionDecision {
     if health.row >= FAILURES && !peers_fail(peers.clone()) {
-        return Judgement::Eject(Reason::Failing);
+        return EjectionDecision::Eject(EjectionReason::Failing);
     }
-    if health.failing >= PEERS_FAIL && !peers_fail(peers.clone()) {
-        return Judgement::Eject(Reason::Failing);
+    if health.failure_rate >= PEERS_FAIL && !peers_fail(peers.clone()) {
+        return EjectionDecision::Eject(EjectionReason::Failing);
     }
     let (Some(own), Some(typical)) = (health.latency(), median_latency(peers)) else {
-        return Judgement::Keep;
+        return EjectionDecision::Keep;
     };
     let slow = own > SLOW_FLOOR.as_secs_f64() && own > typical * SLOW_FACTOR;
     if slow {
-        Judgement::Eject(Reason::Slow)
+        EjectionDecision::Eject(EjectionReason::Slow)
     } else {
-        Judgement::Keep
+        EjectionDecision::Keep
     }
 }
 
@@ -180,7 +180,7 @@
     let (sum, count) = peers
         .filter(|peer| !peer.is_ejected())
         .fold((0.0, 0.0), |(sum, count), peer| {
-            (sum + peer.failing, count + 1.0)
+            (sum + peer.failure_rate, count + 1.0)
         });
     count == 0.0 || sum / count >= PEERS_FAIL
 }
--- a/ashtiller/src/request/lender.rs
+++ b/ashtiller/src/request/lender.rs
@@ -9,7 +9,7 @@
 use rand::seq::SliceRandom;
 use tokio::time;
 
-use crate::desk::Desk;
+use crate::desk::ServiceDispatcher;
 use crate::members::{Member, Members};
 use crate::membership::Membership;
 use crate::peer::{LoanRequest, Role};
@@ -32,7 +32,7 @@
 /// Borrows for one service.
 pub struct Lender {
     /// The service.
-    pub desk: Arc<Desk>,
+    pub desk: Arc<ServiceDispatcher>,
     /// This gateway.
     pub own: Arc<str>,
     /// The other gateways.
@@ -52,8 +52,8 @@
         let mut pause = PAUSE_MIN;
         loop {
             tokio::select! {
-                () = self.desk.short.notified() => {
-                    let want = self.desk.with(|dispatch, _| dispatch.shortage());
+                () = self.desk.shortage.notified() => {
+                    let want = self.desk.with_dispatch(|dispatch, _| dispatch.shortage());
                     if want > 0 {
                         last = self.borrow(last, want).await;
                     }
@@ -92,13 +92,13 @@
     /// Renews loans, gives back what the recent peak did not need, and borrows what
     /// it needed beyond them.
     async fn settle(&self, last: Option<Arc<str>>) -> Option<Arc<str>> {
-        let excess = self.desk.with(super::dispatch::Dispatch::excess);
+        let excess = self.desk.with_dispatch(super::dispatch::Dispatch::excess);
         if excess > 0 {
             return self.borrow(last, excess).await;
         }
         for lender in self.others(&self.membership.members()) {
             let name = &lender.name;
-            let keep = self.desk.with(|dispatch, now| {
+            let keep = self.desk.with_dispatch(|dispatch, now| {
                 dispatch
                     .borrows_from(name, now)
                     .then(|| dispatch.kept(name, now))
@@ -117,7 +117,7 @@
             return false;
         };
         self.desk
-            .with(|dispatch, now| dispatch.borrow_more(&lender.name, &added, until, now));
+            .with_dispatch(|dispatch, now| dispatch.borrow_more(&lender.name, &added, until, now));
         !added.is_empty()
     }
 
@@ -126,7 +126,7 @@
         let until = self.desk.now() + TERM;
         // What is given back must not be used while the message is under way.
         self.desk
-            .with(|dispatch, _| dispatch.borrow_from(&lender.name, &keep, until));
+            .with_dispatch(|dispatch, _| dispatch.borrow_from(&lender.name, &keep, until));
         self.ask(lender, true, keep, 0).await;
     }
 
--- a/ashtiller/src/request/line.rs
+++ b/ashtiller/src/request/line.rs
@@ -12,7 +12,7 @@
 
 /// A request that waits or asks for a slot.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Ticket {
+pub struct AdmissionRequest {
     /// Number of the request, unique in this gateway.
     pub id: u64,
     /// Client account.
@@ -22,21 +22,21 @@
     /// When the answer must be there.
     pub deadline: Duration,
     /// Most requests of the account in flight.
-    pub limit: u32,
+    pub max_in_flight: u32,
     /// Most requests of the account that wait.
-    pub queue: u32,
+    pub max_queued: u32,
     /// Endpoint that just failed this request.
     pub avoid: Option<u64>,
 }
 
 #[derive(Debug, Default)]
 struct Lane {
-    accounts: BTreeMap<Arc<str>, VecDeque<Ticket>>,
+    accounts: BTreeMap<Arc<str>, VecDeque<AdmissionRequest>>,
     turns: VecDeque<Arc<str>>,
 }
 
 impl Lane {
-    fn push(&mut self, ticket: Ticket) {
+    fn push(&mut self, ticket: AdmissionRequest) {
         let waiting = self.accounts.entry(ticket.account.clone()).or_default();
         if waiting.is_empty() {
             self.turns.push_back(ticket.account.clone());
@@ -45,7 +45,7 @@
     }
 
     /// Takes the next ticket in turn whose account `may` have another in flight.
-    fn pop(&mut self, may: &dyn Fn(&Ticket) -> bool) -> Option<Ticket> {
+    fn pop(&mut self, may: &dyn Fn(&AdmissionRequest) -> bool) -> Option<AdmissionRequest> {
         for _ in 0..self.turns.len() {
             let account = self.turns.pop_front()?;
             let waiting = self.accounts.get_mut(&account)?;
@@ -87,14 +87,14 @@
 
 /// All waiting requests of one service.
 #[derive(Debug, Default)]
-pub struct Line {
+pub struct RequestQueue {
     urgent: Lane,
     batch: Lane,
     served: u32,
     size: usize,
 }
 
-impl Line {
+impl RequestQueue {
     /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
@@ -115,7 +115,7 @@
 
     /// Requests that a new one of `account` and `class` would wait for.
     #[must_use]
-    pub fn ahead(&self, account: &str, class: Class) -> usize {
+    pub fn requests_ahead(&self, account: &str, class: Class) -> usize {
         let lane = match class {
             Class::LatencyCritical => &self.urgent,
             Class::Batch => &self.batch,
@@ -143,7 +143,7 @@
     }
 
     /// Adds a request at the end of its account's turn.
-    pub fn push(&mut self, ticket: Ticket) {
+    pub fn push(&mut self, ticket: AdmissionRequest) {
         self.size += 1;
         match ticket.class {
             Class::LatencyCritical => self.urgent.push(ticket),
@@ -152,7 +152,7 @@
     }
 
     /// Takes the next request whose account `may` have another in flight.
-    pub fn pop(&mut self, may: &dyn Fn(&Ticket) -> bool) -> Option<Ticket> {
+    pub fn pop(&mut self, may: &dyn Fn(&AdmissionRequest) -> bool) -> Option<AdmissionRequest> {
         let batch_first = self.served >= BATCH_EVERY;
         let ticket = if batch_first {
             self.batch.pop(may).or_else(|| self.urgent.pop(may))
--- a/ashtiller/src/request/loans.rs
+++ b/ashtiller/src/request/loans.rs
@@ -39,13 +39,13 @@
     }
 
     fn slack(&self, now: Duration) -> (u32, u32) {
-        let takes = |endpoint: &&Endpoint| endpoint.takes(self.limits.connections);
+        let takes = |endpoint: &&Endpoint| endpoint.accepts(self.limits.max_connections);
         self.endpoints
             .iter()
             .filter(takes)
             .fold((0, 0), |(free, usable), endpoint| {
                 (
-                    free + endpoint.idle_slots(now),
+                    free + endpoint.free_slots(now),
                     usable + endpoint.slots.usable(now),
                 )
             })
@@ -76,7 +76,7 @@
             if added.len() >= ask.want.min(spare) as usize {
                 break;
             }
-            if endpoint.takes(self.limits.connections) && endpoint.idle_slots(now) > 0 {
+            if endpoint.accepts(self.limits.max_connections) && endpoint.free_slots(now) > 0 {
                 let lent = endpoint.slots.lent_to(peer, now);
                 endpoint.slots.lend(peer, lent + 1, until);
                 added.push((endpoint.id, 1));
@@ -119,7 +119,7 @@
         let mut kept = Vec::new();
         for endpoint in &self.endpoints {
             let borrowed = endpoint.slots.borrowed_from(peer, now);
-            let idle = endpoint.idle_slots(now).min(borrowed).min(spare);
+            let idle = endpoint.free_slots(now).min(borrowed).min(spare);
             spare -= idle;
             if borrowed > idle {
                 kept.push((endpoint.id, borrowed - idle));
--- a/ashtiller/src/request/outcome.rs
+++ b/ashtiller/src/request/outcome.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use serde::Serialize;
 
-use crate::dispatch::{Cause, Refusal};
+use crate::dispatch::{RefusalCause, Refusal};
 
 /// Header that says what became of a request.
 pub const HEADER: &str = "ashtiller-outcome";
@@ -87,20 +87,20 @@
     #[must_use]
     pub fn refused(refusal: Refusal) -> Self {
         let (status, reason) = match refusal.cause {
-            Cause::QueueFull => (
+            RefusalCause::QueueFull => (
                 StatusCode::TOO_MANY_REQUESTS,
                 "too many requests of this account wait",
             ),
-            Cause::TooLate => (
+            RefusalCause::TooLate => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the deadline would pass before the answer",
             ),
-            Cause::NoEndpoint => (
+            RefusalCause::NoEndpoint => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "the service has no live endpoint",
             ),
         };
-        Self::not_run(status, reason, refusal.after)
+        Self::not_run(status, reason, refusal.retry_after)
     }
 
     /// The answer; `jitter` between 0 and 1 spreads the callers' return.
--- a/ashtiller/src/request/prober.rs
+++ b/ashtiller/src/request/prober.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use tokio::time;
 
-use crate::desk::Desk;
+use crate::desk::ServiceDispatcher;
 use crate::web;
 
 /// How often endpoints are looked at.
@@ -20,14 +20,14 @@
 const TARGET: &str = "/health";
 
 /// Runs until it is aborted.
-pub async fn run(desk: Arc<Desk>) {
+pub async fn run(desk: Arc<ServiceDispatcher>) {
     let client = Arc::new(web::Client::default());
     let mut ticks = time::interval(EVERY);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let due: Vec<(u64, SocketAddr)> = desk.with(|dispatch, now| {
-            let due = dispatch.due(now).into_iter();
+        let due: Vec<(u64, SocketAddr)> = desk.with_dispatch(|dispatch, now| {
+            let due = dispatch.due_probes(now).into_iter();
             due.filter_map(|id| Some((id, dispatch.endpoint(id)?.listing.address)))
                 .collect()
         });
@@ -36,7 +36,7 @@
             probes.spawn(probe(desk.clone(), client.clone(), id, address));
         }
         probes.join_all().await;
-        let serving: Vec<SocketAddr> = desk.with(|dispatch, _| {
+        let serving: Vec<SocketAddr> = desk.with_dispatch(|dispatch, _| {
             dispatch
                 .endpoints()
                 .iter()
@@ -47,10 +47,10 @@
     }
 }
 
-async fn probe(desk: Arc<Desk>, client: Arc<web::Client>, id: u64, address: SocketAddr) {
+async fn probe(desk: Arc<ServiceDispatcher>, client: Arc<web::Client>, id: u64, address: SocketAddr) {
     let answer = client
         .call("probe", address, Method::GET, TARGET, Bytes::new(), LIMIT)
         .await;
     let good = answer.is_ok_and(|answer| !answer.status.is_server_error());
-    desk.with(|dispatch, now| dispatch.probed(id, good, now));
+    desk.with_dispatch(|dispatch, now| dispatch.record_probe(id, good, now));
 }
--- a/ashtiller/src/request/router.rs
+++ b/ashtiller/src/request/router.rs
@@ -19,17 +19,17 @@
 use rand::RngExt;
 use tokio::time;
 
-use crate::claims::{self, Claim, Claimed, Claims};
+use crate::claims::{self, Claim, ClaimResult, ClaimWriter};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::desk::{Admitted, Desk, Slot};
+use crate::desk::{Admitted, ServiceDispatcher, SlotGuard};
 use crate::download::{Download, Flight};
 use crate::endpoint::Endpoint;
 use crate::headers;
-use crate::health::Sample;
+use crate::health::RequestResult;
 use crate::held::{Allowance, Held};
 use crate::intake;
-use crate::line::Ticket;
+use crate::line::AdmissionRequest;
 use crate::outcome::{self, Outcome, Verdict};
 use crate::pool::{Link, Unanswered};
 use crate::settings;
@@ -49,17 +49,17 @@
 pub struct Router {
     settings: settings::Gateway,
     config: Arc<Config>,
-    claims: Claims,
+    claims: ClaimWriter,
     tally: Arc<Tally>,
     clock: Arc<dyn Clock>,
-    desks: RwLock<HashMap<Arc<str>, Arc<Desk>>>,
+    desks: RwLock<HashMap<Arc<str>, Arc<ServiceDispatcher>>>,
     ids: AtomicU64,
     life: u64,
 }
 
 /// What a request asks for.
 struct Plan {
-    desk: Arc<Desk>,
+    desk: Arc<ServiceDispatcher>,
     service: Service,
     account: Arc<str>,
     deadline: Duration,
@@ -92,7 +92,7 @@
     pub fn new(
         settings: settings::Gateway,
         config: Arc<Config>,
-        claims: Claims,
+        claims: ClaimWriter,
         tally: Arc<Tally>,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
@@ -110,18 +110,18 @@
 
     /// The services.
     #[must_use]
-    pub fn desks(&self) -> Vec<Arc<Desk>> {
+    pub fn services(&self) -> Vec<Arc<ServiceDispatcher>> {
         self.desks.read().values().cloned().collect()
     }
 
     /// One service.
     #[must_use]
-    pub fn desk(&self, service: &str) -> Option<Arc<Desk>> {
+    pub fn service(&self, service: &str) -> Option<Arc<ServiceDispatcher>> {
         self.desks.read().get(service).cloned()
     }
 
     /// Adds a service.
-    pub fn add_desk(&self, service: &Arc<str>, desk: Arc<Desk>) {
+    pub fn add_service(&self, service: &Arc<str>, desk: Arc<ServiceDispatcher>) {
         self.desks.write().insert(service.clone(), desk);
     }
 
@@ -156,7 +156,7 @@
         let mut body = Held::open(incoming, self.allowance(&plan))
             .await
             .inspect_err(|_| self.tally.wrong.inc())?;
-        plan.desk.budget.lock().earn();
+        plan.desk.budget.lock().deposit();
         let mut course = Course {
             attempts: 0,
             avoid: None,
@@ -193,7 +193,7 @@
             return verdict;
         }
         if let (Some(key), Some(claim)) = (&course.claimed, &plan.claim) {
-            self.claims.undo(key.clone(), claim);
+            self.claims.release(key.clone(), claim);
         }
         verdict
     }
@@ -221,7 +221,7 @@
                 "the client account has no such service",
             )
         })?;
-        let desk = self.desk(service).ok_or_else(|| {
+        let desk = self.service(service).ok_or_else(|| {
             let reason = "the service is not open yet";
             Verdict::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
         })?;
@@ -277,7 +277,7 @@
         if refused || course.attempts >= ATTEMPTS_MAX || self.clock.now() >= plan.deadline {
             return false;
         }
-        let spent = plan.desk.budget.lock().spend();
+        let spent = plan.desk.budget.lock().withdraw();
         if spent {
             self.tally.retries.inc();
         } else {
@@ -298,7 +298,7 @@
         let mut slot = match plan.desk.admit(self.ticket(plan, avoid)).await {
             Admitted::Slot(slot) => slot,
             Admitted::Refused(refusal) => return Attempt::NotRun(Verdict::refused(refusal)),
-            Admitted::Late => {
+            Admitted::TimedOut => {
                 let reason = "no slot became free before the deadline";
                 let status = StatusCode::SERVICE_UNAVAILABLE;
                 return Attempt::NotRun(Verdict::not_run(status, reason, AFTER));
@@ -312,7 +312,7 @@
         };
         course.avoid = Some(slot.endpoint);
         let Ok(link) = plan.desk.pool.checkout(endpoint.listing.address).await else {
-            slot.judge(Sample::Bad);
+            slot.judge(RequestResult::Failure);
             return Attempt::NotRun(unreachable_verdict());
         };
         let limit = self.attempt_limit(plan, course, body);
@@ -330,14 +330,14 @@
         .await
     }
 
-    fn ticket(&self, plan: &Plan, avoid: Option<u64>) -> Ticket {
-        Ticket {
+    fn ticket(&self, plan: &Plan, avoid: Option<u64>) -> AdmissionRequest {
+        AdmissionRequest {
             id: self.ids.fetch_add(1, Ordering::Relaxed),
             account: plan.account.clone(),
             class: plan.service.class,
             deadline: plan.deadline,
-            limit: plan.service.max_in_flight,
-            queue: plan.service.max_queued,
+            max_in_flight: plan.service.max_in_flight,
+            max_queued: plan.service.max_queued,
             avoid,
         }
     }
@@ -347,21 +347,21 @@
             return Ok(());
         };
         match self.claims.claim(claim.clone()).await {
-            Claimed::Ours(key) => {
+            ClaimResult::Acquired(key) => {
                 self.tally.claimed.inc();
                 course.claimed = Some(key);
                 Ok(())
             }
-            Claimed::Taken => {
+            ClaimResult::AlreadyClaimed => {
                 self.tally.repeated.inc();
                 // This repeat is not sent, but the first request may have run.
                 course.may_have_run = true;
                 let reason = "a request with this Idempotency-Key was sent before";
                 Err(Verdict::unknown(StatusCode::CONFLICT, reason))
             }
-            Claimed::Refused(failure) => {
+            ClaimResult::Refused(failure) => {
                 tracing::debug!(%failure, "claim refused");
-                self.claims.undo(claims::current_key(claim), claim);
+                self.claims.release(claims::current_key(claim), claim);
                 let reason = "the Idempotency-Key could not be recorded";
                 Err(Verdict::not_run(
                     StatusCode::SERVICE_UNAVAILABLE,
@@ -406,7 +406,7 @@
             }
             Ok(Err(mut error)) => {
                 unanswered.end();
-                slot.judge(Sample::Bad);
+                slot.judge(RequestResult::Failure);
                 return match error.take_message() {
                     Some(request) => {
                         body.give_back(request.into_body());
@@ -416,7 +416,7 @@
                 };
             }
             Err(_) => {
-                slot.judge(Sample::Bad);
+                slot.judge(RequestResult::Failure);
                 self.tally.unanswered.inc();
                 let reason = "the endpoint gave no answer in time";
                 return Attempt::Unknown(Verdict::unknown(StatusCode::GATEWAY_TIMEOUT, reason));
@@ -462,11 +462,11 @@
         let desk = &plan.desk;
         let closes = headers::closes(&head.headers);
         if let Some(load) = headers::reported_load(&head.headers) {
-            desk.with(|dispatch, now| dispatch.loaded(endpoint.id, load, now));
+            desk.with_dispatch(|dispatch, now| dispatch.record_load(endpoint.id, load, now));
         }
         if head.status == StatusCode::SERVICE_UNAVAILABLE && says_not_run(&head) {
-            slot.judge(Sample::Nothing);
-            desk.with(|dispatch, now| dispatch.leaving(endpoint.id, now));
+            slot.judge(RequestResult::Ignored);
+            desk.with_dispatch(|dispatch, now| dispatch.mark_leaving(endpoint.id, now));
             return Attempt::NotRun(unreachable_verdict());
         }
         // An outcome is the gateway's word; an endpoint's answer carries none.
@@ -502,14 +502,14 @@
 }
 
 struct Sending {
-    slot: Slot,
+    slot: SlotGuard,
     link: Link,
     endpoint: Endpoint,
     limit: Duration,
 }
 
 struct Flying {
-    slot: Slot,
+    slot: SlotGuard,
     link: Link,
     endpoint: Endpoint,
 }
--- a/ashtiller/src/request/slots.rs
+++ b/ashtiller/src/request/slots.rs
@@ -23,27 +23,27 @@
 /// Slots of one endpoint.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Slots {
-    dealt: u32,
+    allocated: u32,
     lent: Vec<Loan>,
     borrowed: Vec<Loan>,
 }
 
 impl Slots {
     /// Sets the number of slots dealt to this gateway.
-    pub fn deal(&mut self, count: u32) {
-        self.dealt = count;
+    pub fn set_allocated(&mut self, count: u32) {
+        self.allocated = count;
     }
 
     /// Slots dealt to this gateway.
     #[must_use]
-    pub fn dealt(&self) -> u32 {
-        self.dealt
+    pub fn allocated(&self) -> u32 {
+        self.allocated
     }
 
     /// Slots that this gateway may use at `now`.
     #[must_use]
     pub fn usable(&self, now: Duration) -> u32 {
-        (self.dealt + sum(&self.borrowed, now)).saturating_sub(sum(&self.lent, now))
+        (self.allocated + sum(&self.borrowed, now)).saturating_sub(sum(&self.lent, now))
     }
 
     /// Replaces what is lent to `peer`.
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use ashtiller::balance::Kind;
-use ashtiller::dispatch::{self, Dispatch, Limits, Next};
+use ashtiller::dispatch::{self, Dispatch, Limits, Admission};
 use ashtiller::endpoint::{self, Listing, Phase};
 use ashtiller::fact::Body;
-use ashtiller::health::Sample;
-use ashtiller::line::Ticket;
+use ashtiller::health::RequestResult;
+use ashtiller::line::AdmissionRequest;
 use ashtiller::peer::LoanRequest;
 use ashtiller::template::Class;
 use fleet::Fleet;
@@ -67,12 +67,12 @@
                 }
             })
             .collect();
-        self.dispatch.list(&listings);
+        self.dispatch.update_listings(&listings);
         self.dispatch.deal(&self.gateways[1..], &self.gateways[0]);
-        let census = self.dispatch.census(Duration::ZERO);
+        let census = self.dispatch.endpoint_counts(Duration::ZERO);
         format!(
             "{} live, {} leaving, {} slots dealt",
-            census.live, census.leaving, census.dealt
+            census.live, census.leaving, census.allocated
         )
     }
 
@@ -89,7 +89,7 @@
                 "queue",
                 queue,
             ] => {
-                let ticket = Ticket {
+                let ticket = AdmissionRequest {
                     id: id.parse().expect("number"),
                     account: (*account).into(),
                     class: if *class == "batch" {
@@ -98,16 +98,16 @@
                         Class::LatencyCritical
                     },
                     deadline: millis(deadline),
-                    limit: limit.parse().expect("limit"),
-                    queue: queue.parse().expect("queue"),
+                    max_in_flight: limit.parse().expect("limit"),
+                    max_queued: queue.parse().expect("queue"),
                     avoid: None,
                 };
                 self.offer(ticket, now)
             }
             ["end", id, how, rest @ ..] => {
                 let sample = match rest {
-                    [time] if *how == "good" => Sample::Good(millis(time)),
-                    _ => Sample::Bad,
+                    [time] if *how == "good" => RequestResult::Success(millis(time)),
+                    _ => RequestResult::Failure,
                 };
                 let id = id.parse().expect("number");
                 let Some((account, endpoint)) = self.flying.remove(&id) else {
@@ -122,37 +122,37 @@
                 let Some(account) = self.waiting.remove(&id) else {
                     return "does not wait".to_owned();
                 };
-                format!("removed: {}", self.dispatch.give_up(&account, id))
+                format!("removed: {}", self.dispatch.cancel(&account, id))
             }
             ["lend", peer, want] => self.lend(peer, false, want.parse().expect("number"), now),
             ["settle", peer] => self.lend(peer, true, 0, now),
-            ["due"] => format!("to be probed: {:?}", self.named(&self.dispatch.due(now))),
+            ["due"] => format!("to be probed: {:?}", self.named(&self.dispatch.due_probes(now))),
             ["probe", name, how] => {
                 self.dispatch
-                    .probed(endpoint::id_of(name), *how == "good", now);
-                format!("{} ejected", self.dispatch.census(now).ejected)
+                    .record_probe(endpoint::id_of(name), *how == "good", now);
+                format!("{} ejected", self.dispatch.endpoint_counts(now).ejected)
             }
             ["leaving", name] => {
-                self.dispatch.leaving(endpoint::id_of(name), now);
-                format!("{} ejected", self.dispatch.census(now).ejected)
+                self.dispatch.mark_leaving(endpoint::id_of(name), now);
+                format!("{} ejected", self.dispatch.endpoint_counts(now).ejected)
             }
             other => panic!("no such step: {other:?}"),
         }
     }
 
-    fn offer(&mut self, ticket: Ticket, now: Duration) -> String {
+    fn offer(&mut self, ticket: AdmissionRequest, now: Duration) -> String {
         let (id, account) = (ticket.id, ticket.account.clone());
-        match self.dispatch.offer(ticket, now) {
-            Next::Send(endpoint) => {
+        match self.dispatch.admit(ticket, now) {
+            Admission::Send(endpoint) => {
                 self.flying.insert(id, (account, endpoint));
                 format!("send to {}", self.names[&endpoint])
             }
-            Next::Wait => {
+            Admission::Wait => {
                 self.waiting.insert(id, account);
                 "wait".to_owned()
             }
-            Next::Refuse(refusal) => {
-                format!("refuse: {:?}, back in {:?}", refusal.cause, refusal.after)
+            Admission::Refuse(refusal) => {
+                format!("refuse: {:?}, back in {:?}", refusal.cause, refusal.retry_after)
             }
         }
     }
@@ -168,15 +168,15 @@
             .collect();
         for request in &there {
             if let Some((account, endpoint)) = self.flying.remove(request) {
-                self.dispatch.finish(&account, endpoint, Sample::Bad, now);
+                self.dispatch.finish(&account, endpoint, RequestResult::Failure, now);
             }
         }
         for _ in 0..5 {
-            self.dispatch.finish(&"nobody".into(), id, Sample::Bad, now);
+            self.dispatch.finish(&"nobody".into(), id, RequestResult::Failure, now);
         }
         format!(
             "{there:?} failed; {} ejected",
-            self.dispatch.census(now).ejected
+            self.dispatch.endpoint_counts(now).ejected
         )
     }
 
@@ -190,7 +190,7 @@
         };
         let added = self.dispatch.lend(&ask, now + Duration::from_secs(6), now);
         let ids: Vec<u64> = added.iter().map(|(id, _)| *id).collect();
-        let lent = self.dispatch.census(now).lent;
+        let lent = self.dispatch.endpoint_counts(now).lent;
         format!("added {:?}; {lent} lent in all", self.named(&ids))
     }
 
@@ -216,11 +216,11 @@
 #[test]
 fn a_session_of_routing() {
     let limits = Limits {
-        connections: 8,
-        ejected: 0.3,
+        max_connections: 8,
+        max_ejected_share: 0.3,
     };
     let mut routing = Routing {
-        dispatch: dispatch::open(Kind::Dealt, 7, limits),
+        dispatch: dispatch::build(Kind::Dealt, 7, limits),
         gateways: Vec::new(),
         flying: BTreeMap::new(),
         waiting: BTreeMap::new(),
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 use ashtiller::balance::Kind;
-use ashtiller::budget::Budget;
+use ashtiller::budget::RetryBudget;
 use ashtiller::clock::Clock;
-use ashtiller::desk::{Admitted, Desk};
+use ashtiller::desk::{Admitted, ServiceDispatcher};
 use ashtiller::dispatch::{self, Limits};
 use ashtiller::endpoint::{Listing, Phase};
 use ashtiller::ledger::{Head, ConfigState, HeadAction, StoredTemplate, AdoptResult};
-use ashtiller::line::Ticket;
+use ashtiller::line::AdmissionRequest;
 use ashtiller::pool::Pool;
 use ashtiller::rendezvous;
 use ashtiller::resources::{Pool as Room, Resources};
@@ -29,13 +29,13 @@
     }
 }
 
-fn desk_of_one_slot() -> Arc<Desk> {
+fn desk_of_one_slot() -> Arc<ServiceDispatcher> {
     let limits = Limits {
-        connections: 1,
-        ejected: 0.3,
+        max_connections: 1,
+        max_ejected_share: 0.3,
     };
-    let mut dispatch = dispatch::open(Kind::Dealt, 1, limits);
-    dispatch.list(&[Listing {
+    let mut dispatch = dispatch::build(Kind::Dealt, 1, limits);
+    dispatch.update_listings(&[Listing {
         name: "e1".into(),
         address: ([127, 0, 0, 1], 1).into(),
         slots: 1,
@@ -43,23 +43,23 @@
     }]);
     dispatch.deal(&["g1".into()], "g1");
     let pool = Pool::new(Duration::from_secs(1), Duration::from_secs(1), 8192);
-    Desk::new(
+    ServiceDispatcher::new(
         "fleet".into(),
         dispatch,
         pool,
-        Budget::new(0.1),
+        RetryBudget::new(0.1),
         Arc::new(Still),
     )
 }
 
-fn ticket(id: u64) -> Ticket {
-    Ticket {
+fn ticket(id: u64) -> AdmissionRequest {
+    AdmissionRequest {
         id,
         account: "north".into(),
         class: Class::LatencyCritical,
         deadline: Duration::from_secs(100),
-        limit: 10,
-        queue: 10,
+        max_in_flight: 10,
+        max_queued: 10,
         avoid: None,
     }
 }
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -9,12 +9,12 @@
 use ashtiller::agent::{Report, Running, SyncRequest};
 use ashtiller::balance::Kind;
 use ashtiller::cell::Cell;
-use ashtiller::dispatch::{self, Dispatch, Limits, Next};
+use ashtiller::dispatch::{self, Dispatch, Limits, Admission};
 use ashtiller::endpoint::{Listing, Phase};
 use ashtiller::fact::{Attempt, Body, End, Entry, LogRecord, TaskId};
-use ashtiller::health::Sample;
+use ashtiller::health::RequestResult;
 use ashtiller::ledger::{Head, ConfigState, StoredTemplate};
-use ashtiller::line::Ticket;
+use ashtiller::line::AdmissionRequest;
 use ashtiller::peer::{LoanRequest, Heartbeat, Peer, Submission, JobReply};
 use ashtiller::placement::InterferenceAware;
 use ashtiller::plan::Planner;
@@ -333,10 +333,10 @@
 
 fn routing_micros(endpoints: usize) -> f64 {
     let limits = Limits {
-        connections: 6,
-        ejected: 0.3,
+        max_connections: 6,
+        max_ejected_share: 0.3,
     };
-    let mut dispatch: Dispatch = dispatch::open(Kind::Dealt, 1, limits);
+    let mut dispatch: Dispatch = dispatch::build(Kind::Dealt, 1, limits);
     let listings: Vec<Listing> = (0..endpoints)
         .map(|number| Listing {
             name: format!("runner-{number}").into(),
@@ -345,7 +345,7 @@
             phase: Phase::Live,
         })
         .collect();
-    dispatch.list(&listings);
+    dispatch.update_listings(&listings);
     let gateways: Vec<Arc<str>> = (0..9)
         .map(|number| format!("entry-{number}").into())
         .collect();
@@ -353,20 +353,20 @@
     let account: Arc<str> = "dealer-north".into();
     let began = Instant::now();
     for id in 0..u64::from(REPEAT) * 10 {
-        let ticket = Ticket {
+        let ticket = AdmissionRequest {
             id,
             account: account.clone(),
             class: Class::LatencyCritical,
             deadline: NOW * 2,
-            limit: 1000,
-            queue: 1000,
+            max_in_flight: 1000,
+            max_queued: 1000,
             avoid: None,
         };
-        if let Next::Send(endpoint) = dispatch.offer(ticket, NOW) {
+        if let Admission::Send(endpoint) = dispatch.admit(ticket, NOW) {
             dispatch.finish(
                 &account,
                 endpoint,
-                Sample::Good(Duration::from_millis(5)),
+                RequestResult::Success(Duration::from_millis(5)),
                 NOW,
             );
             dispatch.assign(NOW);
