--- a/ashtiller/src/request/desk.rs
+++ b/ashtiller/src/request/desk.rs
@@ -14,7 +14,7 @@
 use crate::endpoint::Endpoint;
 use crate::health::RequestResult;
 use crate::line::AdmissionRequest;
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 
 struct State {
     dispatch: Dispatch,
@@ -26,7 +26,7 @@
     /// Name of the service.
     pub name: Arc<str>,
     /// Connections to its endpoints.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     /// Budget for retries.
     pub budget: Mutex<RetryBudget>,
     /// Told when slots run short.
@@ -51,7 +51,7 @@
     pub fn new(
         name: Arc<str>,
         dispatch: Dispatch,
-        pool: Pool,
+        pool: ConnectionPool,
         budget: RetryBudget,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
@@ -207,7 +207,7 @@
 
 impl SlotGuard {
     /// Sets what the end of this request says about the endpoint.
-    pub fn judge(&mut self, sample: RequestResult) {
+    pub fn set_result(&mut self, sample: RequestResult) {
         self.sample = sample;
     }
 
--- a/ashtiller/src/request/dispatch.rs
+++ b/ashtiller/src/request/dispatch.rs
@@ -181,7 +181,7 @@
     }
 
     /// Deals every endpoint's slots among the gateways; `own` is this one.
-    pub fn deal(&mut self, gateways: &[Arc<str>], own: &str) {
+    pub fn allocate_slots(&mut self, gateways: &[Arc<str>], own: &str) {
         for endpoint in &mut self.endpoints {
             let ranked = rendezvous::rank(&endpoint.listing.name, gateways);
             let Some(place) = ranked.iter().position(|name| &**name == own) else {
--- a/ashtiller/src/request/download.rs
+++ b/ashtiller/src/request/download.rs
@@ -13,21 +13,21 @@
 
 use crate::desk::SlotGuard;
 use crate::health::RequestResult;
-use crate::pool::Link;
-use crate::tally::Tally;
+use crate::pool::Connection;
+use crate::tally::GatewayMetrics;
 
 /// A slot and a connection in use by one request.
 pub struct Flight {
     /// Slot at the endpoint.
     pub slot: SlotGuard,
     /// Connection that carries it.
-    pub link: Link,
+    pub link: Connection,
     /// Whether the endpoint will close the connection.
     pub closes: bool,
     /// Whether the answer is an error of the endpoint.
     pub failed: bool,
     /// Counters.
-    pub tally: Arc<Tally>,
+    pub tally: Arc<GatewayMetrics>,
 }
 
 impl Flight {
@@ -43,18 +43,18 @@
         if !self.closes {
             pool.give_back(self.link);
         }
-        self.slot.judge(sample);
+        self.slot.set_result(sample);
     }
 
     /// The answer was cut by the endpoint.
     fn cut(mut self) {
         self.tally.cut.inc();
-        self.slot.judge(RequestResult::Failure);
+        self.slot.set_result(RequestResult::Failure);
     }
 }
 
 /// The body of an answer: the gateway's own, or an endpoint's.
-pub enum Download {
+pub enum ResponseBody {
     /// The gateway's own answer.
     Own(Full<Bytes>),
     /// An endpoint's answer.
@@ -89,7 +89,7 @@
 
 impl std::error::Error for Cut {}
 
-impl Download {
+impl ResponseBody {
     /// Streams `body`; nothing for `limit` cuts it.
     #[must_use]
     pub fn stream(body: Incoming, flight: Flight, limit: Duration) -> Self {
@@ -143,7 +143,7 @@
     }
 }
 
-impl Body for Download {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Cut;
 
--- a/ashtiller/src/request/front.rs
+++ b/ashtiller/src/request/front.rs
@@ -19,7 +19,7 @@
 use crate::pool;
 use crate::router::Router;
 use crate::settings;
-use crate::tally::Tally;
+use crate::tally::GatewayMetrics;
 
 /// Time for a caller to send the head of a request.
 const HEAD_TIME: Duration = Duration::from_secs(10);
@@ -38,7 +38,7 @@
 }
 
 /// A running callers' port; dropping it cuts every connection.
-pub struct Front {
+pub struct Listener {
     address: SocketAddr,
     stage: watch::Sender<Stage>,
     tracker: TaskTracker,
@@ -48,7 +48,7 @@
 
 struct Shared {
     router: Arc<Router>,
-    tally: Arc<Tally>,
+    tally: Arc<GatewayMetrics>,
     stage: watch::Receiver<Stage>,
     kill: watch::Receiver<bool>,
     head: usize,
@@ -61,8 +61,8 @@
 pub async fn bind(
     settings: &settings::Gateway,
     router: Arc<Router>,
-    tally: Arc<Tally>,
-) -> Result<Front, Failure> {
+    tally: Arc<GatewayMetrics>,
+) -> Result<Listener, Failure> {
     let failed = |error| Failure::no_effect("bind callers' port", settings.callers, error);
     let listener = TcpListener::bind(settings.callers).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
@@ -79,7 +79,7 @@
     let tracker = TaskTracker::new();
     let room = Arc::new(Semaphore::new(settings.max_callers as usize));
     let listener = tokio::spawn(accept(listener, shared, tracker.clone(), room));
-    Ok(Front {
+    Ok(Listener {
         address,
         stage,
         tracker,
@@ -88,7 +88,7 @@
     })
 }
 
-impl Front {
+impl Listener {
     /// The address that the kernel gave.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
@@ -118,7 +118,7 @@
     }
 }
 
-impl Drop for Front {
+impl Drop for Listener {
     fn drop(&mut self) {
         self.cut();
     }
@@ -196,7 +196,7 @@
 async fn serve(
     shared: Arc<Shared>,
     request: hyper::Request<hyper::body::Incoming>,
-) -> Result<hyper::Response<crate::download::Download>, Infallible> {
+) -> Result<hyper::Response<crate::download::ResponseBody>, Infallible> {
     let mut answer = shared.router.serve(request).await;
     if *shared.stage.borrow() != Stage::Open {
         answer
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -24,20 +24,20 @@
 use crate::endpoint::Listing;
 use crate::failure::Failure;
 use crate::follow;
-use crate::front::{self, Front};
+use crate::front::{self, Listener};
 use crate::job_forwarder::JobForwarder;
-use crate::lender::{self, Lender};
+use crate::lender::{self, SlotBorrower};
 use crate::members::Member;
 use crate::membership::{self, Membership};
 use crate::ops::{self, Command, Health, OperatorApi, OperatorServer, CommandReply};
 use crate::peer::{LoanRequest, Heartbeat, Peer, Role, Submission, JobReply};
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 use crate::prober;
 use crate::roster::{Instance, ServiceCatalog};
 use crate::router::Router;
 use crate::settings::Settings;
 use crate::store::{CallFuture, Store};
-use crate::tally::Tally;
+use crate::tally::GatewayMetrics;
 use crate::wire;
 
 /// Time limit of a call to another process.
@@ -60,7 +60,7 @@
 struct Parts {
     membership: Arc<Membership>,
     jobs: JobForwarder,
-    front: Front,
+    front: Listener,
 }
 
 /// A running gateway; dropping it cuts everything, as a kill does.
@@ -82,7 +82,7 @@
     let store: Arc<dyn Store> = consul.clone();
     let instances: Arc<dyn ServiceCatalog> = consul;
     let registry = Registry::new();
-    let tally = Arc::new(Tally::open(&registry)?);
+    let tally = Arc::new(GatewayMetrics::open(&registry)?);
     let config = Arc::new(config::spawn(store.clone()));
     let claims = claims::spawn(store.clone(), settings.gateway.claims_per_second);
     let router = Router::new(
@@ -241,7 +241,7 @@
         let seed = crate::endpoint::id_of(&self.settings.instance.name);
         let dispatch = dispatch::Dispatch::new(balance::build(settings.routing, seed), limits);
         let head = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
-        let pool = Pool::new(settings.connect_timeout, settings.idle_timeout, head);
+        let pool = ConnectionPool::new(settings.connect_timeout, settings.idle_timeout, head);
         let budget = RetryBudget::new(settings.retry_share);
         ServiceDispatcher::new(service.clone(), dispatch, pool, budget, self.clock.clone())
     }
@@ -264,7 +264,7 @@
         if !gateways.contains(own) {
             gateways.push(own.clone());
         }
-        desk.with_dispatch(|dispatch, _| dispatch.deal(&gateways, own));
+        desk.with_dispatch(|dispatch, _| dispatch.allocate_slots(&gateways, own));
     }
 }
 
@@ -274,7 +274,7 @@
     shared: Arc<Shared>,
     roster: Arc<dyn ServiceCatalog>,
     wire: wire::RpcClient,
-    tally: Arc<Tally>,
+    tally: Arc<GatewayMetrics>,
 ) {
     let mut helpers = JoinSet::new();
     let mut ticks = time::interval(shared.settings.platform.refresh_interval);
@@ -323,11 +323,11 @@
     shared: &Shared,
     desk: &Arc<ServiceDispatcher>,
     wire: &wire::RpcClient,
-    tally: &Arc<Tally>,
-) -> Option<Lender> {
+    tally: &Arc<GatewayMetrics>,
+) -> Option<SlotBorrower> {
     let parts = shared.parts.get()?;
     let dealt = shared.settings.gateway.routing == balance::Kind::Dealt;
-    dealt.then(|| Lender {
+    dealt.then(|| SlotBorrower {
         desk: desk.clone(),
         own: shared.settings.instance.name.clone(),
         membership: parts.membership.clone(),
@@ -463,7 +463,7 @@
                     "borrowed": endpoint.slots.borrowed(now),
                     "lent": endpoint.slots.lent(now),
                     "failing": endpoint.health.failure_rate(),
-                    "ejected": endpoint.health.reason(),
+                    "ejected": endpoint.health.ejection_reason(),
                 })
             })
             .collect();
--- a/ashtiller/src/request/headers.rs
+++ b/ashtiller/src/request/headers.rs
@@ -3,7 +3,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Version};
 
-use crate::outcome::Verdict;
+use crate::outcome::LocalResponse;
 
 /// Fields of one connection (RFC 9110, section 7.6.1), besides those that
 /// `Connection` names.
@@ -48,10 +48,10 @@
 ///
 /// # Errors
 /// The verdict for the caller.
-pub fn check(method: &Method, version: Version, headers: &HeaderMap) -> Result<(), Verdict> {
-    let wrong = |reason| Err(Verdict::wrong(StatusCode::BAD_REQUEST, reason));
+pub fn check(method: &Method, version: Version, headers: &HeaderMap) -> Result<(), LocalResponse> {
+    let wrong = |reason| Err(LocalResponse::wrong(StatusCode::BAD_REQUEST, reason));
     if *method == Method::CONNECT || *method == Method::TRACE {
-        return Err(Verdict::wrong(
+        return Err(LocalResponse::wrong(
             StatusCode::METHOD_NOT_ALLOWED,
             "this method is not passed on",
         ));
@@ -69,7 +69,7 @@
         return wrong("HTTP/1.1 needs one Host");
     }
     if headers.contains_key(header::UPGRADE) && headers.contains_key(header::CONNECTION) {
-        return Err(Verdict::wrong(
+        return Err(LocalResponse::wrong(
             StatusCode::NOT_IMPLEMENTED,
             "upgrades are not passed on",
         ));
--- a/ashtiller/src/request/health.rs
+++ b/ashtiller/src/request/health.rs
@@ -117,7 +117,7 @@
 
     /// Why it is ejected.
     #[must_use]
-    pub fn reason(&self) -> Option<EjectionReason> {
+    pub fn ejection_reason(&self) -> Option<EjectionReason> {
         self.ejected.map(|(reason, _)| reason)
     }
 
--- a/ashtiller/src/request/held.rs
+++ b/ashtiller/src/request/held.rs
@@ -8,11 +8,11 @@
 use hyper::body::{Body, Incoming};
 use tokio::time;
 
-use crate::outcome::Verdict;
-use crate::upload::Upload;
+use crate::outcome::LocalResponse;
+use crate::upload::RequestBody;
 
 /// A request's body between attempts.
-pub enum Held {
+pub enum ReplayableBody {
     /// Kept whole; it can be sent again.
     Kept(Bytes),
     /// Streams once.
@@ -32,16 +32,16 @@
     pub time: Duration,
 }
 
-impl Held {
+impl ReplayableBody {
     /// Reads a body that is small enough to keep; a larger one, or one of unknown
     /// size, streams.
     ///
     /// # Errors
     /// The body is too large, too slow, or breaks off.
-    pub async fn open(body: Incoming, allowance: Allowance) -> Result<Self, Verdict> {
+    pub async fn open(body: Incoming, allowance: Allowance) -> Result<Self, LocalResponse> {
         let size = body.size_hint();
         if size.lower() > allowance.most {
-            return Err(Verdict::wrong(
+            return Err(LocalResponse::wrong(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the body is too large",
             ));
@@ -49,8 +49,8 @@
         if size.upper().is_none_or(|size| size > allowance.keep) {
             return Ok(Self::Stream(Box::new(body)));
         }
-        let late = |_| Verdict::wrong(StatusCode::REQUEST_TIMEOUT, "the body came too late");
-        let broken = |_| Verdict::wrong(StatusCode::BAD_REQUEST, "the body broke off");
+        let late = |_| LocalResponse::wrong(StatusCode::REQUEST_TIMEOUT, "the body came too late");
+        let broken = |_| LocalResponse::wrong(StatusCode::BAD_REQUEST, "the body broke off");
         let read = time::timeout(allowance.time, body.collect());
         Ok(Self::Kept(
             read.await.map_err(late)?.map_err(broken)?.to_bytes(),
@@ -64,23 +64,23 @@
     }
 
     /// The body for one attempt, of at most `limit` bytes.
-    pub fn take(&mut self, limit: u64) -> Upload {
+    pub fn take(&mut self, limit: u64) -> RequestBody {
         match std::mem::replace(self, Self::Spent) {
             Self::Kept(bytes) => {
                 *self = Self::Kept(bytes.clone());
-                Upload::Kept(Full::new(bytes))
+                RequestBody::Kept(Full::new(bytes))
             }
-            Self::Stream(body) => Upload::Stream {
+            Self::Stream(body) => RequestBody::Stream {
                 body: *body,
                 left: limit,
             },
-            Self::Spent => Upload::Kept(Full::default()),
+            Self::Spent => RequestBody::Kept(Full::default()),
         }
     }
 
     /// Takes back a body of which nothing was sent.
-    pub fn give_back(&mut self, body: Upload) {
-        if let Upload::Stream { body, .. } = body {
+    pub fn give_back(&mut self, body: RequestBody) {
+        if let RequestBody::Stream { body, .. } = body {
             *self = Self::Stream(Box::new(body));
         }
     }
--- a/ashtiller/src/request/intake.rs
+++ b/ashtiller/src/request/intake.rs
@@ -5,7 +5,7 @@
 use hyper::http::request;
 use hyper::{StatusCode, Uri};
 
-use crate::outcome::Verdict;
+use crate::outcome::LocalResponse;
 use crate::unit;
 
 /// Header that names the client account.
@@ -23,14 +23,14 @@
 ///
 /// # Errors
 /// The key is empty, too long, or given twice.
-pub fn read_key(head: &request::Parts) -> Result<Option<u128>, Verdict> {
+pub fn read_key(head: &request::Parts) -> Result<Option<u128>, LocalResponse> {
     let Some(value) = head.headers.get(KEY) else {
         return Ok(None);
     };
     let key = value.as_bytes();
     if key.is_empty() || key.len() > KEY_MAX || head.headers.get_all(KEY).iter().count() > 1 {
         let reason = "Idempotency-Key needs 1 to 255 characters, once";
-        return Err(Verdict::wrong(StatusCode::BAD_REQUEST, reason));
+        return Err(LocalResponse::wrong(StatusCode::BAD_REQUEST, reason));
     }
     let low = xxhash_rust::xxh3::xxh3_64(key);
     let high = xxhash_rust::xxh3::xxh3_64_with_seed(key, KEY_SEED);
@@ -47,12 +47,12 @@
 ///
 /// # Errors
 /// It is no time with a unit.
-pub fn read_timeout(head: &request::Parts) -> Result<Option<Duration>, Verdict> {
+pub fn read_timeout(head: &request::Parts) -> Result<Option<Duration>, LocalResponse> {
     let Some(text) = header(head, TIMEOUT) else {
         return Ok(None);
     };
     let reason = "request-timeout needs a time such as 800ms";
-    let wrong = || Verdict::wrong(StatusCode::BAD_REQUEST, reason);
+    let wrong = || LocalResponse::wrong(StatusCode::BAD_REQUEST, reason);
     unit::parse_duration(text).map(Some).ok_or_else(wrong)
 }
 
--- a/ashtiller/src/request/lender.rs
+++ b/ashtiller/src/request/lender.rs
@@ -13,7 +13,7 @@
 use crate::members::{Member, Members};
 use crate::membership::Membership;
 use crate::peer::{LoanRequest, Role};
-use crate::tally::Tally;
+use crate::tally::GatewayMetrics;
 use crate::wire::RpcClient;
 
 /// A loan lapses this long after the last message about it.
@@ -30,7 +30,7 @@
 const PAUSE_MAX: Duration = Duration::from_millis(320);
 
 /// Borrows for one service.
-pub struct Lender {
+pub struct SlotBorrower {
     /// The service.
     pub desk: Arc<ServiceDispatcher>,
     /// This gateway.
@@ -40,10 +40,10 @@
     /// Wire to them.
     pub wire: RpcClient,
     /// Counters.
-    pub tally: Arc<Tally>,
+    pub tally: Arc<GatewayMetrics>,
 }
 
-impl Lender {
+impl SlotBorrower {
     /// Runs until it is aborted.
     pub async fn run(self) {
         let mut settle = time::interval(SETTLE_EVERY);
--- a/ashtiller/src/request/outcome.rs
+++ b/ashtiller/src/request/outcome.rs
@@ -38,7 +38,7 @@
 
 /// An answer that ends a request in the gateway.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Verdict {
+pub struct LocalResponse {
     /// Status code.
     pub status: StatusCode,
     /// What became of the request.
@@ -49,7 +49,7 @@
     pub after: Option<Duration>,
 }
 
-impl Verdict {
+impl LocalResponse {
     /// The request is wrong and was not run.
     #[must_use]
     pub fn wrong(status: StatusCode, reason: &'static str) -> Self {
--- a/ashtiller/src/request/pool.rs
+++ b/ashtiller/src/request/pool.rs
@@ -20,7 +20,7 @@
 use tokio::time::{self, Instant};
 
 use crate::failure::Failure;
-use crate::upload::Upload;
+use crate::upload::RequestBody;
 
 /// Time for a connection to become ready again after an answer.
 const READY: Duration = Duration::from_millis(20);
@@ -31,9 +31,9 @@
 const VOUCH_SHARE: f64 = 0.5;
 
 /// A connection to an endpoint; dropping it closes it.
-pub struct Link {
+pub struct Connection {
     /// Sends requests.
-    pub sender: http1::SendRequest<Upload>,
+    pub sender: http1::SendRequest<RequestBody>,
     endpoint: SocketAddr,
     driver: AbortHandle,
     opened: Instant,
@@ -41,7 +41,7 @@
     since: Instant,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -57,7 +57,7 @@
 /// What is kept of one endpoint.
 #[derive(Default)]
 struct Links {
-    idle: Vec<Link>,
+    idle: Vec<Connection>,
     /// The newest good answers. One that came later on an older connection shows more, so
     /// they stand in the order of both times.
     answers: Vec<Answer>,
@@ -72,14 +72,14 @@
 }
 
 /// Idle connections by endpoint.
-pub struct Pool {
+pub struct ConnectionPool {
     links: Mutex<HashMap<SocketAddr, Links>>,
     connect: Duration,
     keep: Duration,
     head: usize,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An empty pool. `connect` limits a connect, `keep` an idle connection's
     /// life, `head` the bytes of an answer's head.
     #[must_use]
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// No connection within the time limit; nothing was sent.
-    pub async fn checkout(&self, endpoint: SocketAddr) -> Result<Link, Failure> {
+    pub async fn checkout(&self, endpoint: SocketAddr) -> Result<Connection, Failure> {
         while let Some(mut link) = self.take(endpoint) {
             if link.since.elapsed() > self.keep {
                 continue;
@@ -111,7 +111,7 @@
             .map_err(late)?
     }
 
-    async fn open(&self, endpoint: SocketAddr) -> Result<Link, Failure> {
+    async fn open(&self, endpoint: SocketAddr) -> Result<Connection, Failure> {
         let failed = |error: &dyn std::fmt::Display| Failure::no_effect("connect", endpoint, error);
         let stream = TcpStream::connect(endpoint)
             .await
@@ -126,7 +126,7 @@
             // The request in flight sees the same error.
             let _ = connection.await;
         });
-        Ok(Link {
+        Ok(Connection {
             sender,
             endpoint,
             driver: driver.abort_handle(),
@@ -135,19 +135,19 @@
         })
     }
 
-    fn take(&self, endpoint: SocketAddr) -> Option<Link> {
+    fn take(&self, endpoint: SocketAddr) -> Option<Connection> {
         self.links.lock().get_mut(&endpoint)?.idle.pop()
     }
 
     /// Gives back a connection whose answer was read whole.
-    pub fn give_back(&self, mut link: Link) {
+    pub fn give_back(&self, mut link: Connection) {
         link.since = Instant::now();
         let mut all = self.links.lock();
         all.entry(link.endpoint).or_default().idle.push(link);
     }
 
     /// Notes that a request on a connection was answered well.
-    pub fn note_answer(&self, link: &Link) {
+    pub fn note_answer(&self, link: &Connection) {
         let mut all = self.links.lock();
         let links = all.entry(link.endpoint).or_default();
         links.note_answer(link.opened);
@@ -195,7 +195,7 @@
     pub fn sweep(&self, serves: impl Fn(SocketAddr) -> bool) {
         let mut all = self.links.lock();
         all.retain(|endpoint, links| {
-            let keep = |link: &Link| link.since.elapsed() <= self.keep && !link.sender.is_closed();
+            let keep = |link: &Connection| link.since.elapsed() <= self.keep && !link.sender.is_closed();
             links.idle.retain(keep);
             links
                 .answers
@@ -223,7 +223,7 @@
 /// has gone, it closes the endpoint's idle connections that have not answered lately:
 /// what silenced its own may have silenced them, and a request on each would wait too.
 pub struct Unanswered<'a> {
-    pool: &'a Pool,
+    pool: &'a ConnectionPool,
     endpoint: SocketAddr,
     began: Instant,
     over: bool,
--- a/ashtiller/src/request/router.rs
+++ b/ashtiller/src/request/router.rs
@@ -23,19 +23,19 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::desk::{Admitted, ServiceDispatcher, SlotGuard};
-use crate::download::{Download, Flight};
+use crate::download::{ResponseBody, Flight};
 use crate::endpoint::Endpoint;
 use crate::headers;
 use crate::health::RequestResult;
-use crate::held::{Allowance, Held};
+use crate::held::{Allowance, ReplayableBody};
 use crate::intake;
 use crate::line::AdmissionRequest;
-use crate::outcome::{self, Outcome, Verdict};
-use crate::pool::{Link, Unanswered};
+use crate::outcome::{self, Outcome, LocalResponse};
+use crate::pool::{Connection, Unanswered};
 use crate::settings;
-use crate::tally::Tally;
+use crate::tally::GatewayMetrics;
 use crate::template::Service;
-use crate::upload::Upload;
+use crate::upload::RequestBody;
 
 /// Header in which the gateway names the endpoint that answered.
 const ENDPOINT: HeaderName = HeaderName::from_static("ashtiller-endpoint");
@@ -50,7 +50,7 @@
     settings: settings::Gateway,
     config: Arc<Config>,
     claims: ClaimWriter,
-    tally: Arc<Tally>,
+    tally: Arc<GatewayMetrics>,
     clock: Arc<dyn Clock>,
     desks: RwLock<HashMap<Arc<str>, Arc<ServiceDispatcher>>>,
     ids: AtomicU64,
@@ -79,11 +79,11 @@
 /// The end of one attempt.
 enum Attempt {
     /// An answer for the caller.
-    Answer(Response<Download>),
+    Answer(Response<ResponseBody>),
     /// The endpoint did not run it.
-    NotRun(Verdict),
+    NotRun(LocalResponse),
     /// The endpoint may have run it.
-    Unknown(Verdict),
+    Unknown(LocalResponse),
 }
 
 impl Router {
@@ -93,7 +93,7 @@
         settings: settings::Gateway,
         config: Arc<Config>,
         claims: ClaimWriter,
-        tally: Arc<Tally>,
+        tally: Arc<GatewayMetrics>,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
         Arc::new(Self {
@@ -126,7 +126,7 @@
     }
 
     /// Serves one request.
-    pub async fn serve(&self, request: Request<Incoming>) -> Response<Download> {
+    pub async fn serve(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         self.tally.requests.inc();
         let began = self.clock.now();
         let served = self.try_serve(request).await;
@@ -141,19 +141,19 @@
         }
     }
 
-    fn end(&self, verdict: &Verdict) -> Response<Download> {
+    fn end(&self, verdict: &LocalResponse) -> Response<ResponseBody> {
         self.tally
             .ended
             .with_label_values(&[verdict.outcome.name()])
             .inc();
         let jitter = rand::rng().random_range(0.0..1.0);
-        verdict.answer(jitter).map(Download::Own)
+        verdict.answer(jitter).map(ResponseBody::Own)
     }
 
-    async fn try_serve(&self, request: Request<Incoming>) -> Result<Response<Download>, Verdict> {
+    async fn try_serve(&self, request: Request<Incoming>) -> Result<Response<ResponseBody>, LocalResponse> {
         let (head, incoming) = request.into_parts();
         let plan = self.plan(&head).inspect_err(|_| self.tally.wrong.inc())?;
-        let mut body = Held::open(incoming, self.allowance(&plan))
+        let mut body = ReplayableBody::open(incoming, self.allowance(&plan))
             .await
             .inspect_err(|_| self.tally.wrong.inc())?;
         plan.desk.budget.lock().deposit();
@@ -187,7 +187,7 @@
     }
 
     /// The last word on a request: never "not run" once it may have run.
-    fn conclude(&self, plan: &Plan, course: &Course, mut verdict: Verdict) -> Verdict {
+    fn conclude(&self, plan: &Plan, course: &Course, mut verdict: LocalResponse) -> LocalResponse {
         if course.may_have_run {
             verdict.outcome = Outcome::Unknown;
             return verdict;
@@ -198,9 +198,9 @@
         verdict
     }
 
-    fn plan(&self, head: &request::Parts) -> Result<Plan, Verdict> {
+    fn plan(&self, head: &request::Parts) -> Result<Plan, LocalResponse> {
         headers::check(&head.method, head.version, &head.headers)?;
-        let wrong = Verdict::wrong;
+        let wrong = LocalResponse::wrong;
         let (service, target) = intake::split_target(&head.uri)
             .ok_or_else(|| wrong(StatusCode::BAD_REQUEST, "the path names no service"))?;
         let account = intake::header(head, intake::ACCOUNT).ok_or_else(|| {
@@ -223,7 +223,7 @@
         })?;
         let desk = self.service(service).ok_or_else(|| {
             let reason = "the service is not open yet";
-            Verdict::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
+            LocalResponse::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
         })?;
         let timeout =
             intake::read_timeout(head)?.map_or(settings.timeout, |own| own.min(settings.timeout));
@@ -257,7 +257,7 @@
         &self,
         head: &request::Parts,
         account: &Arc<str>,
-    ) -> Result<Option<Claim>, Verdict> {
+    ) -> Result<Option<Claim>, LocalResponse> {
         let Some(key) = intake::read_key(head)? else {
             return Ok(None);
         };
@@ -271,7 +271,7 @@
         }))
     }
 
-    fn may_retry(&self, plan: &Plan, course: &Course, verdict: &Verdict) -> bool {
+    fn may_retry(&self, plan: &Plan, course: &Course, verdict: &LocalResponse) -> bool {
         // A refusal of the admission is final; only what an endpoint did is retried.
         let refused = verdict.status == StatusCode::TOO_MANY_REQUESTS || course.avoid.is_none();
         if refused || course.attempts >= ATTEMPTS_MAX || self.clock.now() >= plan.deadline {
@@ -291,17 +291,17 @@
         plan: &Plan,
         course: &mut Course,
         head: &request::Parts,
-        body: &mut Held,
+        body: &mut ReplayableBody,
     ) -> Attempt {
         let avoid = course.avoid.take();
         course.attempts += 1;
         let mut slot = match plan.desk.admit(self.ticket(plan, avoid)).await {
             Admitted::Slot(slot) => slot,
-            Admitted::Refused(refusal) => return Attempt::NotRun(Verdict::refused(refusal)),
+            Admitted::Refused(refusal) => return Attempt::NotRun(LocalResponse::refused(refusal)),
             Admitted::TimedOut => {
                 let reason = "no slot became free before the deadline";
                 let status = StatusCode::SERVICE_UNAVAILABLE;
-                return Attempt::NotRun(Verdict::not_run(status, reason, AFTER));
+                return Attempt::NotRun(LocalResponse::not_run(status, reason, AFTER));
             }
         };
         if let Err(verdict) = self.claim(plan, course).await {
@@ -312,7 +312,7 @@
         };
         course.avoid = Some(slot.endpoint);
         let Ok(link) = plan.desk.pool.checkout(endpoint.listing.address).await else {
-            slot.judge(RequestResult::Failure);
+            slot.set_result(RequestResult::Failure);
             return Attempt::NotRun(unreachable_verdict());
         };
         let limit = self.attempt_limit(plan, course, body);
@@ -342,7 +342,7 @@
         }
     }
 
-    async fn claim(&self, plan: &Plan, course: &mut Course) -> Result<(), Verdict> {
+    async fn claim(&self, plan: &Plan, course: &mut Course) -> Result<(), LocalResponse> {
         let Some(claim) = plan.claim.as_ref().filter(|_| course.claimed.is_none()) else {
             return Ok(());
         };
@@ -357,13 +357,13 @@
                 // This repeat is not sent, but the first request may have run.
                 course.may_have_run = true;
                 let reason = "a request with this Idempotency-Key was sent before";
-                Err(Verdict::unknown(StatusCode::CONFLICT, reason))
+                Err(LocalResponse::unknown(StatusCode::CONFLICT, reason))
             }
             ClaimResult::Refused(failure) => {
                 tracing::debug!(%failure, "claim refused");
                 self.claims.release(claims::current_key(claim), claim);
                 let reason = "the Idempotency-Key could not be recorded";
-                Err(Verdict::not_run(
+                Err(LocalResponse::not_run(
                     StatusCode::SERVICE_UNAVAILABLE,
                     reason,
                     AFTER,
@@ -372,9 +372,9 @@
         }
     }
 
-    fn attempt_limit(&self, plan: &Plan, course: &Course, body: &Held) -> Duration {
+    fn attempt_limit(&self, plan: &Plan, course: &Course, body: &ReplayableBody) -> Duration {
         let left = plan.deadline.saturating_sub(self.clock.now());
-        let again = plan.repeat && matches!(body, Held::Kept(_)) && course.attempts == 1;
+        let again = plan.repeat && matches!(body, ReplayableBody::Kept(_)) && course.attempts == 1;
         if again {
             left.mul_f64(FIRST_SHARE)
         } else {
@@ -386,7 +386,7 @@
         &self,
         plan: &Plan,
         head: &request::Parts,
-        body: &mut Held,
+        body: &mut ReplayableBody,
         sending: Sending,
     ) -> Attempt {
         let Sending {
@@ -406,7 +406,7 @@
             }
             Ok(Err(mut error)) => {
                 unanswered.end();
-                slot.judge(RequestResult::Failure);
+                slot.set_result(RequestResult::Failure);
                 return match error.take_message() {
                     Some(request) => {
                         body.give_back(request.into_body());
@@ -416,10 +416,10 @@
                 };
             }
             Err(_) => {
-                slot.judge(RequestResult::Failure);
+                slot.set_result(RequestResult::Failure);
                 self.tally.unanswered.inc();
                 let reason = "the endpoint gave no answer in time";
-                return Attempt::Unknown(Verdict::unknown(StatusCode::GATEWAY_TIMEOUT, reason));
+                return Attempt::Unknown(LocalResponse::unknown(StatusCode::GATEWAY_TIMEOUT, reason));
             }
         };
         self.receive(
@@ -465,7 +465,7 @@
             desk.with_dispatch(|dispatch, now| dispatch.record_load(endpoint.id, load, now));
         }
         if head.status == StatusCode::SERVICE_UNAVAILABLE && says_not_run(&head) {
-            slot.judge(RequestResult::Ignored);
+            slot.set_result(RequestResult::Ignored);
             desk.with_dispatch(|dispatch, now| dispatch.mark_leaving(endpoint.id, now));
             return Attempt::NotRun(unreachable_verdict());
         }
@@ -487,12 +487,12 @@
             failed,
             tally: self.tally.clone(),
         };
-        let body = Download::stream(body, flight, plan.service.timeout);
+        let body = ResponseBody::stream(body, flight, plan.service.timeout);
         Attempt::Answer(Response::from_parts(head, body))
     }
 }
 
-fn build(plan: &Plan, head: &request::Parts, body: Upload) -> Request<Upload> {
+fn build(plan: &Plan, head: &request::Parts, body: RequestBody) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = plan.target.clone();
@@ -503,14 +503,14 @@
 
 struct Sending {
     slot: SlotGuard,
-    link: Link,
+    link: Connection,
     endpoint: Endpoint,
     limit: Duration,
 }
 
 struct Flying {
     slot: SlotGuard,
-    link: Link,
+    link: Connection,
     endpoint: Endpoint,
 }
 
@@ -519,19 +519,19 @@
     outcome.is_some_and(|outcome| outcome == Outcome::NotRun.name())
 }
 
-fn unreachable_verdict() -> Verdict {
+fn unreachable_verdict() -> LocalResponse {
     let reason = "no endpoint could be reached";
-    Verdict::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
+    LocalResponse::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
 }
 
-fn failed_verdict(error: &hyper::Error) -> Verdict {
+fn failed_verdict(error: &hyper::Error) -> LocalResponse {
     let too_large = std::error::Error::source(error)
         .and_then(|source| source.downcast_ref::<crate::upload::Broken>())
         .is_some_and(|broken| matches!(broken, crate::upload::Broken::TooLarge));
     if too_large {
-        return Verdict::unknown(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+        return LocalResponse::unknown(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     }
-    Verdict::unknown(StatusCode::BAD_GATEWAY, "the endpoint's connection failed")
+    LocalResponse::unknown(StatusCode::BAD_GATEWAY, "the endpoint's connection failed")
 }
 
 fn class_of(status: StatusCode) -> &'static str {
--- a/ashtiller/src/request/tally.rs
+++ b/ashtiller/src/request/tally.rs
@@ -10,7 +10,7 @@
 ];
 
 /// Counters of one gateway, each registered under `ashtiller_gateway_`.
-pub struct Tally {
+pub struct GatewayMetrics {
     /// Requests answered by an endpoint, by status class.
     pub answered: IntCounterVec,
     /// Requests ended by the gateway, by outcome.
@@ -39,7 +39,7 @@
     pub latency: Histogram,
 }
 
-impl Tally {
+impl GatewayMetrics {
     /// Registers the counters.
     ///
     /// # Errors
--- a/ashtiller/src/request/upload.rs
+++ b/ashtiller/src/request/upload.rs
@@ -10,7 +10,7 @@
 
 /// A body that was kept for a retry, or one that streams through.
 #[derive(Debug)]
-pub enum Upload {
+pub enum RequestBody {
     /// Kept whole.
     Kept(Full<Bytes>),
     /// Streams; `left` more bytes are allowed.
@@ -42,7 +42,7 @@
 
 impl std::error::Error for Broken {}
 
-impl Body for Upload {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = Broken;
 
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -68,7 +68,7 @@
             })
             .collect();
         self.dispatch.update_listings(&listings);
-        self.dispatch.deal(&self.gateways[1..], &self.gateways[0]);
+        self.dispatch.allocate_slots(&self.gateways[1..], &self.gateways[0]);
         let census = self.dispatch.endpoint_counts(Duration::ZERO);
         format!(
             "{} live, {} leaving, {} slots dealt",
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -15,7 +15,7 @@
 use ashtiller::endpoint::{Listing, Phase};
 use ashtiller::ledger::{Head, ConfigState, HeadAction, StoredTemplate, AdoptResult};
 use ashtiller::line::AdmissionRequest;
-use ashtiller::pool::Pool;
+use ashtiller::pool::ConnectionPool;
 use ashtiller::rendezvous;
 use ashtiller::resources::{Pool as Room, Resources};
 use ashtiller::session::{Change, LeaseTerms, ReportHeader, Session};
@@ -41,8 +41,8 @@
         slots: 1,
         phase: Phase::Live,
     }]);
-    dispatch.deal(&["g1".into()], "g1");
-    let pool = Pool::new(Duration::from_secs(1), Duration::from_secs(1), 8192);
+    dispatch.allocate_slots(&["g1".into()], "g1");
+    let pool = ConnectionPool::new(Duration::from_secs(1), Duration::from_secs(1), 8192);
     ServiceDispatcher::new(
         "fleet".into(),
         dispatch,
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -349,7 +349,7 @@
     let gateways: Vec<Arc<str>> = (0..9)
         .map(|number| format!("entry-{number}").into())
         .collect();
-    dispatch.deal(&gateways, "entry-0");
+    dispatch.allocate_slots(&gateways, "entry-0");
     let account: Arc<str> = "dealer-north".into();
     let began = Instant::now();
     for id in 0..u64::from(REPEAT) * 10 {
