--- a/ashtiller/tests/links/clients.rs
+++ b/ashtiller/tests/links/clients.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use crate::follower;
-use crate::front::{self, Front};
+use crate::front::{self, ClientApi};
 use crate::net::Net;
 use crate::peer::Peer;
 
@@ -75,7 +75,7 @@
         let (net, peer) = (Rc::new(Net::default()), Rc::new(Peer::default()));
         let (node, _store) = follower::open(&net, &peer).await;
         node.adopt_config(&Arc::new(config()));
-        let front = Front::new(node);
+        let front = ClientApi::new(node);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
         let address = listener.local_addr().expect("address");
         task::spawn_local(front.clone().serve(listener));
@@ -117,7 +117,7 @@
         let (node, _store) = follower::open(&net, &peer).await;
         node.adopt_config(&Arc::new(config()));
         peer.takes.set(CAP * 2);
-        let front = Front::new(node);
+        let front = ClientApi::new(node);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
         let address = listener.local_addr().expect("address");
         task::spawn_local(front.clone().serve(listener));
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -30,7 +30,7 @@
 use ashtiller::workflow::log_state::LogState;
 use ashtiller::workflow::tuning::Tuning;
 
-use worker::{Weakness, Worker};
+use worker::{DisabledSafeguards, Worker};
 
 const MS: Duration = Duration::from_millis(1);
 /// Time between two steps.
@@ -126,7 +126,7 @@
         }));
         core.list_all((0..WORKERS).map(listed).collect(), at);
         let lives = (0..WORKERS).map(|number| {
-            let life = Worker::new(format!("w{number}"), room(), 99, Weakness::default());
+            let life = Worker::new(format!("w{number}"), room(), 99, DisabledSafeguards::default());
             (listed(number).address, life)
         });
         Self {
@@ -172,8 +172,8 @@
     /// A worker's process ends, and starts again under its id.
     fn restart(&mut self, number: u16) {
         let address = listed(number).address;
-        let life = Worker::new(format!("w{number}"), room(), 99, Weakness::default());
-        self.workers.insert(address, life.begun_at(self.now));
+        let life = Worker::new(format!("w{number}"), room(), 99, DisabledSafeguards::default());
+        self.workers.insert(address, life.with_start_time(self.now));
         let lost = self.looks.extract_if(.., |it| it.to.address == address);
         for Waiting { to, .. } in lost.collect::<Vec<_>>() {
             let failure = Failure::unknown_effect("look", to.address, "connection closed");
@@ -222,7 +222,7 @@
             self.looks.push(waiting);
             return;
         }
-        let looked = worker.look(to.fence, look, self.now);
+        let looked = worker.poll(to.fence, look, self.now);
         look.ends_recorded = 0;
         let news = !matches!(&looked, PollReply::Report { finished, .. } if finished.is_empty());
         if news || self.now >= *until + WAY {
--- a/ashtiller/tests/workflow.rs
+++ b/ashtiller/tests/workflow.rs
@@ -13,7 +13,7 @@
 use ashtiller::workflow::message::{Reply, State};
 use ashtiller::workflow::record::Outcome;
 
-use world::worker::Weakness;
+use world::worker::DisabledSafeguards;
 use world::{Faults, Restarts, World, trace};
 
 /// Seeds in a usual run; `ASHTILLER_SEEDS` asks for more by hand.
@@ -42,7 +42,7 @@
     rooms: 0,
     evacuations: 0,
     restarts: None,
-    weak: Weakness {
+    weak: DisabledSafeguards {
         fences: false,
         leases: false,
     },
@@ -324,7 +324,7 @@
         rooms: 0,
         evacuations: 0,
         restarts: None,
-        weak: Weakness::default(),
+        weak: DisabledSafeguards::default(),
     };
     let mut world = World::new(7, calm);
     for number in 0..10 {
@@ -340,7 +340,7 @@
 
 /// Whether two seeds break a rule when a safeguard is missing. One in fifty does: 12 of 600
 /// by count, so that one of 60 would be a matter of luck.
-fn is_seen(weak: Weakness) -> bool {
+fn is_seen(weak: DisabledSafeguards) -> bool {
     let faults = Faults { weak, ..ROUGH };
     let seen = (0..300).filter(|seed| !play(*seed, faults).broken.is_empty());
     seen.take(2).count() == 2
@@ -348,7 +348,7 @@
 
 #[test]
 fn the_check_sees_workers_that_ignore_leases() {
-    let weak = Weakness {
+    let weak = DisabledSafeguards {
         fences: false,
         leases: true,
     };
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -29,7 +29,7 @@
 
 use news::{Channel, News};
 use operators::{EVACUATION, Operators, Reader};
-use worker::{Weakness, Worker};
+use worker::{DisabledSafeguards, Worker};
 
 const MS: Duration = Duration::from_millis(1);
 /// Time between two steps of the owners.
@@ -74,7 +74,7 @@
     /// Whether workers start again under their ids. With that, looks too come late.
     pub restarts: Option<Restarts>,
     /// Safeguards of workers that are switched off.
-    pub weak: Weakness,
+    pub weak: DisabledSafeguards,
 }
 
 /// How workers start again under their ids.
@@ -250,7 +250,7 @@
         let worker = Worker::new(life.clone(), capacity(), pace, self.faults.weak);
         // Where workers do not start again under their ids, their clocks have gone on for long.
         let began = self.faults.restarts.map_or(Duration::ZERO, |_| self.now);
-        self.workers.insert(id.into(), worker.begun_at(began));
+        self.workers.insert(id.into(), worker.with_start_time(began));
         self.news.put(listing(&life, machine, capacity()));
     }
 
@@ -280,7 +280,7 @@
         let life = self.bear(id);
         tracing::trace!(worker = %life, "world: process starts again");
         let worker = Worker::new(life, capacity(), pace, self.faults.weak);
-        self.workers.insert(id.clone(), worker.begun_at(self.now));
+        self.workers.insert(id.clone(), worker.with_start_time(self.now));
         let lag = self.millis(0, 1100);
         self.at(lag, Event::Say(id.clone()));
     }
@@ -775,11 +775,11 @@
             return None;
         }
         let worker = self.workers.get_mut(id)?;
-        let forgotten = worker.forgets(look.ends_recorded);
+        let forgotten = worker.forgettable_ends(look.ends_recorded);
         let unread = forgotten.filter(|name| !self.recorded.contains_key(*name));
         let unread = unread.map(|name| format!("the end of {name:?} on {id} was forgotten unread"));
         let unread: Vec<String> = unread.collect();
-        let looked = worker.look(target.fence, look, self.now);
+        let looked = worker.poll(target.fence, look, self.now);
         tracing::trace!(worker = %worker.life, fence = target.fence, ?look, ?looked, "world: look");
         if matches!(looked, PollReply::Report { .. }) {
             self.broken.extend(unread);
--- a/bench/src/crashes.rs
+++ b/bench/src/crashes.rs
@@ -20,7 +20,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use crate::worker::{Weakness, Worker};
+use crate::worker::{DisabledSafeguards, Worker};
 
 const MS: Duration = Duration::from_millis(1);
 const POLL: Duration = Duration::from_millis(5);
@@ -265,7 +265,7 @@
     fn begin_life(&mut self, place: u16) {
         self.number += 1;
         let id: Incarnation = format!("i-{place}-{}", self.number).into();
-        let worker = Worker::new(id.clone(), capacity(), 100, Weakness::default());
+        let worker = Worker::new(id.clone(), capacity(), 100, DisabledSafeguards::default());
         self.workers.insert(id.clone(), worker);
         self.places.insert(id.clone(), place);
         let now = self.clock();
@@ -453,7 +453,7 @@
     fn see(&mut self, id: Incarnation, look: &Poll) {
         let fence = self.core.epoch();
         let looked = match self.workers.get_mut(&id) {
-            Some(worker) => Ok(worker.look(fence, look, self.now)),
+            Some(worker) => Ok(worker.poll(fence, look, self.now)),
             None => Err(Failure::unknown_effect("look", &id, "connection refused")),
         };
         let wait = if looked.is_ok() {
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -15,7 +15,7 @@
 
 use crate::client::Client;
 use crate::proxy::Proxy;
-use crate::standin::agent::Agent;
+use crate::standin::agent::WorkerServer;
 use crate::standin::store::Store;
 use crate::touch::{SLACK, Touch};
 
@@ -35,7 +35,7 @@
 /// A worker's life, and the proxy in front of it.
 pub struct Member {
     /// The worker.
-    pub agent: Agent,
+    pub agent: WorkerServer,
     /// Where the entries reach it.
     pub link: Proxy,
     /// When the store took its word that it is about to leave.
@@ -165,7 +165,7 @@
                 }
             }
             // A room that shrinks does not end what runs there; starts are checked for it.
-            if worker.shrunk.is_none() && !worker.used().fits_within(&worker.capacity) {
+            if worker.capacity_changed_at.is_none() && !worker.used().fits_within(&worker.capacity) {
                 let text = format!("{} holds {}", worker.life, worker.used());
                 seen.broken.push(text);
             }
--- a/soak/src/evacuations.rs
+++ b/soak/src/evacuations.rs
@@ -38,7 +38,7 @@
         let now = self.now();
         let taken_back = self.checks.evacuated.lock().remove(zone).is_some();
         if taken_back {
-            self.checks.store.take_back(zone);
+            self.checks.store.cancel_evacuation(zone);
         } else {
             self.checks.store.evacuate(zone, value.as_bytes());
             self.checks.evacuated.lock().insert(zone, now);
@@ -49,7 +49,7 @@
     /// No zone is under evacuation any more.
     pub fn take_zones_back(&mut self) {
         for zone in std::mem::take(&mut *self.checks.evacuated.lock()).into_keys() {
-            self.checks.store.take_back(zone);
+            self.checks.store.cancel_evacuation(zone);
         }
     }
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -140,7 +140,7 @@
         let gone = self.checks.fleet.lock().remove(&worker);
         if let Some(gone) = gone {
             let worker = gone.agent.worker.lock();
-            self.troubles.lock().note_gone(&worker);
+            self.troubles.lock().record_worker_loss(&worker);
             self.checks.store.remove_worker(worker.life.id());
         }
         self.add_worker(worker).await
@@ -185,7 +185,7 @@
             10 => self.replace_worker(worker).await?,
             _ => {
                 if let Some(member) = self.checks.fleet.lock().get(&worker) {
-                    let mut cut = member.agent.cut.lock();
+                    let mut cut = member.agent.unreachable.lock();
                     *cut = !*cut;
                 }
             }
@@ -202,9 +202,9 @@
 
     fn disturb_store(&mut self) {
         let modes = [
-            Mode::Busy,
-            Mode::Silent,
-            Mode::Lossy,
+            Mode::Unavailable,
+            Mode::Unresponsive,
+            Mode::LosesAnswers,
             Mode::Slow(Duration::from_millis(200)),
         ];
         let mode = modes[self.rng.random_range(0..modes.len())];
--- a/soak/src/shaky.rs
+++ b/soak/src/shaky.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use crate::checks::Fleet;
-use crate::standin::agent::Troubles;
+use crate::standin::agent::SharedCrashInjector;
 use crate::world::World;
 
 /// Keeps these draws apart from those of the other faults.
@@ -63,7 +63,7 @@
         if draws.one_in(BAD) {
             let delay = DELAYS[draws.0.random_range(0..DELAYS.len())];
             let mut troubles = self.troubles.lock();
-            troubles.spoil(id.clone(), Duration::from_millis(delay));
+            troubles.crash_first_task(id.clone(), Duration::from_millis(delay));
             drop(troubles);
             self.note(&format!("{id} crashes its workers after {delay} ms"));
         }
@@ -102,7 +102,7 @@
         if let Some(member) = self.checks.fleet.lock().get(&worker) {
             let mut state = member.agent.worker.lock();
             state.capacity = room;
-            state.shrunk = Some(now);
+            state.capacity_changed_at = Some(now);
             let (life, leaves) = (state.life.clone(), member.drained.is_some());
             drop(state);
             let store = &self.checks.store;
@@ -119,7 +119,7 @@
         let id = format!("alien-{number}");
         let store = &self.checks.store;
         if let Some(junk) = junk {
-            store.put_junk(&id, junk.as_bytes());
+            store.put_malformed_worker(&id, junk.as_bytes());
         } else if let Some(member) = self.checks.fleet.lock().get(&worker) {
             let address = member.link.address;
             store.put_worker(
@@ -175,10 +175,10 @@
     }
 }
 
-fn crash_due(fleet: &Fleet, troubles: &Troubles, gone: &Gone, now: Duration) {
+fn crash_due(fleet: &Fleet, troubles: &SharedCrashInjector, gone: &Gone, now: Duration) {
     let due: Vec<Incarnation> = {
         let troubles = troubles.lock();
-        let due = troubles.due.iter().filter(|(_, at)| **at <= now);
+        let due = troubles.due_crashes.iter().filter(|(_, at)| **at <= now);
         due.map(|(id, _)| id.clone()).collect()
     };
     for id in due {
@@ -187,13 +187,13 @@
             .iter()
             .find(|(_, member)| member.agent.worker.lock().life == id);
         let Some(machine) = found.map(|(machine, _)| *machine) else {
-            troubles.lock().due.remove(&id);
+            troubles.lock().due_crashes.remove(&id);
             continue;
         };
         if let Some(member) = fleet.remove(&machine) {
             let mut troubles = troubles.lock();
             troubles.crashed += 1;
-            troubles.note_gone(&member.agent.worker.lock());
+            troubles.record_worker_loss(&member.agent.worker.lock());
             drop(troubles);
             gone.lock().push((id, machine, now + BACK));
         }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -22,7 +22,7 @@
 use crate::network::Network;
 use crate::proxy::Proxy;
 use crate::shaky::{Draws, Gone};
-use crate::standin::agent::{Agent, Shapes, Troubles};
+use crate::standin::agent::{WorkerServer, TaskProfiles, SharedCrashInjector};
 use crate::standin::store::{Store, zone_of};
 use crate::touch::Touch;
 
@@ -80,10 +80,10 @@
     network: Network,
     pub rng: Pcg64,
     pub sites: Vec<Site>,
-    pub shapes: Shapes,
+    pub shapes: TaskProfiles,
     pub checks: Checks,
     /// Tasks that crash their workers.
-    pub troubles: Troubles,
+    pub troubles: SharedCrashInjector,
     /// Workers that crashed.
     pub gone: Gone,
     /// What is drawn of that, if anything is.
@@ -110,7 +110,7 @@
     let open = world.finish().await?;
     watch.abort();
     drop(checks);
-    let troubles = std::mem::take(&mut world.troubles.lock().broken);
+    let troubles = std::mem::take(&mut world.troubles.lock().violations);
     world.checks.seen.lock().broken.extend(troubles);
     fs::write(
         world.plan.folder.join("schedule.txt"),
@@ -171,9 +171,9 @@
             network,
             rng: Pcg64::seed_from_u64(plan.seed),
             sites: Vec::new(),
-            shapes: Shapes::default(),
+            shapes: TaskProfiles::default(),
             checks,
-            troubles: Troubles::default(),
+            troubles: SharedCrashInjector::default(),
             gone: Gone::default(),
             shaky: plan.shaky.then(|| Draws::new(plan.seed)),
             evacuations: plan.shaky.then(|| evacuations::Draws::new(plan.seed)),
@@ -225,7 +225,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let start = self.checks.start;
         let (shapes, troubles) = (self.shapes.clone(), self.troubles.clone());
-        let agent = Agent::spawn(listener, life.clone(), room(), shapes, troubles, start)?;
+        let agent = WorkerServer::spawn(listener, life.clone(), room(), shapes, troubles, start)?;
         let link = Proxy::spawn(agent.address).await?;
         let store = &self.checks.store;
         store.put_worker(&life, number, link.address, false, &room());
@@ -287,7 +287,7 @@
             self.replace_drained(number).await?;
         }
         for member in self.checks.fleet.lock().values() {
-            *member.agent.cut.lock() = false;
+            *member.agent.unreachable.lock() = false;
         }
         self.start_ended()
     }
