--- a/ashtiller/src/demo.rs
+++ b/ashtiller/src/demo.rs
@@ -24,9 +24,9 @@
 use hyper::{Method, Request};
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
-use standin::agent::{Agent, End, Record};
+use standin::agent::{Agent, EndReason, RunHistory};
 use standin::endpoint::Endpoint;
-use standin::store::{Listed, Store};
+use standin::store::{CatalogEntry, Store};
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 use tokio::time;
@@ -99,7 +99,7 @@
     store: Store,
     endpoints: Vec<Endpoint>,
     agents: Vec<Agent>,
-    record: Arc<Record>,
+    record: Arc<RunHistory>,
     gateways: Vec<Gateway>,
     schedulers: Vec<Scheduler>,
 }
@@ -131,7 +131,7 @@
 
 async fn open() -> anyhow::Result<World> {
     let store = standin::store::bind("127.0.0.1:0").await?;
-    let record = Arc::new(Record::default());
+    let record = Arc::new(RunHistory::default());
     let mut endpoints = Vec::new();
     for number in 0..ENDPOINTS {
         let name = format!("runner-{number}");
@@ -186,7 +186,7 @@
             &[("slots", "8")],
         )
     });
-    store.list("fleet", listed.collect());
+    store.set_instances("fleet", listed.collect());
 }
 
 fn list_workers(store: &Store, agents: &[Agent]) {
@@ -199,13 +199,13 @@
         .iter()
         .enumerate()
         .map(|(number, agent)| listing(&format!("worker-{number}"), agent.address(), number, &has));
-    store.list("workers", listed.collect());
+    store.set_instances("workers", listed.collect());
 }
 
-fn listing(name: &str, address: SocketAddr, number: usize, facts: &[(&str, &str)]) -> Listed {
+fn listing(name: &str, address: SocketAddr, number: usize, facts: &[(&str, &str)]) -> CatalogEntry {
     let zone = ("zone", ZONES[number % ZONES.len()]);
     let facts = facts.iter().copied().chain([zone, ("state", "live")]);
-    Listed {
+    CatalogEntry {
         node: name.to_owned(),
         service_address: address.ip().to_string(),
         service_port: address.port(),
@@ -411,7 +411,7 @@
 async fn finish(world: World, told: &Told, refused: usize) -> anyhow::Result<()> {
     let runs = endpoint_runs(&world.endpoints);
     let stretches = world.record.stretches();
-    let count = |end: End| {
+    let count = |end: EndReason| {
         stretches
             .iter()
             .filter(|stretch| stretch.end == Some(end))
@@ -449,8 +449,8 @@
     }
     row("jobs refused", refused.to_string());
     row("task attempts started", stretches.len().to_string());
-    row("task attempts finished", count(End::Finished).to_string());
-    row("evictions", count(End::Evicted).to_string());
+    row("task attempts finished", count(EndReason::Finished).to_string());
+    row("evictions", count(EndReason::Evicted).to_string());
     row("resumes after a lost attempt", resumed.to_string());
     row(
         "store reads / writes",
@@ -482,7 +482,7 @@
 }
 
 /// Compares what callers were told with what endpoints and workers saw.
-fn check(told: &Told, runs: &BTreeMap<String, u32>, record: &Record) -> Vec<String> {
+fn check(told: &Told, runs: &BTreeMap<String, u32>, record: &RunHistory) -> Vec<String> {
     let mut violations = Vec::new();
     let wrong = told.wrong_answer.load(Ordering::Relaxed);
     if wrong > 0 {
@@ -505,7 +505,7 @@
             _ => {}
         }
     }
-    for (one, other) in record.doubles() {
+    for (one, other) in record.overlapping() {
         violations.push(format!(
             "{} ran on {} and {} at once",
             one.task, one.worker, other.worker
@@ -515,7 +515,7 @@
     for stretch in record
         .stretches()
         .iter()
-        .filter(|stretch| stretch.end == Some(End::Finished))
+        .filter(|stretch| stretch.end == Some(EndReason::Finished))
     {
         *finished.entry(stretch.task.clone()).or_insert(0_u32) += 1;
     }
--- a/ashtiller/tests/configuration.rs
+++ b/ashtiller/tests/configuration.rs
@@ -124,7 +124,7 @@
     let account: Arc<str> = Arc::from("dealer-north");
     let base = apply::read(&*client, &account).await.expect("base");
     world.store.faults().set(Switches {
-        lose: 1,
+        lose_answers: 1,
         ..Switches::default()
     });
     let text: Arc<str> = template("dealer-north", "limit = 5").into();
--- a/ashtiller/tests/processes.rs
+++ b/ashtiller/tests/processes.rs
@@ -11,7 +11,7 @@
 use ashtiller::web;
 use bytes::Bytes;
 use hyper::Method;
-use standin::agent::{Agent, Record};
+use standin::agent::{Agent, RunHistory};
 use standin::endpoint::Endpoint;
 use standin::store::Store;
 use support::{ACCOUNTS, Ask, CAP, listed, template, until};
@@ -93,13 +93,13 @@
     store: Store,
     endpoints: Vec<Endpoint>,
     agents: Vec<Agent>,
-    record: Arc<Record>,
+    record: Arc<RunHistory>,
 }
 
 impl Site {
     async fn open() -> Self {
         let store = standin::store::bind("127.0.0.1:0").await.expect("store");
-        let record = Arc::new(Record::default());
+        let record = Arc::new(RunHistory::default());
         let (mut endpoints, mut agents) = (Vec::new(), Vec::new());
         for number in 0..3 {
             let name = format!("runner-{number}");
@@ -116,13 +116,13 @@
                 &[("slots", "8")],
             )
         });
-        store.list("fleet", runners.collect());
+        store.set_instances("fleet", runners.collect());
         let has = [("processors", "16"), ("memory", "60GiB"), ("zone", "bern")];
         let workers = agents
             .iter()
             .enumerate()
             .map(|(number, agent)| listed(&format!("worker-{number}"), agent.address(), &has));
-        store.list("workers", workers.collect());
+        store.set_instances("workers", workers.collect());
         for account in ACCOUNTS {
             support::apply_text(&store, account, &template(account, "")).await;
         }
@@ -259,11 +259,11 @@
         let stretches = site.record.stretches();
         let done = stretches
             .iter()
-            .filter(|stretch| stretch.end == Some(standin::agent::End::Finished));
+            .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Finished));
         done.count() == 2
     })
     .await;
-    assert!(site.record.doubles().is_empty());
+    assert!(site.record.overlapping().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -304,13 +304,13 @@
         let stretches = site.record.stretches();
         let done = stretches
             .iter()
-            .filter(|stretch| stretch.end == Some(standin::agent::End::Finished));
+            .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Finished));
         done.count() == 6
     })
     .await;
     assert!(
-        site.record.doubles().is_empty(),
+        site.record.overlapping().is_empty(),
         "{:?}",
-        site.record.doubles()
+        site.record.overlapping()
     );
 }
--- a/ashtiller/tests/requests.rs
+++ b/ashtiller/tests/requests.rs
@@ -120,7 +120,7 @@
     for endpoint in &world.endpoints {
         // Each runs the request and loses its answer.
         endpoint.faults().set(Switches {
-            lose: 100,
+            lose_answers: 100,
             ..Switches::default()
         });
     }
@@ -136,7 +136,7 @@
 async fn what_may_be_repeated_is_sent_again_within_the_budget() {
     let world = World::open(1, 3).await;
     world.endpoints[0].faults().set(Switches {
-        lose: 2,
+        lose_answers: 2,
         ..Switches::default()
     });
     for number in 0..30 {
@@ -145,7 +145,7 @@
     }
     for endpoint in &world.endpoints {
         endpoint.faults().set(Switches {
-            lose: 1000,
+            lose_answers: 1000,
             ..Switches::default()
         });
     }
@@ -174,7 +174,7 @@
     let world = World::open(1, 2).await;
     for endpoint in &world.endpoints {
         endpoint.faults().set(Switches {
-            lose: 1,
+            lose_answers: 1,
             ..Switches::default()
         });
     }
@@ -187,7 +187,7 @@
     assert!(world.runs("g") >= 2);
     // The second attempt meets endpoints that are gone.
     world.endpoints[0].faults().set(Switches {
-        lose: 1,
+        lose_answers: 1,
         ..Switches::default()
     });
     world.endpoints[1].kill();
@@ -248,7 +248,7 @@
 async fn a_claim_that_took_effect_unseen_is_taken_back() {
     let world = World::open(1, 2).await;
     world.store.faults().set(Switches {
-        fall: true,
+        down_after_txn: true,
         ..Switches::default()
     });
     let ask = || Ask::post("f", "charge").header("idempotency-key", "order-79");
@@ -272,7 +272,7 @@
     let world = World::open(1, 2).await;
     for number in 0..5 {
         world.store.faults().set(Switches {
-            lose: 1,
+            lose_answers: 1,
             ..Switches::default()
         });
         let id = format!("c{number}");
@@ -289,7 +289,7 @@
     let world = World::open(2, 3).await;
     // By its own word: refused requests are sent elsewhere, though they may not
     // be repeated, because they were not run.
-    world.endpoints[0].leave();
+    world.endpoints[0].drain();
     for number in 0..40 {
         let got = Ask::post(format!("p{number}"), "charge")
             .send(world.callers(number % 2))
--- a/ashtiller/tests/silence.rs
+++ b/ashtiller/tests/silence.rs
@@ -166,7 +166,7 @@
     let mut world = World::without_gateways(0, "").await;
     let facts = [("slots", "8"), ("zone", "bern"), ("state", "live")];
     let listed = support::listed("runner-0", peer.address, &facts);
-    world.store.list("fleet", vec![listed]);
+    world.store.set_instances("fleet", vec![listed]);
     world.add_gateway(0).await;
     world.wait_ready(0).await;
     world
--- a/ashtiller/tests/support/mod.rs
+++ b/ashtiller/tests/support/mod.rs
@@ -16,9 +16,9 @@
 use hyper::client::conn::http1;
 use hyper::{HeaderMap, Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use standin::agent::{Agent, End, Record, Stretch};
+use standin::agent::{Agent, EndReason, RunHistory, RunInterval};
 use standin::endpoint::Endpoint;
-use standin::store::{Listed, Store};
+use standin::store::{CatalogEntry, Store};
 use tokio::net::TcpStream;
 use tokio::time::{self, Instant};
 
@@ -52,11 +52,11 @@
     Settings::parse("test", &text).expect("settings of a test")
 }
 
-pub fn listed(name: &str, address: SocketAddr, facts: &[(&str, &str)]) -> Listed {
+pub fn listed(name: &str, address: SocketAddr, facts: &[(&str, &str)]) -> CatalogEntry {
     let facts = facts
         .iter()
         .map(|(key, value)| ((*key).to_owned(), (*value).to_owned()));
-    Listed {
+    CatalogEntry {
         node: name.to_owned(),
         service_address: address.ip().to_string(),
         service_port: address.port(),
@@ -124,7 +124,7 @@
             let facts = [("slots", "8"), ("zone", "bern"), ("state", state)];
             listed(&format!("runner-{number}"), endpoint.address(), &facts)
         });
-        self.store.list("fleet", listings.collect());
+        self.store.set_instances("fleet", listings.collect());
     }
 
     pub fn callers(&self, number: usize) -> SocketAddr {
@@ -320,7 +320,7 @@
 /// A store, workers, schedulers and one gateway.
 pub struct Cluster {
     pub store: Store,
-    pub record: Arc<Record>,
+    pub record: Arc<RunHistory>,
     pub agents: Vec<Agent>,
     pub schedulers: Vec<Scheduler>,
     pub gateway: Gateway,
@@ -329,7 +329,7 @@
 impl Cluster {
     pub async fn open(schedulers: usize, workers: usize) -> Self {
         let store = standin::store::bind("127.0.0.1:0").await.expect("store");
-        let record = Arc::new(Record::default());
+        let record = Arc::new(RunHistory::default());
         let mut agents = Vec::new();
         for number in 0..workers {
             let name = format!("worker-{number}");
@@ -389,7 +389,7 @@
             ];
             listed(&format!("worker-{number}"), agent.address(), &facts)
         });
-        self.store.list("workers", listings.collect());
+        self.store.set_instances("workers", listings.collect());
     }
 
     /// The scheduler that owns the cell.
@@ -448,7 +448,7 @@
     }
 
     /// Attempts that run now, by the workers' own record.
-    pub fn running(&self, job: &str) -> Vec<Stretch> {
+    pub fn running(&self, job: &str) -> Vec<RunInterval> {
         let part = format!("/{job}/");
         let stretches = self.record.stretches().into_iter();
         stretches
@@ -465,7 +465,7 @@
 
     /// What must hold at the end of every test.
     pub fn check(&self) {
-        let doubles = self.record.doubles();
+        let doubles = self.record.overlapping();
         assert!(doubles.is_empty(), "in two places at once: {doubles:?}");
         let stretches = self.record.stretches();
         let mut finished = std::collections::BTreeSet::new();
@@ -473,7 +473,7 @@
         for stretch in &stretches {
             let attempt = (stretch.task.clone(), stretch.attempt);
             assert!(started.insert(attempt), "started twice: {stretch:?}");
-            if stretch.end == Some(End::Finished) {
+            if stretch.end == Some(EndReason::Finished) {
                 assert!(
                     finished.insert(stretch.task.clone()),
                     "finished twice: {stretch:?}"
--- a/ashtiller/tests/tasks.rs
+++ b/ashtiller/tests/tasks.rs
@@ -157,7 +157,7 @@
     let cluster = Cluster::open(1, 2).await;
     for round in 0..6 {
         cluster.store.faults().set(Switches {
-            lose: 3,
+            lose_answers: 3,
             ..Switches::default()
         });
         let job = format!("night-{round}");
@@ -213,7 +213,7 @@
     let stretches = cluster.record.stretches();
     let evicted = stretches
         .iter()
-        .filter(|stretch| stretch.end == Some(standin::agent::End::Evicted));
+        .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Evicted));
     assert!(evicted.count() >= 7, "room for 14 of 16 processors");
     let resumed = stretches.iter().filter(|stretch| stretch.attempt == 2);
     assert!(
--- a/bench/src/routing.rs
+++ b/bench/src/routing.rs
@@ -17,7 +17,7 @@
 use hyper::Method;
 use pico_args::Arguments;
 use standin::endpoint::Endpoint;
-use standin::store::{Listed, Store};
+use standin::store::{CatalogEntry, Store};
 use tokio::task::JoinSet;
 use tokio::time;
 
@@ -231,7 +231,7 @@
         listed.push(listing(&name, &endpoint, options.slots));
         endpoints.push(endpoint);
     }
-    store.list("fleet", listed);
+    store.set_instances("fleet", listed);
     let text = "[account]\nname = dealer-north\n[service fleet]\nclass = latency-critical\n\
         timeout = 30s\nlimit = 100000\nqueue = 100000\n";
     let client = consul::open(store.address(), Duration::from_secs(2));
@@ -259,9 +259,9 @@
     Ok(world)
 }
 
-fn listing(name: &str, endpoint: &Endpoint, slots: usize) -> Listed {
+fn listing(name: &str, endpoint: &Endpoint, slots: usize) -> CatalogEntry {
     let facts = [("slots", slots.to_string()), ("zone", "bern".to_owned())];
-    Listed {
+    CatalogEntry {
         node: name.to_owned(),
         service_address: endpoint.address().ip().to_string(),
         service_port: endpoint.address().port(),
--- a/standin/src/agent.rs
+++ b/standin/src/agent.rs
@@ -65,7 +65,7 @@
 /// A caller's request.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Sync {
+pub struct SyncRequest {
     /// Epoch of the cell's owner.
     pub epoch: u64,
     /// Number of this request within the epoch.
@@ -85,7 +85,7 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum EndReason {
     /// All of its work is done.
     Finished,
     /// It failed by itself.
@@ -100,7 +100,7 @@
 
 /// A running attempt.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Running {
+pub struct RunningAttempt {
     /// Task.
     pub task: String,
     /// Attempt.
@@ -113,13 +113,13 @@
 
 /// An ended attempt.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// Task.
     pub task: String,
     /// Attempt.
     pub attempt: u32,
     /// How it ended.
-    pub end: End,
+    pub end: EndReason,
     /// Progress that a later attempt can resume from, in milliseconds.
     pub progress: u64,
 }
@@ -140,14 +140,14 @@
     /// Whether the caller knows them; then they are not listed.
     pub unchanged: bool,
     /// Running attempts.
-    pub running: Vec<Running>,
+    pub running: Vec<RunningAttempt>,
     /// Attempts that ended and are not yet acknowledged.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedAttempt>,
 }
 
 /// One stretch in which an attempt ran, in the worker's own record.
 #[derive(Clone, Debug)]
-pub struct Stretch {
+pub struct RunInterval {
     /// Worker.
     pub worker: String,
     /// Task.
@@ -161,25 +161,25 @@
     /// When it ended, if it has.
     pub to: Option<Instant>,
     /// How it ended.
-    pub end: Option<End>,
+    pub end: Option<EndReason>,
 }
 
 /// What workers themselves saw; shared by all workers of a test.
 #[derive(Debug, Default)]
-pub struct Record {
-    stretches: Mutex<Vec<Stretch>>,
+pub struct RunHistory {
+    stretches: Mutex<Vec<RunInterval>>,
 }
 
-impl Record {
+impl RunHistory {
     /// All stretches so far.
     #[must_use]
-    pub fn stretches(&self) -> Vec<Stretch> {
+    pub fn stretches(&self) -> Vec<RunInterval> {
         self.stretches.lock().clone()
     }
 
     /// Pairs of stretches in which one task ran in two places at once.
     #[must_use]
-    pub fn doubles(&self) -> Vec<(Stretch, Stretch)> {
+    pub fn overlapping(&self) -> Vec<(RunInterval, RunInterval)> {
         let stretches = self.stretches();
         let mut doubles = Vec::new();
         for (index, one) in stretches.iter().enumerate() {
@@ -194,13 +194,13 @@
         doubles
     }
 
-    fn open(&self, stretch: Stretch) -> usize {
+    fn open(&self, stretch: RunInterval) -> usize {
         let mut stretches = self.stretches.lock();
         stretches.push(stretch);
         stretches.len() - 1
     }
 
-    fn close(&self, index: usize, end: Option<End>) {
+    fn close(&self, index: usize, end: Option<EndReason>) {
         let mut stretches = self.stretches.lock();
         stretches[index].to = Some(Instant::now());
         stretches[index].end = end;
@@ -237,7 +237,7 @@
     seq: u64,
     until: u64,
     running: BTreeMap<String, Attempt>,
-    ended: BTreeMap<(String, u32), Ended>,
+    ended: BTreeMap<(String, u32), EndedAttempt>,
     fail_all: bool,
 }
 
@@ -245,7 +245,7 @@
     name: String,
     state: Mutex<State>,
     faults: Faults,
-    record: Arc<Record>,
+    record: Arc<RunHistory>,
 }
 
 /// A running worker stand-in.
@@ -323,13 +323,13 @@
         u64::try_from(now.duration_since(self.start).as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn end(&mut self, record: &Record, task: &str, end: End, now: Instant) {
+    fn end(&mut self, record: &RunHistory, task: &str, end: EndReason, now: Instant) {
         let Some(attempt) = self.running.remove(task) else {
             return;
         };
         record.close(attempt.index, Some(end));
         let progress = attempt.progress(now);
-        let ended = Ended {
+        let ended = EndedAttempt {
             task: task.to_owned(),
             attempt: attempt.number,
             end,
@@ -338,17 +338,17 @@
         self.ended.insert((task.to_owned(), attempt.number), ended);
     }
 
-    fn advance(&mut self, record: &Record, now: Instant) {
+    fn advance(&mut self, record: &RunHistory, now: Instant) {
         let lapsed = self.clock(now) >= self.until;
-        let over: Vec<(String, End)> = self
+        let over: Vec<(String, EndReason)> = self
             .running
             .iter()
             .filter_map(|(task, attempt)| {
                 let done = attempt.length > 0 && attempt.progress(now) >= attempt.length;
                 match (self.fail_all, done, lapsed) {
-                    (true, _, _) => Some((task.clone(), End::Failed)),
-                    (_, true, _) => Some((task.clone(), End::Finished)),
-                    (_, _, true) => Some((task.clone(), End::Lapsed)),
+                    (true, _, _) => Some((task.clone(), EndReason::Failed)),
+                    (_, true, _) => Some((task.clone(), EndReason::Finished)),
+                    (_, _, true) => Some((task.clone(), EndReason::Lapsed)),
                     _ => None,
                 }
             })
@@ -360,15 +360,15 @@
 
     /// An attempt that never came here is recorded as stopped, so that it cannot
     /// start later.
-    fn stop(&mut self, record: &Record, task: &str, attempt: u32, end: End, now: Instant) {
+    fn stop(&mut self, record: &RunHistory, task: &str, attempt: u32, end: EndReason, now: Instant) {
         if self.holds(task, attempt) {
             self.end(record, task, end, now);
             return;
         }
-        let never = Ended {
+        let never = EndedAttempt {
             task: task.to_owned(),
             attempt,
-            end: End::Stopped,
+            end: EndReason::Stopped,
             progress: 0,
         };
         self.ended
@@ -393,10 +393,10 @@
                 self.start_attempt(shared, task, attempt, progress, length, now);
             }
             Command::Evict { task, attempt } => {
-                self.stop(&shared.record, &task, attempt, End::Evicted, now);
+                self.stop(&shared.record, &task, attempt, EndReason::Evicted, now);
             }
             Command::Stop { task, attempt } => {
-                self.stop(&shared.record, &task, attempt, End::Stopped, now);
+                self.stop(&shared.record, &task, attempt, EndReason::Stopped, now);
             }
             Command::Throttle {
                 task,
@@ -430,7 +430,7 @@
         if over || self.running.contains_key(&task) || self.clock(now) >= self.until {
             return;
         }
-        let index = shared.record.open(Stretch {
+        let index = shared.record.open(RunInterval {
             worker: shared.name.clone(),
             task: task.clone(),
             attempt,
@@ -467,7 +467,7 @@
             .running
             .iter()
             .filter(|_| !unchanged)
-            .map(|(task, attempt)| Running {
+            .map(|(task, attempt)| RunningAttempt {
                 task: task.clone(),
                 attempt: attempt.number,
                 progress: attempt.progress(now),
@@ -494,7 +494,7 @@
     address: &str,
     name: &str,
     boot: u64,
-    record: Arc<Record>,
+    record: Arc<RunHistory>,
 ) -> anyhow::Result<Agent> {
     let shared = Arc::new(Shared {
         name: name.to_owned(),
@@ -525,27 +525,27 @@
 
 async fn handle(shared: Arc<Shared>, call: Call) -> Reply {
     if call.path == "/fault" {
-        return Reply::Send(shared.faults.switch(&call));
+        return Reply::Send(shared.faults.set_from_request(&call));
     }
     let switches = shared.faults.get();
     if switches.down {
-        return Reply::Cut;
+        return Reply::CloseConnection;
     }
     if switches.slow_ms > 0 {
         time::sleep(Duration::from_millis(switches.slow_ms)).await;
     }
-    let sync: Sync = match serde_json::from_slice(&call.body) {
+    let sync: SyncRequest = match serde_json::from_slice(&call.body) {
         Ok(sync) => sync,
         Err(error) => return Reply::Send(serve::text(400, error.to_string())),
     };
     let answer = obey(&shared, sync);
-    if shared.faults.lose_one() || shared.faults.get().down {
-        return Reply::Cut;
+    if shared.faults.take_lost_answer() || shared.faults.get().down {
+        return Reply::CloseConnection;
     }
     Reply::Send(answer)
 }
 
-fn obey(shared: &Shared, sync: Sync) -> serve::Answer {
+fn obey(shared: &Shared, sync: SyncRequest) -> serve::Answer {
     let now = Instant::now();
     let mut state = shared.state.lock();
     state.advance(&shared.record, now);
--- a/standin/src/endpoint.rs
+++ b/standin/src/endpoint.rs
@@ -84,7 +84,7 @@
     }
 
     /// Refuses further work, as an endpoint that is about to leave.
-    pub fn leave(&self) {
+    pub fn drain(&self) {
         self.shared.leaving.store(true, Ordering::SeqCst);
     }
 
@@ -131,11 +131,11 @@
 
 async fn handle(shared: Arc<Shared>, call: Call) -> Reply {
     if call.path == "/fault" {
-        return Reply::Send(shared.faults.switch(&call));
+        return Reply::Send(shared.faults.set_from_request(&call));
     }
     let switches = shared.faults.get();
     if switches.down {
-        return Reply::Cut;
+        return Reply::CloseConnection;
     }
     if switches.frozen {
         std::future::pending::<()>().await;
@@ -168,13 +168,13 @@
         shared.counts.waited.fetch_add(1, Ordering::Relaxed);
     }
     let Ok(_slot) = shared.slots.acquire().await else {
-        return Reply::Cut;
+        return Reply::CloseConnection;
     };
     note_run(&shared, &call.headers);
     let factor = *shared.slowdown.lock();
     time::sleep(service_time(&call.headers).mul_f64(factor)).await;
-    if shared.faults.get().down || shared.faults.lose_one() {
-        return Reply::Cut;
+    if shared.faults.get().down || shared.faults.take_lost_answer() {
+        return Reply::CloseConnection;
     }
     Reply::Send(echo(&shared, &call, &switches))
 }
--- a/standin/src/faults.rs
+++ b/standin/src/faults.rs
@@ -20,7 +20,8 @@
     /// Every answer waits this many milliseconds.
     pub slow_ms: u64,
     /// This many of the next writes take effect and lose their answer.
-    pub lose: u32,
+    #[serde(rename = "lose")]
+    pub lose_answers: u32,
     /// Watches never wake.
     pub stuck: bool,
     /// Requests are taken and never answered.
@@ -32,7 +33,8 @@
     /// A body is sent in chunks, without its length.
     pub chunked: bool,
     /// The next transaction takes effect, loses its answer, and the service goes down.
-    pub fall: bool,
+    #[serde(rename = "fall")]
+    pub down_after_txn: bool,
 }
 
 /// Switches shared between a stand-in and its test.
@@ -69,16 +71,16 @@
 
     /// Consumes one lost answer; true when the answer must be lost.
     #[must_use]
-    pub fn lose_one(&self) -> bool {
+    pub fn take_lost_answer(&self) -> bool {
         let mut switches = self.switches.lock();
-        let lose = switches.lose > 0;
-        switches.lose = switches.lose.saturating_sub(1);
+        let lose = switches.lose_answers > 0;
+        switches.lose_answers = switches.lose_answers.saturating_sub(1);
         lose
     }
 
     /// Takes switches from the body of a request to `/fault`.
     #[must_use]
-    pub fn switch(&self, call: &Call) -> Answer {
+    pub fn set_from_request(&self, call: &Call) -> Answer {
         match serde_json::from_slice(&call.body) {
             Ok(switches) => {
                 self.set(switches);
--- a/standin/src/keys.rs
+++ b/standin/src/keys.rs
@@ -20,7 +20,7 @@
 
 /// One step of a transaction.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum TxnOp {
     /// Write when the key's revision equals `index`; 0 means the key is absent.
     Cas {
         /// Key to write.
@@ -39,14 +39,14 @@
 
 /// The whole content of the stand-in.
 #[derive(Clone, Debug, Default)]
-pub struct Keys {
+pub struct KeySpace {
     items: BTreeMap<String, Item>,
     dropped: BTreeMap<String, u64>,
     sessions: BTreeMap<String, (Duration, Instant)>,
     revision: u64,
 }
 
-impl Keys {
+impl KeySpace {
     /// Revision of the last write anywhere.
     #[must_use]
     pub fn revision(&self) -> u64 {
@@ -55,7 +55,7 @@
 
     /// Revision of the newest write or deletion below `prefix`, at least 1.
     #[must_use]
-    pub fn newest(&self, prefix: &str) -> u64 {
+    pub fn latest_revision(&self, prefix: &str) -> u64 {
         let written = self.range(prefix).map(|(_, item)| item.modified).max();
         let dropped = self
             .dropped
@@ -121,19 +121,19 @@
     }
 
     /// Applies all steps or none; returns the positions of the steps that failed.
-    pub fn commit(&mut self, steps: &[Step]) -> Vec<usize> {
+    pub fn commit(&mut self, steps: &[TxnOp]) -> Vec<usize> {
         let failed: Vec<usize> = steps
             .iter()
             .enumerate()
             .filter(|(_, step)| match step {
-                Step::Cas { key, index, .. } => !self.matches(key, *index),
-                Step::Absent { key } => self.items.contains_key(key),
+                TxnOp::Cas { key, index, .. } => !self.matches(key, *index),
+                TxnOp::Absent { key } => self.items.contains_key(key),
             })
             .map(|(position, _)| position)
             .collect();
         if failed.is_empty() {
             for step in steps {
-                if let Step::Cas { key, value, .. } = step {
+                if let TxnOp::Cas { key, value, .. } = step {
                     self.write(key, value.clone(), None);
                 }
             }
@@ -191,7 +191,7 @@
     }
 
     /// Ends the sessions that have lapsed; true when any did.
-    pub fn lapse(&mut self, now: Instant) -> bool {
+    pub fn expire_sessions(&mut self, now: Instant) -> bool {
         let lapsed: Vec<String> = self
             .sessions
             .iter()
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -24,7 +24,7 @@
             tokio::signal::ctrl_c().await?;
         }
         "agent" => {
-            let record = Arc::new(standin::agent::Record::default());
+            let record = Arc::new(standin::agent::RunHistory::default());
             let agent = standin::agent::bind(&listen, &name, boot, record).await?;
             println!("listening on {}", agent.address());
             tokio::signal::ctrl_c().await?;
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -124,7 +124,7 @@
     /// Send this answer.
     Send(Answer),
     /// Close the connection without an answer.
-    Cut,
+    CloseConnection,
 }
 
 /// A listening stand-in; dropping it closes the port and every connection.
@@ -221,7 +221,7 @@
     };
     match handle(call).await {
         Reply::Send(answer) => Ok(answer),
-        Reply::Cut => anyhow::bail!("connection cut by a switch"),
+        Reply::CloseConnection => anyhow::bail!("connection cut by a switch"),
     }
 }
 
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -17,7 +17,7 @@
 use tokio::time;
 
 use crate::faults::{Faults, Switches};
-use crate::keys::{Keys, Step};
+use crate::keys::{KeySpace, TxnOp};
 use crate::serve::{self, Answer, Call, Reply};
 
 /// How often lapsed sessions are looked for.
@@ -30,7 +30,7 @@
 /// One instance in the catalog, as the published API writes it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Listed {
+pub struct CatalogEntry {
     /// Name of the instance.
     pub node: String,
     /// IP address.
@@ -70,12 +70,12 @@
     index: u64,
 }
 
-type Catalog = BTreeMap<String, Vec<Listed>>;
+type Catalog = BTreeMap<String, Vec<CatalogEntry>>;
 
 #[derive(Default)]
 struct State {
-    keys: Keys,
-    saved: Option<Keys>,
+    keys: KeySpace,
+    saved: Option<KeySpace>,
     catalog: VecDeque<(Instant, Catalog)>,
     /// Versions of the catalog that show no more.
     dropped: u64,
@@ -86,7 +86,7 @@
 
 /// Calls counted since the start; a waiting watch counts as one read.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Calls {
+pub struct CallCounts {
     /// Reads and watches.
     pub reads: u64,
     /// Writes, transactions and session calls.
@@ -127,16 +127,16 @@
 
     /// Calls counted since the start.
     #[must_use]
-    pub fn calls(&self) -> Calls {
+    pub fn calls(&self) -> CallCounts {
         let state = self.shared.lock();
-        Calls {
+        CallCounts {
             reads: state.reads,
             writes: state.writes,
         }
     }
 
     /// Replaces the catalog's entry for a service; it shows after the lag.
-    pub fn list(&self, service: &str, instances: Vec<Listed>) {
+    pub fn set_instances(&self, service: &str, instances: Vec<CatalogEntry>) {
         let mut state = self.shared.lock();
         let mut catalog = state
             .catalog
@@ -213,7 +213,7 @@
         let Some(shared) = shared.upgrade() else {
             return;
         };
-        if shared.lock().keys.lapse(Instant::now()) {
+        if shared.lock().keys.expire_sessions(Instant::now()) {
             shared.changed.notify_waiters();
         }
     }
@@ -221,11 +221,11 @@
 
 async fn handle(shared: Arc<Shared>, call: Call) -> Reply {
     if call.path == "/fault" {
-        return Reply::Send(shared.faults.switch(&call));
+        return Reply::Send(shared.faults.set_from_request(&call));
     }
     let switches = shared.faults.get();
     if switches.down {
-        return Reply::Cut;
+        return Reply::CloseConnection;
     }
     if switches.slow_ms > 0 {
         time::sleep(Duration::from_millis(switches.slow_ms)).await;
@@ -239,12 +239,12 @@
     let answer = route(&shared, &call).await;
     if write {
         shared.changed.notify_waiters();
-        if shared.faults.lose_one() || fall(&shared, &call) {
-            return Reply::Cut;
+        if shared.faults.take_lost_answer() || fall(&shared, &call) {
+            return Reply::CloseConnection;
         }
     }
     if shared.faults.get().down {
-        return Reply::Cut;
+        return Reply::CloseConnection;
     }
     Reply::Send(answer)
 }
@@ -252,7 +252,7 @@
 /// Goes down after a transaction, if the switch says so.
 fn fall(shared: &Shared, call: &Call) -> bool {
     let switches = shared.faults.get();
-    let falls = switches.fall && call.path == "/v1/txn";
+    let falls = switches.down_after_txn && call.path == "/v1/txn";
     if falls {
         shared.faults.set(Switches {
             down: true,
@@ -339,7 +339,7 @@
             session: item.session.clone(),
         })
         .collect();
-    (state.keys.newest(key), pairs)
+    (state.keys.latest_revision(key), pairs)
 }
 
 fn pairs_answer(newest: u64, pairs: &[Pair]) -> Answer {
@@ -400,7 +400,7 @@
         Ok(steps) => steps,
         Err(error) => return serve::text(400, error.to_string()),
     };
-    let steps: Result<Vec<Step>, String> = steps.into_iter().map(|step| step_of(step.kv)).collect();
+    let steps: Result<Vec<TxnOp>, String> = steps.into_iter().map(|step| step_of(step.kv)).collect();
     let steps = match steps {
         Ok(steps) => steps,
         Err(error) => return serve::text(400, error),
@@ -418,19 +418,19 @@
     answer
 }
 
-fn step_of(kv: TxnKv) -> Result<Step, String> {
+fn step_of(kv: TxnKv) -> Result<TxnOp, String> {
     match kv.verb.as_str() {
         "cas" => {
             let value = STANDARD
                 .decode(&kv.value)
                 .map_err(|error| error.to_string())?;
-            Ok(Step::Cas {
+            Ok(TxnOp::Cas {
                 key: kv.key,
                 value: value.into(),
                 index: kv.index,
             })
         }
-        "check-not-exists" => Ok(Step::Absent { key: kv.key }),
+        "check-not-exists" => Ok(TxnOp::Absent { key: kv.key }),
         verb => Err(format!("verb {verb} is not supported")),
     }
 }
@@ -462,7 +462,7 @@
 }
 
 /// The instances of a service that show now, and the version's number.
-fn shown(shared: &Shared, service: &str) -> (u64, Vec<Listed>) {
+fn shown(shared: &Shared, service: &str) -> (u64, Vec<CatalogEntry>) {
     let lag = *shared.lag.lock();
     let mut state = shared.lock();
     let now = Instant::now();
