--- a/ashtiller/src/demo.rs
+++ b/ashtiller/src/demo.rs
@@ -410,7 +410,7 @@
 
 async fn finish(world: World, told: &Told, refused: usize) -> anyhow::Result<()> {
     let runs = endpoint_runs(&world.endpoints);
-    let stretches = world.record.stretches();
+    let stretches = world.record.intervals();
     let count = |end: EndReason| {
         stretches
             .iter()
@@ -474,7 +474,7 @@
 fn endpoint_runs(endpoints: &[Endpoint]) -> BTreeMap<String, u32> {
     let mut runs = BTreeMap::new();
     for endpoint in endpoints {
-        for (id, times) in endpoint.runs() {
+        for (id, times) in endpoint.run_counts() {
             *runs.entry(id).or_default() += times;
         }
     }
@@ -513,7 +513,7 @@
     }
     let mut finished = BTreeMap::new();
     for stretch in record
-        .stretches()
+        .intervals()
         .iter()
         .filter(|stretch| stretch.end == Some(EndReason::Finished))
     {
--- a/ashtiller/tests/processes.rs
+++ b/ashtiller/tests/processes.rs
@@ -137,7 +137,7 @@
     fn runs(&self, id: &str) -> u32 {
         self.endpoints
             .iter()
-            .map(|endpoint| endpoint.runs().get(id).copied().unwrap_or(0))
+            .map(|endpoint| endpoint.run_counts().get(id).copied().unwrap_or(0))
             .sum()
     }
 
@@ -256,7 +256,7 @@
         200 | 202
     ));
     until("the batch has run", async || {
-        let stretches = site.record.stretches();
+        let stretches = site.record.intervals();
         let done = stretches
             .iter()
             .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Finished));
@@ -301,7 +301,7 @@
         .await;
     }
     until("every batch has run", async || {
-        let stretches = site.record.stretches();
+        let stretches = site.record.intervals();
         let done = stretches
             .iter()
             .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Finished));
--- a/ashtiller/tests/support/mod.rs
+++ b/ashtiller/tests/support/mod.rs
@@ -149,7 +149,7 @@
     pub fn runs(&self, id: &str) -> u32 {
         self.endpoints
             .iter()
-            .map(|endpoint| endpoint.runs().get(id).copied().unwrap_or(0))
+            .map(|endpoint| endpoint.run_counts().get(id).copied().unwrap_or(0))
             .sum()
     }
 }
@@ -450,7 +450,7 @@
     /// Attempts that run now, by the workers' own record.
     pub fn running(&self, job: &str) -> Vec<RunInterval> {
         let part = format!("/{job}/");
-        let stretches = self.record.stretches().into_iter();
+        let stretches = self.record.intervals().into_iter();
         stretches
             .filter(|stretch| stretch.to.is_none() && stretch.task.contains(&part))
             .collect()
@@ -467,7 +467,7 @@
     pub fn check(&self) {
         let doubles = self.record.overlapping();
         assert!(doubles.is_empty(), "in two places at once: {doubles:?}");
-        let stretches = self.record.stretches();
+        let stretches = self.record.intervals();
         let mut finished = std::collections::BTreeSet::new();
         let mut started = std::collections::BTreeSet::new();
         for stretch in &stretches {
--- a/ashtiller/tests/tasks.rs
+++ b/ashtiller/tests/tasks.rs
@@ -210,7 +210,7 @@
     assert_eq!(cluster.submit("now", "plan").await, 202);
     cluster.until_all("now", "finished").await;
     cluster.until_running("long", 8).await;
-    let stretches = cluster.record.stretches();
+    let stretches = cluster.record.intervals();
     let evicted = stretches
         .iter()
         .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Evicted));
@@ -337,7 +337,7 @@
     if let Some(last) = damaged.last_mut() {
         *last ^= 0x40;
     }
-    cluster.store.put(&key, damaged.into());
+    cluster.store.overwrite(&key, damaged.into());
     cluster.add_scheduler(1).await;
     let operators = cluster.schedulers[0].operators();
     until("the scheduler says which record is damaged", async || {
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -286,7 +286,7 @@
     }
 
     fn say_again(&mut self, id: &Arc<str>) {
-        let Some(life) = self.workers.get(id).map(|worker| worker.life.clone()) else {
+        let Some(life) = self.workers.get(id).map(|worker| worker.incarnation.clone()) else {
             return;
         };
         let machine = self.machines[id].clone();
@@ -346,7 +346,7 @@
         let before = std::mem::replace(&mut worker.capacity, room);
         let rooms = self.roomy.entry(id.clone()).or_default();
         rooms.push((before, self.now));
-        let life = worker.life.clone();
+        let life = worker.incarnation.clone();
         let machine = self.machines[&id].clone();
         self.news.change(listing(&life, &machine, room));
     }
@@ -780,13 +780,13 @@
         let unread = unread.map(|name| format!("the end of {name:?} on {id} was forgotten unread"));
         let unread: Vec<String> = unread.collect();
         let looked = worker.poll(target.fence, look, self.now);
-        tracing::trace!(worker = %worker.life, fence = target.fence, ?look, ?looked, "world: look");
+        tracing::trace!(worker = %worker.incarnation, fence = target.fence, ?look, ?looked, "world: look");
         if matches!(looked, PollReply::Report { .. }) {
             self.broken.extend(unread);
         }
         // What answers says when it was born.
-        if worker.life != target.incarnation && matches!(looked, PollReply::Report { .. }) {
-            return Some(PollReply::OtherIncarnation(Some(worker.life.clone())));
+        if worker.incarnation != target.incarnation && matches!(looked, PollReply::Report { .. }) {
+            return Some(PollReply::OtherIncarnation(Some(worker.incarnation.clone())));
         }
         Some(looked)
     }
@@ -804,10 +804,10 @@
         }
         let (needs, length) = self.shape(order);
         let worker = self.workers.get_mut(id)?;
-        let meant = worker.began <= sent;
+        let meant = worker.started_at <= sent;
         let before = worker.runs.len();
         let said = worker.order(target.fence, order, needs, length, self.now);
-        tracing::trace!(worker = %worker.life, sent = sent.as_secs_f64(), meant, prompt, fence = target.fence,
+        tracing::trace!(worker = %worker.incarnation, sent = sent.as_secs_f64(), meant, prompt, fence = target.fence,
             ?order, ?said, "world: order carried out");
         if worker.runs.len() > before
             && let Order::Start(start) = order
@@ -934,7 +934,7 @@
         let mut broken = Vec::new();
         for worker in self.workers.values_mut() {
             for (name, run) in worker.advance(now) {
-                tracing::trace!(worker = %worker.life, ?name, run, "world: task done");
+                tracing::trace!(worker = %worker.incarnation, ?name, run, "world: task done");
                 self.done.insert(name);
             }
             let mut late_here = "";
@@ -948,22 +948,22 @@
                     late_here = late;
                 }
                 let copies = self.jobs[&name.job].steps[usize::from(name.step)].speculative;
-                let id: Arc<str> = worker.life.id().into();
+                let id: Arc<str> = worker.incarnation.id().into();
                 if let Some((other, before)) = seen.insert(name.clone(), (id, late))
                     && !copies
                 {
                     broken.push(format!(
                         "{name:?} runs on {other}{before} and {}{late} at {now:?}",
-                        worker.life
+                        worker.incarnation
                     ));
                 }
             }
             // A room that shrinks does not end what runs there.
-            let shrinks = self.roomy.contains_key(worker.life.id());
+            let shrinks = self.roomy.contains_key(worker.incarnation.id());
             if !shrinks && !worker.used().fits_within(&worker.capacity) {
                 broken.push(format!(
                     "{} holds {}{late_here}",
-                    worker.life,
+                    worker.incarnation,
                     worker.used()
                 ));
             }
@@ -1010,7 +1010,7 @@
         let open = self
             .workers
             .values()
-            .map(|worker| worker.newest() - worker.seen());
+            .map(|worker| worker.last_end_number() - worker.last_acknowledged());
         open.sum()
     }
 
--- a/bench/src/routing.rs
+++ b/bench/src/routing.rs
@@ -354,7 +354,7 @@
         refused: counts.refused.load(Ordering::Relaxed),
         failed: counts.failed.load(Ordering::Relaxed),
         waited: ratio(
-            sum(|endpoint| &endpoint.counts().waited),
+            sum(|endpoint| &endpoint.counts().queued),
             sum(|endpoint| &endpoint.counts().run),
         ),
         messages: ratio(messages_after - messages, 1) / share,
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -159,14 +159,14 @@
             worker.advance(self.start.elapsed());
             for (name, _) in worker.runs.keys() {
                 seen.ran.insert(name.job.clone());
-                if let Some(other) = running.insert(name.clone(), worker.life.clone()) {
-                    let text = format!("{name:?} runs on {other} and {}", worker.life);
+                if let Some(other) = running.insert(name.clone(), worker.incarnation.clone()) {
+                    let text = format!("{name:?} runs on {other} and {}", worker.incarnation);
                     seen.broken.push(text);
                 }
             }
             // A room that shrinks does not end what runs there; starts are checked for it.
             if worker.capacity_changed_at.is_none() && !worker.used().fits_within(&worker.capacity) {
-                let text = format!("{} holds {}", worker.life, worker.used());
+                let text = format!("{} holds {}", worker.incarnation, worker.used());
                 seen.broken.push(text);
             }
             drop(worker);
@@ -185,14 +185,14 @@
             let Some(owner) = seen.owners.get(&run.fence).copied() else {
                 continue;
             };
-            let late = run.began > drained + DRAIN + SLACK;
-            if late && self.touch.lock().holds(owner, run.began) && seen.late.insert(key.clone()) {
+            let late = run.started_at > drained + DRAIN + SLACK;
+            if late && self.touch.lock().holds(owner, run.started_at) && seen.late.insert(key.clone()) {
                 seen.broken.push(format!(
                     "entry {owner} started {:?} on {} at {:.3}, {:.3} s after its word that it leaves",
                     key.0,
-                    worker.life,
-                    run.began.as_secs_f64(),
-                    run.began.saturating_sub(drained).as_secs_f64(),
+                    worker.incarnation,
+                    run.started_at.as_secs_f64(),
+                    run.started_at.saturating_sub(drained).as_secs_f64(),
                 ));
             }
         }
@@ -208,13 +208,13 @@
             let Some(owner) = seen.owners.get(&run.fence).copied() else {
                 continue;
             };
-            let late = run.began > since + EVACUATE + SLACK;
-            if late && self.touch.lock().holds(owner, run.began) && seen.late.insert(key.clone()) {
+            let late = run.started_at > since + EVACUATE + SLACK;
+            if late && self.touch.lock().holds(owner, run.started_at) && seen.late.insert(key.clone()) {
                 seen.broken.push(format!(
                     "entry {owner} started {:?} on {} at {:.3}, whose zone {} was evacuated at {:.3}",
                     key.0,
-                    worker.life,
-                    run.began.as_secs_f64(),
+                    worker.incarnation,
+                    run.started_at.as_secs_f64(),
                     member.zone,
                     since.as_secs_f64(),
                 ));
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -114,7 +114,7 @@
             return;
         };
         if member.drained.is_none() {
-            let life = member.agent.worker.lock().life.clone();
+            let life = member.agent.worker.lock().incarnation.clone();
             let store = &self.checks.store;
             let room = member.agent.worker.lock().capacity;
             store.put_worker(&life, worker, member.link.address, true, &room);
@@ -141,7 +141,7 @@
         if let Some(gone) = gone {
             let worker = gone.agent.worker.lock();
             self.troubles.lock().record_worker_loss(&worker);
-            self.checks.store.remove_worker(worker.life.id());
+            self.checks.store.remove_worker(worker.incarnation.id());
         }
         self.add_worker(worker).await
     }
--- a/soak/src/shaky.rs
+++ b/soak/src/shaky.rs
@@ -103,7 +103,7 @@
             let mut state = member.agent.worker.lock();
             state.capacity = room;
             state.capacity_changed_at = Some(now);
-            let (life, leaves) = (state.life.clone(), member.drained.is_some());
+            let (life, leaves) = (state.incarnation.clone(), member.drained.is_some());
             drop(state);
             let store = &self.checks.store;
             store.put_worker(&life, worker, member.link.address, leaves, &room);
@@ -185,7 +185,7 @@
         let mut fleet = fleet.lock();
         let found = fleet
             .iter()
-            .find(|(_, member)| member.agent.worker.lock().life == id);
+            .find(|(_, member)| member.agent.worker.lock().incarnation == id);
         let Some(machine) = found.map(|(machine, _)| *machine) else {
             troubles.lock().due_crashes.remove(&id);
             continue;
--- a/standin/src/agent.rs
+++ b/standin/src/agent.rs
@@ -173,14 +173,14 @@
 impl RunHistory {
     /// All stretches so far.
     #[must_use]
-    pub fn stretches(&self) -> Vec<RunInterval> {
+    pub fn intervals(&self) -> Vec<RunInterval> {
         self.stretches.lock().clone()
     }
 
     /// Pairs of stretches in which one task ran in two places at once.
     #[must_use]
     pub fn overlapping(&self) -> Vec<(RunInterval, RunInterval)> {
-        let stretches = self.stretches();
+        let stretches = self.intervals();
         let mut doubles = Vec::new();
         for (index, one) in stretches.iter().enumerate() {
             for other in &stretches[index + 1..] {
--- a/standin/src/endpoint.rs
+++ b/standin/src/endpoint.rs
@@ -28,7 +28,7 @@
     /// Requests whose handler ran.
     pub run: AtomicU64,
     /// Requests that found every slot taken.
-    pub waited: AtomicU64,
+    pub queued: AtomicU64,
     /// Requests refused while leaving.
     pub refused: AtomicU64,
 }
@@ -73,7 +73,7 @@
 
     /// How often the handler ran for each `request-id`.
     #[must_use]
-    pub fn runs(&self) -> BTreeMap<String, u32> {
+    pub fn run_counts(&self) -> BTreeMap<String, u32> {
         self.shared.runs.lock().clone()
     }
 
@@ -165,7 +165,7 @@
         return Reply::Send(serve::text(500, "failing"));
     }
     if shared.slots.available_permits() == 0 {
-        shared.counts.waited.fetch_add(1, Ordering::Relaxed);
+        shared.counts.queued.fetch_add(1, Ordering::Relaxed);
     }
     let Ok(_slot) = shared.slots.acquire().await else {
         return Reply::CloseConnection;
@@ -201,9 +201,9 @@
 
 fn echo(shared: &Shared, call: &Call, switches: &Switches) -> Answer {
     let mut answer = serve::text(200, "");
-    let mut body = Payload::whole(call.body.clone());
+    let mut body = Payload::complete(call.body.clone());
     if switches.cut_body {
-        body = Payload::cut(&call.body);
+        body = Payload::truncated(&call.body);
     }
     *answer.body_mut() = if switches.chunked {
         body.in_chunks()
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -34,7 +34,7 @@
 impl Payload {
     /// A body that is sent whole.
     #[must_use]
-    pub fn whole(body: Bytes) -> Self {
+    pub fn complete(body: Bytes) -> Self {
         let size = Some(body.len() as u64);
         Self {
             left: Some(body),
@@ -52,7 +52,7 @@
 
     /// A body whose second half never comes, though its length was promised.
     #[must_use]
-    pub fn cut(body: &Bytes) -> Self {
+    pub fn truncated(body: &Bytes) -> Self {
         let size = Some(body.len() as u64);
         Self {
             left: Some(body.slice(..body.len() / 2)),
@@ -228,7 +228,7 @@
 /// Builds an answer from a status code and a body.
 #[must_use]
 pub fn text(status: u16, body: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Payload::whole(body.into()));
+    let mut answer = Response::new(Payload::complete(body.into()));
     *answer.status_mut() =
         hyper::StatusCode::from_u16(status).unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
     answer
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -169,7 +169,7 @@
     }
 
     /// Writes a key past every comparison, as damage does.
-    pub fn put(&self, key: &str, value: bytes::Bytes) {
+    pub fn overwrite(&self, key: &str, value: bytes::Bytes) {
         self.shared.lock().keys.put(key, value, None, None);
         self.shared.changed.notify_waiters();
     }
