--- a/ashtiller/src/agreed/apply.rs
+++ b/ashtiller/src/agreed/apply.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+use crate::config_state::{self, Head, StoredTemplate};
 use crate::failure::{Failure, RemoteEffect};
-use crate::ledger::{self, Head, StoredTemplate};
 use crate::store::{Commit, Item, Store};
 
 /// What became of a template.
@@ -45,8 +45,8 @@
 /// # Errors
 /// The store cannot be read, or holds what is not a template's value.
 pub async fn read(store: &dyn Store, account: &str) -> Result<Base, Failure> {
-    let (head, head_index) = read_key(store, ledger::HEAD_KEY).await?;
-    let key = format!("{}{account}", ledger::ACCOUNT_PREFIX);
+    let (head, head_index) = read_key(store, config_state::HEAD_KEY).await?;
+    let key = format!("{}{account}", config_state::ACCOUNT_PREFIX);
     let (stored, index) = read_key(store, &key).await?;
     Ok(Base {
         head: head.unwrap_or_default(),
@@ -94,9 +94,9 @@
             text: text.clone(),
         };
         let writes = [
-            ledger::swap(ledger::HEAD_KEY.to_owned(), &head, base.head_index),
-            ledger::swap(
-                format!("{}{account}", ledger::ACCOUNT_PREFIX),
+            config_state::swap(config_state::HEAD_KEY.to_owned(), &head, base.head_index),
+            config_state::swap(
+                format!("{}{account}", config_state::ACCOUNT_PREFIX),
                 &stored,
                 base.index,
             ),
--- a/ashtiller/src/agreed/config.rs
+++ b/ashtiller/src/agreed/config.rs
@@ -16,8 +16,10 @@
 use tokio::task::JoinHandle;
 use tokio::time;
 
+use crate::config_state::{
+    self, ActiveConfig, AdoptResult, ConfigState, Head, HeadAction, StoredTemplate,
+};
 use crate::failure::Failure;
-use crate::ledger::{self, ActiveConfig, Head, ConfigState, HeadAction, StoredTemplate, AdoptResult};
 use crate::store::{Commit, Store, Write};
 
 /// Longest wait of the watch. Its end shows what a watch that was not woken missed,
@@ -82,7 +84,7 @@
 async fn watch_head(store: Arc<dyn Store>, actor: ActorRef<Keeper>) {
     let mut index = 0;
     loop {
-        let Ok(view) = store.watch(ledger::HEAD_KEY, index, WAIT).await else {
+        let Ok(view) = store.watch(config_state::HEAD_KEY, index, WAIT).await else {
             time::sleep(PAUSE).await;
             index = 0;
             continue;
@@ -149,7 +151,7 @@
     type Reply = ();
 
     async fn handle(&mut self, _: Look, _: &mut Context<Self, ()>) {
-        if let Ok(item) = self.store.get(ledger::HEAD_KEY).await {
+        if let Ok(item) = self.store.get(config_state::HEAD_KEY).await {
             let value = item.map(|item| item.value);
             if let Some(head) = read_head(value.as_deref()) {
                 let _ = self.follow(&head).await;
@@ -178,7 +180,7 @@
 
     async fn read(&mut self, head: &Head, accounts: &[Arc<str>]) -> Result<(), Failure> {
         for account in accounts {
-            let key = format!("{}{account}", ledger::ACCOUNT_PREFIX);
+            let key = format!("{}{account}", config_state::ACCOUNT_PREFIX);
             if let Some(item) = self.store.get(&key).await? {
                 self.take(account, &item.value);
             }
@@ -189,10 +191,10 @@
     }
 
     async fn read_all(&mut self, head: &Head) -> Result<(), Failure> {
-        let view = self.store.list(ledger::ACCOUNT_PREFIX).await?;
+        let view = self.store.list(config_state::ACCOUNT_PREFIX).await?;
         let mut seen = BTreeMap::new();
         for item in &view.items {
-            let Some(account) = item.key.strip_prefix(ledger::ACCOUNT_PREFIX) else {
+            let Some(account) = item.key.strip_prefix(config_state::ACCOUNT_PREFIX) else {
                 continue;
             };
             let account = Arc::from(account);
@@ -221,7 +223,9 @@
         let revision = stored.revision;
         match self.ledger.adopt(account, stored) {
             AdoptResult::Adopted => tracing::info!(%account, revision, "configuration in force"),
-            AdoptResult::Older => tracing::warn!(%account, revision, "an older template was refused"),
+            AdoptResult::Older => {
+                tracing::warn!(%account, revision, "an older template was refused");
+            }
             AdoptResult::Invalid(mistakes) => {
                 tracing::warn!(%account, %mistakes, "an invalid template was left out");
             }
@@ -237,7 +241,7 @@
     /// Writes newer values again after the store fell back. Several processes may
     /// do so at once; the comparison lets one of them win.
     async fn repair(&mut self, lost: Vec<(Arc<str>, StoredTemplate)>) -> Result<(), Failure> {
-        let item = self.store.get(ledger::HEAD_KEY).await?;
+        let item = self.store.get(config_state::HEAD_KEY).await?;
         let (value, index) = item.map_or((None, 0), |item| (Some(item.value), item.index));
         let Some(mut head) = read_head(value.as_deref()) else {
             return Ok(());
@@ -246,7 +250,7 @@
         for (account, stored) in lost.into_iter().take(REPAIR_MAX) {
             if let Some(write) = self.repair_one(&account, &stored).await? {
                 writes.push(write);
-                head.changes.push(ledger::Change {
+                head.changes.push(config_state::Change {
                     revision: stored.revision,
                     account,
                 });
@@ -254,7 +258,11 @@
         }
         head.revision = head.revision.max(self.ledger.revision());
         head.changes.sort_by_key(|change| change.revision);
-        writes.push(ledger::swap(ledger::HEAD_KEY.to_owned(), &head, index));
+        writes.push(config_state::swap(
+            config_state::HEAD_KEY.to_owned(),
+            &head,
+            index,
+        ));
         let done = self.store.commit(&writes).await? == Commit::Done;
         if done {
             tracing::warn!(
@@ -270,11 +278,12 @@
         account: &Arc<str>,
         stored: &StoredTemplate,
     ) -> Result<Option<Write>, Failure> {
-        let key = format!("{}{account}", ledger::ACCOUNT_PREFIX);
+        let key = format!("{}{account}", config_state::ACCOUNT_PREFIX);
         let item = self.store.get(&key).await?;
         let index = item.as_ref().map_or(0, |item| item.index);
-        let found = item.and_then(|item| serde_json::from_slice::<StoredTemplate>(&item.value).ok());
+        let found =
+            item.and_then(|item| serde_json::from_slice::<StoredTemplate>(&item.value).ok());
         let older = found.is_none_or(|found| found.revision < stored.revision);
-        Ok(older.then(|| ledger::swap(key, stored, index)))
+        Ok(older.then(|| config_state::swap(key, stored, index)))
     }
 }
--- a/ashtiller/src/agreed/config_state.rs
+++ b/ashtiller/src/agreed/config_state.rs
@@ -203,7 +203,10 @@
 
     /// Values in force that the store lacks or has in an older revision.
     #[must_use]
-    pub fn missing_in_store(&self, seen: &BTreeMap<Arc<str>, u64>) -> Vec<(Arc<str>, StoredTemplate)> {
+    pub fn missing_in_store(
+        &self,
+        seen: &BTreeMap<Arc<str>, u64>,
+    ) -> Vec<(Arc<str>, StoredTemplate)> {
         self.entries
             .iter()
             .filter(|(account, entry)| {
--- a/ashtiller/src/agreed/members.rs
+++ b/ashtiller/src/agreed/members.rs
@@ -127,7 +127,13 @@
     }
 
     /// Takes the answer to a heartbeat, or its failure.
-    pub fn record_heartbeat(&mut self, role: Role, name: &str, answer: Option<&Heartbeat>, now: Duration) {
+    pub fn record_heartbeat(
+        &mut self,
+        role: Role,
+        name: &str,
+        answer: Option<&Heartbeat>,
+        now: Duration,
+    ) {
         let Some(known) = self.known.get_mut(&(role, Arc::from(name))) else {
             return;
         };
--- a/ashtiller/src/agreed/membership.rs
+++ b/ashtiller/src/agreed/membership.rs
@@ -15,8 +15,8 @@
 use crate::config::Config;
 use crate::members::{self, Member, Members};
 use crate::peer::{Heartbeat, Role};
+use crate::rpc::RpcClient;
 use crate::store::Store;
-use crate::wire::RpcClient;
 
 /// How often members are looked at for a heartbeat that is due.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
--- a/ashtiller/src/agreed/mod.rs
+++ b/ashtiller/src/agreed/mod.rs
@@ -2,8 +2,8 @@
 
 pub mod apply;
 pub mod config;
+pub mod config_state;
 pub mod document;
-pub mod ledger;
 pub mod members;
 pub mod membership;
 pub mod mistake;
--- a/ashtiller/src/agreed/template.rs
+++ b/ashtiller/src/agreed/template.rs
@@ -186,7 +186,11 @@
         // A quota that could not be read has its own mistake.
         if quota.processors > 0 && !job.resources.fits_within(quota) {
             let allowed = format!("at most the account's quota of {quota}");
-            section.reject("processors", &format!("a task of {}", job.resources), &allowed);
+            section.reject(
+                "processors",
+                &format!("a task of {}", job.resources),
+                &allowed,
+            );
         }
         jobs.insert(name, job);
     }
--- a/ashtiller/src/command.rs
+++ b/ashtiller/src/command.rs
@@ -380,7 +380,11 @@
             names.push(text);
         }
     }
-    if names.len() < least || names.iter().any(|name| !ashtiller::document::is_valid_name(name)) {
+    if names.len() < least
+        || names
+            .iter()
+            .any(|name| !ashtiller::document::is_valid_name(name))
+    {
         return Err(Failed::Wrong(format!(
             "wrong names or number of names\n\n{USAGE}"
         )));
--- a/ashtiller/src/demo.rs
+++ b/ashtiller/src/demo.rs
@@ -449,7 +449,10 @@
     }
     row("jobs refused", refused.to_string());
     row("task attempts started", stretches.len().to_string());
-    row("task attempts finished", count(EndReason::Finished).to_string());
+    row(
+        "task attempts finished",
+        count(EndReason::Finished).to_string(),
+    );
     row("evictions", count(EndReason::Evicted).to_string());
     row("resumes after a lost attempt", resumed.to_string());
     row(
--- a/ashtiller/src/lib.rs
+++ b/ashtiller/src/lib.rs
@@ -65,17 +65,18 @@
 
 // Modules are named by what they are, wherever their folder is.
 pub use agreed::{
-    apply, config, document, ledger, members, membership, mistake, settings, template, unit,
+    apply, config, config_state, document, members, membership, mistake, settings, template, unit,
 };
 pub use base::{clock, counters, failure, logs, rendezvous, resources};
 pub use interference::{interference_model, placement, throttling, worker_report};
 pub use net::{
-    calls, codec, consul, follow, hosted, meter, ops, peer, remote, roster, schema, store, web,
-    wire,
+    codec, consul, meter, ops, peer, peer_calls, peer_client, peer_server, rpc, schema,
+    service_catalog, service_watcher, store, web,
 };
 pub use request::{
-    balance, budget, claims, desk, dispatch, download, endpoint, front, gateway, headers, health,
-    held, intake, lender, line, outcome, pool, prober, router, slots, tally, upload,
+    balance, claims, dispatch, endpoint, gateway, gateway_metrics, headers, health, listener,
+    outcome, pool, prober, replayable_body, request_body, request_head, request_queue,
+    response_body, retry_budget, router, service_dispatcher, slot_borrower, slots,
 };
 pub(crate) use task::events;
 pub use task::{
--- a/ashtiller/src/net/codec.rs
+++ b/ashtiller/src/net/codec.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::peer::{LoanRequest, Heartbeat, Submission, JobReply};
+use crate::peer::{Heartbeat, JobReply, LoanRequest, Submission};
 use crate::resources::Resources;
 use crate::schema::peer_capnp as schema;
 use crate::template::Class;
--- a/ashtiller/src/net/consul.rs
+++ b/ashtiller/src/net/consul.rs
@@ -16,7 +16,7 @@
 use crate::endpoint::Phase;
 use crate::failure::Failure;
 use crate::resources::Resources;
-use crate::roster::{self, ServiceCatalog};
+use crate::service_catalog::{self, ServiceCatalog};
 use crate::store::{CallFuture, Commit, Item, Store, View, Write};
 use crate::unit;
 use crate::web;
@@ -228,7 +228,12 @@
         })
     }
 
-    fn compare_and_swap<'a>(&'a self, key: &'a str, value: Bytes, index: u64) -> CallFuture<'a, bool> {
+    fn compare_and_swap<'a>(
+        &'a self,
+        key: &'a str,
+        value: Bytes,
+        index: u64,
+    ) -> CallFuture<'a, bool> {
         Box::pin(async move {
             self.write(
                 "swap",
@@ -328,7 +333,7 @@
         service: &'a str,
         index: u64,
         wait: Duration,
-    ) -> CallFuture<'a, roster::InstanceList> {
+    ) -> CallFuture<'a, service_catalog::InstanceList> {
         Box::pin(async move {
             let millis = wait.as_millis();
             let target = format!("/v1/catalog/service/{service}?index={index}&wait={millis}ms");
@@ -345,7 +350,7 @@
             }
             let listed: Vec<Listed> = self.decode("instances", &answer.body)?;
             let instances = listed.iter().filter_map(instance_of).collect();
-            Ok(roster::InstanceList {
+            Ok(service_catalog::InstanceList {
                 instances,
                 index: answer.index.unwrap_or(0),
             })
@@ -372,11 +377,11 @@
 }
 
 /// An instance without a usable address is passed over.
-fn instance_of(listed: &Listed) -> Option<roster::Instance> {
+fn instance_of(listed: &Listed) -> Option<service_catalog::Instance> {
     let ip: IpAddr = listed.service_address.parse().ok()?;
     let meta = |name: &str| listed.service_meta.get(name).map_or("", String::as_str);
     let leaving = meta("state") == "leaving";
-    Some(roster::Instance {
+    Some(service_catalog::Instance {
         name: listed.node.as_str().into(),
         address: SocketAddr::new(ip, listed.service_port),
         phase: if leaving { Phase::Leaving } else { Phase::Live },
--- a/ashtiller/src/net/mod.rs
+++ b/ashtiller/src/net/mod.rs
@@ -1,16 +1,16 @@
 //! Calls to other processes and to the platform, and who listens.
 
-pub mod calls;
 pub mod codec;
 pub mod consul;
-pub mod follow;
-pub mod hosted;
 pub mod meter;
 pub mod ops;
 pub mod peer;
-pub mod remote;
-pub mod roster;
+pub mod peer_calls;
+pub mod peer_client;
+pub mod peer_server;
+pub mod rpc;
 pub mod schema;
+pub mod service_catalog;
+pub mod service_watcher;
 pub mod store;
 pub mod web;
-pub mod wire;
--- a/ashtiller/src/net/ops.rs
+++ b/ashtiller/src/net/ops.rs
@@ -94,7 +94,10 @@
 ///
 /// # Errors
 /// The port cannot be bound.
-pub async fn bind(address: SocketAddr, role: Arc<dyn OperatorApi>) -> Result<OperatorServer, Failure> {
+pub async fn bind(
+    address: SocketAddr,
+    role: Arc<dyn OperatorApi>,
+) -> Result<OperatorServer, Failure> {
     let failed = |error| Failure::no_effect("bind operators' port", address, error);
     let listener = TcpListener::bind(address).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
--- a/ashtiller/src/net/peer_calls.rs
+++ b/ashtiller/src/net/peer_calls.rs
@@ -20,7 +20,7 @@
 use crate::codec;
 use crate::failure::Failure;
 use crate::meter::{self, CountedStream};
-use crate::peer::{LoanRequest, Heartbeat, Submission, JobReply};
+use crate::peer::{Heartbeat, JobReply, LoanRequest, Submission};
 use crate::schema::peer_capnp::peer;
 
 /// Where an answer goes.
@@ -52,7 +52,12 @@
 }
 
 /// One connection over any pair of streams, counted.
-pub fn network_over<R, W>(reader: R, writer: W, side: Side, bytes: &Arc<meter::ByteCounts>) -> Network<R>
+pub fn network_over<R, W>(
+    reader: R,
+    writer: W,
+    side: Side,
+    bytes: &Arc<meter::ByteCounts>,
+) -> Network<R>
 where
     R: AsyncRead + Unpin + 'static,
     W: AsyncWrite + Unpin + 'static,
--- a/ashtiller/src/net/peer_client.rs
+++ b/ashtiller/src/net/peer_client.rs
@@ -6,11 +6,11 @@
 use tokio::sync::oneshot;
 use tokio::time;
 
-use crate::calls::{ReplySender, Call};
 use crate::failure::Failure;
-use crate::peer::{LoanRequest, Heartbeat, Peer, Submission, JobReply};
+use crate::peer::{Heartbeat, JobReply, LoanRequest, Peer, Submission};
+use crate::peer_calls::{Call, ReplySender};
+use crate::rpc::RpcClient;
 use crate::store::CallFuture;
-use crate::wire::RpcClient;
 
 /// A [`Peer`] that stands for the process at an address.
 pub struct PeerClient {
--- a/ashtiller/src/net/rpc.rs
+++ b/ashtiller/src/net/rpc.rs
@@ -15,12 +15,12 @@
 use tokio::task::{self, LocalSet};
 use tokio::{runtime, time};
 
-use crate::calls::{self, Call};
 use crate::failure::Failure;
-use crate::hosted;
 use crate::meter;
 use crate::peer::Peer;
-use crate::remote;
+use crate::peer_calls::{self, Call};
+use crate::peer_client;
+use crate::peer_server;
 use crate::schema::peer_capnp::peer;
 
 /// Calls that may wait for the wire's thread.
@@ -38,7 +38,7 @@
     /// A peer that stands for the process at `address`; connects when first asked.
     #[must_use]
     pub fn connect(&self, address: SocketAddr) -> Arc<dyn Peer> {
-        Arc::new(remote::PeerClient {
+        Arc::new(peer_client::PeerClient {
             rpc: self.clone(),
             address,
         })
@@ -154,13 +154,17 @@
     LocalSet::new().block_on(&runtime, async move {
         tokio::select! {
             () = accept(listener, terms.local, terms.bytes.clone()) => {}
-            () = calls::run(received, terms.limit, terms.bytes) => {}
+            () = peer_calls::run(received, terms.limit, terms.bytes) => {}
             _ = ended => {}
         }
     });
 }
 
-async fn accept(listener: std::net::TcpListener, local: Arc<dyn Peer>, bytes: Arc<meter::ByteCounts>) {
+async fn accept(
+    listener: std::net::TcpListener,
+    local: Arc<dyn Peer>,
+    bytes: Arc<meter::ByteCounts>,
+) {
     let Ok(listener) = TcpListener::from_std(listener) else {
         return;
     };
@@ -170,10 +174,10 @@
             time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let client: peer::Client = capnp_rpc::new_client(hosted::PeerServer {
+        let client: peer::Client = capnp_rpc::new_client(peer_server::PeerServer {
             peer: local.clone(),
         });
-        let network = calls::tcp_network(stream, Side::Server, &bytes);
+        let network = peer_calls::tcp_network(stream, Side::Server, &bytes);
         task::spawn_local(RpcSystem::new(Box::new(network), Some(client.client)));
     }
 }
--- a/ashtiller/src/net/service_catalog.rs
+++ b/ashtiller/src/net/service_catalog.rs
@@ -40,5 +40,10 @@
 pub trait ServiceCatalog: Send + Sync {
     /// Waits until the instances of a service differ from position `index`, at most
     /// `wait`, and reads them; position 0 reads at once.
-    fn watch<'a>(&'a self, service: &'a str, index: u64, wait: Duration) -> CallFuture<'a, InstanceList>;
+    fn watch<'a>(
+        &'a self,
+        service: &'a str,
+        index: u64,
+        wait: Duration,
+    ) -> CallFuture<'a, InstanceList>;
 }
--- a/ashtiller/src/net/service_watcher.rs
+++ b/ashtiller/src/net/service_watcher.rs
@@ -7,7 +7,7 @@
 use tokio::task::JoinHandle;
 use tokio::time;
 
-use crate::roster::{Instance, ServiceCatalog};
+use crate::service_catalog::{Instance, ServiceCatalog};
 
 /// Longest wait of a watch; its end reads the whole list again. With the slack of a call
 /// (2 s) and the pause after it (1 s, unless set), it bounds what a silent connection hides:
@@ -42,7 +42,11 @@
 
 /// Starts to follow a service; a failed reading is tried again after `pause`.
 #[must_use]
-pub fn spawn(roster: Arc<dyn ServiceCatalog>, service: Arc<str>, pause: Duration) -> ServiceWatcher {
+pub fn spawn(
+    roster: Arc<dyn ServiceCatalog>,
+    service: Arc<str>,
+    pause: Duration,
+) -> ServiceWatcher {
     let (sender, list) = watch::channel(Arc::default());
     let task = tokio::spawn(follow(roster, service, pause, sender));
     ServiceWatcher { list, task }
--- a/ashtiller/src/net/store.rs
+++ b/ashtiller/src/net/store.rs
@@ -76,7 +76,12 @@
     fn watch<'a>(&'a self, prefix: &'a str, index: u64, wait: Duration) -> CallFuture<'a, View>;
 
     /// Writes a key when its revision is `index`, 0 for an absent key.
-    fn compare_and_swap<'a>(&'a self, key: &'a str, value: Bytes, index: u64) -> CallFuture<'a, bool>;
+    fn compare_and_swap<'a>(
+        &'a self,
+        key: &'a str,
+        value: Bytes,
+        index: u64,
+    ) -> CallFuture<'a, bool>;
 
     /// Makes all writes or none; at most 64.
     fn commit<'a>(&'a self, writes: &'a [Write]) -> CallFuture<'a, Commit>;
--- a/ashtiller/src/request/claims.rs
+++ b/ashtiller/src/request/claims.rs
@@ -89,9 +89,14 @@
     pub async fn claim(&self, claim: Claim) -> ClaimResult {
         let (asked, answer) = oneshot::channel();
         if self.sender.try_send((claim, asked)).is_err() {
-            return ClaimResult::Refused(Failure::no_effect("claim", "store", "too many claims wait"));
+            return ClaimResult::Refused(Failure::no_effect(
+                "claim",
+                "store",
+                "too many claims wait",
+            ));
         }
-        let gone = |_| ClaimResult::Refused(Failure::no_effect("claim", "store", "the writer stopped"));
+        let gone =
+            |_| ClaimResult::Refused(Failure::no_effect("claim", "store", "the writer stopped"));
         answer.await.unwrap_or_else(gone)
     }
 
@@ -228,7 +233,9 @@
             RemoteEffect::Unknown => store.get(&key).await,
         };
         let claimed = match found {
-            Ok(Some(item)) if item.value == claim.nonce.to_string() => ClaimResult::Acquired(key.into()),
+            Ok(Some(item)) if item.value == claim.nonce.to_string() => {
+                ClaimResult::Acquired(key.into())
+            }
             Ok(Some(_)) => ClaimResult::AlreadyClaimed,
             Ok(None) => ClaimResult::Refused(failure.clone()),
             Err(failure) => ClaimResult::Refused(failure),
--- a/ashtiller/src/request/dispatch.rs
+++ b/ashtiller/src/request/dispatch.rs
@@ -11,8 +11,8 @@
 use crate::balance::{self, RoutingPolicy};
 use crate::endpoint::{Endpoint, Listing, Phase};
 use crate::health::{self, EjectionDecision, EjectionReason, RequestResult};
-use crate::line::{RequestQueue, AdmissionRequest};
 use crate::rendezvous;
+use crate::request_queue::{AdmissionRequest, RequestQueue};
 
 /// Weight of a new service time in the running mean.
 const WEIGHT: f64 = 0.02;
@@ -251,8 +251,8 @@
             .filter(|endpoint| endpoint.accepts(u32::MAX))
             .map(|endpoint| endpoint.slots.allocated().max(1))
             .sum();
-        let ahead =
-            u32::try_from(self.line.requests_ahead(&ticket.account, ticket.class)).unwrap_or(u32::MAX);
+        let ahead = u32::try_from(self.line.requests_ahead(&ticket.account, ticket.class))
+            .unwrap_or(u32::MAX);
         let turns = 1.0 + f64::from(ahead) / f64::from(slots.max(1));
         Duration::from_secs_f64((self.service_time * turns).min(3600.0))
     }
@@ -270,8 +270,9 @@
                 break;
             }
             let flying = &self.flying;
-            let may =
-                |ticket: &AdmissionRequest| flying.get(&ticket.account).copied().unwrap_or(0) < ticket.max_in_flight;
+            let may = |ticket: &AdmissionRequest| {
+                flying.get(&ticket.account).copied().unwrap_or(0) < ticket.max_in_flight
+            };
             let Some(ticket) = self.line.pop(&may) else {
                 break;
             };
@@ -344,7 +345,9 @@
     /// An endpoint said, by an answer, that it takes no new requests.
     pub fn mark_leaving(&mut self, id: u64, now: Duration) {
         if let Some(&place) = self.places.get(&id) {
-            self.endpoints[place].health.eject(EjectionReason::Leaving, now);
+            self.endpoints[place]
+                .health
+                .eject(EjectionReason::Leaving, now);
         }
     }
 
@@ -360,7 +363,9 @@
     pub fn due_probes(&self, now: Duration) -> Vec<u64> {
         self.endpoints
             .iter()
-            .filter(|endpoint| endpoint.listing.phase == Phase::Live && endpoint.health.is_probe_due(now))
+            .filter(|endpoint| {
+                endpoint.listing.phase == Phase::Live && endpoint.health.is_probe_due(now)
+            })
             .map(|endpoint| endpoint.id)
             .collect()
     }
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -14,31 +14,31 @@
 use tokio::time;
 
 use crate::balance;
-use crate::budget::RetryBudget;
 use crate::claims;
 use crate::clock::{self, Clock};
 use crate::config::{self, Config};
 use crate::consul;
-use crate::desk::ServiceDispatcher;
 use crate::dispatch::{self, Limits};
 use crate::endpoint::Listing;
 use crate::failure::Failure;
-use crate::follow;
-use crate::front::{self, Listener};
+use crate::gateway_metrics::GatewayMetrics;
 use crate::job_forwarder::JobForwarder;
-use crate::lender::{self, SlotBorrower};
+use crate::listener::{self, Listener};
 use crate::members::Member;
 use crate::membership::{self, Membership};
-use crate::ops::{self, Command, Health, OperatorApi, OperatorServer, CommandReply};
-use crate::peer::{LoanRequest, Heartbeat, Peer, Role, Submission, JobReply};
+use crate::ops::{self, Command, CommandReply, Health, OperatorApi, OperatorServer};
+use crate::peer::{Heartbeat, JobReply, LoanRequest, Peer, Role, Submission};
 use crate::pool::ConnectionPool;
 use crate::prober;
-use crate::roster::{Instance, ServiceCatalog};
+use crate::retry_budget::RetryBudget;
 use crate::router::Router;
+use crate::rpc;
+use crate::service_catalog::{Instance, ServiceCatalog};
+use crate::service_dispatcher::ServiceDispatcher;
+use crate::service_watcher;
 use crate::settings::Settings;
+use crate::slot_borrower::{self, SlotBorrower};
 use crate::store::{CallFuture, Store};
-use crate::tally::GatewayMetrics;
-use crate::wire;
 
 /// Time limit of a call to another process.
 const WIRE_LIMIT: Duration = Duration::from_millis(800);
@@ -67,7 +67,7 @@
 pub struct Gateway {
     shared: Arc<Shared>,
     ops: OperatorServer,
-    served: wire::RpcServer,
+    served: rpc::RpcServer,
     _tasks: JoinSet<()>,
 }
 
@@ -92,7 +92,7 @@
         tally.clone(),
         clock.clone(),
     );
-    let front = front::bind(&settings.gateway, router.clone(), tally.clone()).await?;
+    let front = listener::bind(&settings.gateway, router.clone(), tally.clone()).await?;
     let shared = Arc::new(Shared {
         settings: settings.clone(),
         config: config.clone(),
@@ -105,7 +105,7 @@
     let local: Arc<dyn Peer> = Arc::new(Local {
         shared: shared.clone(),
     });
-    let served = wire::bind(settings.gateway.peers, WIRE_LIMIT, local).await?;
+    let served = rpc::bind(settings.gateway.peers, WIRE_LIMIT, local).await?;
     let operated: Arc<dyn OperatorApi> = Arc::new(Local {
         shared: shared.clone(),
     });
@@ -273,7 +273,7 @@
 async fn follow_templates(
     shared: Arc<Shared>,
     roster: Arc<dyn ServiceCatalog>,
-    wire: wire::RpcClient,
+    wire: rpc::RpcClient,
     tally: Arc<GatewayMetrics>,
 ) {
     let mut helpers = JoinSet::new();
@@ -307,9 +307,13 @@
 }
 
 /// Keeps a service's endpoints in step with the platform's list.
-async fn follow_endpoints(shared: Arc<Shared>, desk: Arc<ServiceDispatcher>, roster: Arc<dyn ServiceCatalog>) {
+async fn follow_endpoints(
+    shared: Arc<Shared>,
+    desk: Arc<ServiceDispatcher>,
+    roster: Arc<dyn ServiceCatalog>,
+) {
     let pause = shared.settings.platform.refresh_interval;
-    let follower = follow::spawn(roster, desk.name.clone(), pause);
+    let follower = service_watcher::spawn(roster, desk.name.clone(), pause);
     let mut changes = follower.subscribe();
     while changes.changed().await.is_ok() {
         let listings: Vec<Listing> = follower.list().iter().map(listing_of).collect();
@@ -322,7 +326,7 @@
 fn lender_of(
     shared: &Shared,
     desk: &Arc<ServiceDispatcher>,
-    wire: &wire::RpcClient,
+    wire: &rpc::RpcClient,
     tally: &Arc<GatewayMetrics>,
 ) -> Option<SlotBorrower> {
     let parts = shared.parts.get()?;
@@ -367,7 +371,9 @@
     fn heartbeat(&self, mine: Heartbeat) -> CallFuture<'_, Heartbeat> {
         self.shared.config.observe_revision(mine.revision);
         if let Some(parts) = self.shared.parts.get() {
-            parts.membership.receive_heartbeat(mine, self.shared.clock.now());
+            parts
+                .membership
+                .receive_heartbeat(mine, self.shared.clock.now());
         }
         Box::pin(async { Ok(self.shared.greeting()) })
     }
@@ -377,7 +383,7 @@
             let Some(desk) = self.shared.router.service(&ask.service) else {
                 return Ok(Vec::new());
             };
-            let term = lender::TERM;
+            let term = slot_borrower::TERM;
             Ok(desk.with_dispatch(|dispatch, now| dispatch.lend(&ask, now + term, now)))
         })
     }
--- a/ashtiller/src/request/health.rs
+++ b/ashtiller/src/request/health.rs
@@ -158,7 +158,10 @@
 
 /// Compares one endpoint with its peers.
 #[must_use]
-pub fn evaluate<'a>(health: &Health, peers: impl Iterator<Item = &'a Health> + Clone) -> EjectionDecision {
+pub fn evaluate<'a>(
+    health: &Health,
+    peers: impl Iterator<Item = &'a Health> + Clone,
+) -> EjectionDecision {
     if health.row >= FAILURES && !peers_fail(peers.clone()) {
         return EjectionDecision::Eject(EjectionReason::Failing);
     }
--- a/ashtiller/src/request/listener.rs
+++ b/ashtiller/src/request/listener.rs
@@ -16,10 +16,10 @@
 use tokio_util::task::TaskTracker;
 
 use crate::failure::Failure;
+use crate::gateway_metrics::GatewayMetrics;
 use crate::pool;
 use crate::router::Router;
 use crate::settings;
-use crate::tally::GatewayMetrics;
 
 /// Time for a caller to send the head of a request.
 const HEAD_TIME: Duration = Duration::from_secs(10);
@@ -42,7 +42,7 @@
     address: SocketAddr,
     stage: watch::Sender<Stage>,
     tracker: TaskTracker,
-    listener: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
     kill: watch::Sender<bool>,
 }
 
@@ -83,7 +83,7 @@
         address,
         stage,
         tracker,
-        listener,
+        accept_task: listener,
         kill,
     })
 }
@@ -107,7 +107,7 @@
 
     /// Cuts every connection, as a kill does.
     pub fn cut(&self) {
-        self.listener.abort();
+        self.accept_task.abort();
         self.kill.send_replace(true);
     }
 
@@ -196,7 +196,7 @@
 async fn serve(
     shared: Arc<Shared>,
     request: hyper::Request<hyper::body::Incoming>,
-) -> Result<hyper::Response<crate::download::ResponseBody>, Infallible> {
+) -> Result<hyper::Response<crate::response_body::ResponseBody>, Infallible> {
     let mut answer = shared.router.serve(request).await;
     if *shared.stage.borrow() != Stage::Open {
         answer
--- a/ashtiller/src/request/mod.rs
+++ b/ashtiller/src/request/mod.rs
@@ -1,25 +1,25 @@
 //! Requests from callers to endpoints: the gateway role.
 
 pub mod balance;
-pub mod budget;
 pub mod claims;
-pub mod desk;
 pub mod dispatch;
-pub mod download;
 pub mod endpoint;
-pub mod front;
 pub mod gateway;
+pub mod gateway_metrics;
 pub mod headers;
 pub mod health;
-pub mod held;
-pub mod intake;
-pub mod lender;
-pub mod line;
+pub mod listener;
 pub(crate) mod loans;
 pub mod outcome;
 pub mod pool;
 pub mod prober;
+pub mod replayable_body;
+pub mod request_body;
+pub mod request_head;
+pub mod request_queue;
+pub mod response_body;
+pub mod retry_budget;
 pub mod router;
+pub mod service_dispatcher;
+pub mod slot_borrower;
 pub mod slots;
-pub mod tally;
-pub mod upload;
--- a/ashtiller/src/request/outcome.rs
+++ b/ashtiller/src/request/outcome.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use serde::Serialize;
 
-use crate::dispatch::{RefusalCause, Refusal};
+use crate::dispatch::{Refusal, RefusalCause};
 
 /// Header that says what became of a request.
 pub const HEADER: &str = "ashtiller-outcome";
--- a/ashtiller/src/request/pool.rs
+++ b/ashtiller/src/request/pool.rs
@@ -20,7 +20,7 @@
 use tokio::time::{self, Instant};
 
 use crate::failure::Failure;
-use crate::upload::RequestBody;
+use crate::request_body::RequestBody;
 
 /// Time for a connection to become ready again after an answer.
 const READY: Duration = Duration::from_millis(20);
@@ -195,7 +195,8 @@
     pub fn sweep(&self, serves: impl Fn(SocketAddr) -> bool) {
         let mut all = self.links.lock();
         all.retain(|endpoint, links| {
-            let keep = |link: &Connection| link.since.elapsed() <= self.keep && !link.sender.is_closed();
+            let keep =
+                |link: &Connection| link.since.elapsed() <= self.keep && !link.sender.is_closed();
             links.idle.retain(keep);
             links
                 .answers
--- a/ashtiller/src/request/prober.rs
+++ b/ashtiller/src/request/prober.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use tokio::time;
 
-use crate::desk::ServiceDispatcher;
+use crate::service_dispatcher::ServiceDispatcher;
 use crate::web;
 
 /// How often endpoints are looked at.
@@ -47,7 +47,12 @@
     }
 }
 
-async fn probe(desk: Arc<ServiceDispatcher>, client: Arc<web::Client>, id: u64, address: SocketAddr) {
+async fn probe(
+    desk: Arc<ServiceDispatcher>,
+    client: Arc<web::Client>,
+    id: u64,
+    address: SocketAddr,
+) {
     let answer = client
         .call("probe", address, Method::GET, TARGET, Bytes::new(), LIMIT)
         .await;
--- a/ashtiller/src/request/replayable_body.rs
+++ b/ashtiller/src/request/replayable_body.rs
@@ -9,7 +9,7 @@
 use tokio::time;
 
 use crate::outcome::LocalResponse;
-use crate::upload::RequestBody;
+use crate::request_body::RequestBody;
 
 /// A request's body between attempts.
 pub enum ReplayableBody {
--- a/ashtiller/src/request/response_body.rs
+++ b/ashtiller/src/request/response_body.rs
@@ -11,10 +11,10 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{self, Sleep};
 
-use crate::desk::SlotGuard;
+use crate::gateway_metrics::GatewayMetrics;
 use crate::health::RequestResult;
 use crate::pool::Connection;
-use crate::tally::GatewayMetrics;
+use crate::service_dispatcher::SlotGuard;
 
 /// A slot and a connection in use by one request.
 pub struct Flight {
--- a/ashtiller/src/request/router.rs
+++ b/ashtiller/src/request/router.rs
@@ -22,20 +22,20 @@
 use crate::claims::{self, Claim, ClaimResult, ClaimWriter};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::desk::{Admitted, ServiceDispatcher, SlotGuard};
-use crate::download::{ResponseBody, Flight};
 use crate::endpoint::Endpoint;
+use crate::gateway_metrics::GatewayMetrics;
 use crate::headers;
 use crate::health::RequestResult;
-use crate::held::{Allowance, ReplayableBody};
-use crate::intake;
-use crate::line::AdmissionRequest;
-use crate::outcome::{self, Outcome, LocalResponse};
+use crate::outcome::{self, LocalResponse, Outcome};
 use crate::pool::{Connection, Unanswered};
+use crate::replayable_body::{Allowance, ReplayableBody};
+use crate::request_body::RequestBody;
+use crate::request_head;
+use crate::request_queue::AdmissionRequest;
+use crate::response_body::{Flight, ResponseBody};
+use crate::service_dispatcher::{Admitted, ServiceDispatcher, SlotGuard};
 use crate::settings;
-use crate::tally::GatewayMetrics;
 use crate::template::Service;
-use crate::upload::RequestBody;
 
 /// Header in which the gateway names the endpoint that answered.
 const ENDPOINT: HeaderName = HeaderName::from_static("ashtiller-endpoint");
@@ -150,7 +150,10 @@
         verdict.answer(jitter).map(ResponseBody::Own)
     }
 
-    async fn try_serve(&self, request: Request<Incoming>) -> Result<Response<ResponseBody>, LocalResponse> {
+    async fn try_serve(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<ResponseBody>, LocalResponse> {
         let (head, incoming) = request.into_parts();
         let plan = self.plan(&head).inspect_err(|_| self.tally.wrong.inc())?;
         let mut body = ReplayableBody::open(incoming, self.allowance(&plan))
@@ -201,9 +204,9 @@
     fn plan(&self, head: &request::Parts) -> Result<Plan, LocalResponse> {
         headers::check(&head.method, head.version, &head.headers)?;
         let wrong = LocalResponse::wrong;
-        let (service, target) = intake::split_target(&head.uri)
+        let (service, target) = request_head::split_target(&head.uri)
             .ok_or_else(|| wrong(StatusCode::BAD_REQUEST, "the path names no service"))?;
-        let account = intake::header(head, intake::ACCOUNT).ok_or_else(|| {
+        let account = request_head::header(head, request_head::ACCOUNT).ok_or_else(|| {
             wrong(
                 StatusCode::FORBIDDEN,
                 "the header client-account is missing",
@@ -225,8 +228,8 @@
             let reason = "the service is not open yet";
             LocalResponse::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
         })?;
-        let timeout =
-            intake::read_timeout(head)?.map_or(settings.timeout, |own| own.min(settings.timeout));
+        let timeout = request_head::read_timeout(head)?
+            .map_or(settings.timeout, |own| own.min(settings.timeout));
         let repeat = settings.may_repeat(head.method.as_str());
         let claim = if repeat {
             None
@@ -258,7 +261,7 @@
         head: &request::Parts,
         account: &Arc<str>,
     ) -> Result<Option<Claim>, LocalResponse> {
-        let Some(key) = intake::read_key(head)? else {
+        let Some(key) = request_head::read_key(head)? else {
             return Ok(None);
         };
         let nonce = self
@@ -419,7 +422,10 @@
                 slot.set_result(RequestResult::Failure);
                 self.tally.unanswered.inc();
                 let reason = "the endpoint gave no answer in time";
-                return Attempt::Unknown(LocalResponse::unknown(StatusCode::GATEWAY_TIMEOUT, reason));
+                return Attempt::Unknown(LocalResponse::unknown(
+                    StatusCode::GATEWAY_TIMEOUT,
+                    reason,
+                ));
             }
         };
         self.receive(
@@ -526,8 +532,8 @@
 
 fn failed_verdict(error: &hyper::Error) -> LocalResponse {
     let too_large = std::error::Error::source(error)
-        .and_then(|source| source.downcast_ref::<crate::upload::Broken>())
-        .is_some_and(|broken| matches!(broken, crate::upload::Broken::TooLarge));
+        .and_then(|source| source.downcast_ref::<crate::request_body::Broken>())
+        .is_some_and(|broken| matches!(broken, crate::request_body::Broken::TooLarge));
     if too_large {
         return LocalResponse::unknown(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     }
--- a/ashtiller/src/request/service_dispatcher.rs
+++ b/ashtiller/src/request/service_dispatcher.rs
@@ -8,13 +8,13 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time;
 
-use crate::budget::RetryBudget;
 use crate::clock::Clock;
-use crate::dispatch::{Dispatch, Admission, Refusal};
+use crate::dispatch::{Admission, Dispatch, Refusal};
 use crate::endpoint::Endpoint;
 use crate::health::RequestResult;
-use crate::line::AdmissionRequest;
 use crate::pool::ConnectionPool;
+use crate::request_queue::AdmissionRequest;
+use crate::retry_budget::RetryBudget;
 
 struct State {
     dispatch: Dispatch,
--- a/ashtiller/src/request/slot_borrower.rs
+++ b/ashtiller/src/request/slot_borrower.rs
@@ -9,12 +9,12 @@
 use rand::seq::SliceRandom;
 use tokio::time;
 
-use crate::desk::ServiceDispatcher;
+use crate::gateway_metrics::GatewayMetrics;
 use crate::members::{Member, Members};
 use crate::membership::Membership;
 use crate::peer::{LoanRequest, Role};
-use crate::tally::GatewayMetrics;
-use crate::wire::RpcClient;
+use crate::rpc::RpcClient;
+use crate::service_dispatcher::ServiceDispatcher;
 
 /// A loan lapses this long after the last message about it.
 pub const TERM: Duration = Duration::from_secs(6);
--- a/ashtiller/src/task/events.rs
+++ b/ashtiller/src/task/events.rs
@@ -11,10 +11,10 @@
 use crate::failure::Failure;
 use crate::journal::{AppendOutcome, Journal};
 use crate::owner::{Owner, PENDING_MAX};
-use crate::peer::{Submission, JobReply};
+use crate::peer::{JobReply, Submission};
 use crate::plan;
 use crate::reconcile;
-use crate::roster;
+use crate::service_catalog;
 use crate::session::Change;
 
 /// Submission of a job.
@@ -38,7 +38,7 @@
 
 /// Current list of the cell's workers from the platform.
 pub(crate) struct WorkersListed {
-    pub(crate) instances: Vec<roster::Instance>,
+    pub(crate) instances: Vec<service_catalog::Instance>,
 }
 
 /// Periodic trigger for planning, calls to workers and maintenance of the log.
--- a/ashtiller/src/task/job_forwarder.rs
+++ b/ashtiller/src/task/job_forwarder.rs
@@ -15,11 +15,11 @@
 use crate::membership::Membership;
 use crate::ops::{Command, CommandReply};
 use crate::outcome::Outcome;
-use crate::peer::{Peer, Role, Submission, JobReply};
+use crate::peer::{JobReply, Peer, Role, Submission};
 use crate::rendezvous;
-use crate::roster::ServiceCatalog;
+use crate::rpc::RpcClient;
+use crate::service_catalog::ServiceCatalog;
 use crate::store::Store;
-use crate::wire::RpcClient;
 
 /// Prefix of the keys that name each account's home cell.
 pub const HOMES: &str = "ashtiller/homes/";
@@ -271,7 +271,9 @@
             response(StatusCode::UNPROCESSABLE_ENTITY, Outcome::NotRun, reason)
         }
         JobReply::NotOwner(reason) => unavailable(reason),
-        JobReply::Unknown(reason) => response(StatusCode::GATEWAY_TIMEOUT, Outcome::Unknown, reason),
+        JobReply::Unknown(reason) => {
+            response(StatusCode::GATEWAY_TIMEOUT, Outcome::Unknown, reason)
+        }
         JobReply::Missing => response(
             StatusCode::NOT_FOUND,
             Outcome::NotRun,
--- a/ashtiller/src/task/journal.rs
+++ b/ashtiller/src/task/journal.rs
@@ -363,7 +363,11 @@
         let value = record::encode(&self.head)
             .map_err(|damage| Failure::no_effect("snapshot", &self.cell, damage))?;
         let key = head_key(&self.cell);
-        if !self.store.compare_and_swap(&key, value.into(), self.head_index).await? {
+        if !self
+            .store
+            .compare_and_swap(&key, value.into(), self.head_index)
+            .await?
+        {
             return Err(Failure::no_effect(
                 "snapshot",
                 &self.cell,
--- a/ashtiller/src/task/owner.rs
+++ b/ashtiller/src/task/owner.rs
@@ -23,13 +23,13 @@
 };
 use crate::fact::{Body, LogRecord};
 use crate::journal::{Journal, OpenedCell};
-use crate::peer::{Submission, JobReply};
+use crate::peer::{JobReply, Submission};
 use crate::placement::InterferenceAware;
 use crate::plan::{self, Planner};
 use crate::reconcile::{self, StepContext};
 use crate::record;
-use crate::roster;
 use crate::scheduler_metrics::SchedulerMetrics;
+use crate::service_catalog;
 use crate::session::{LeaseTerms, Session};
 use crate::settings;
 
@@ -107,7 +107,7 @@
     }
 
     /// Updates the cell's workers from the platform's list.
-    pub async fn update_workers(&self, instances: Vec<roster::Instance>) {
+    pub async fn update_workers(&self, instances: Vec<service_catalog::Instance>) {
         let _ = self.actor.tell(WorkersListed { instances }).await;
     }
 
@@ -322,8 +322,8 @@
     pub(crate) fn call_workers(&mut self, actor: &ActorRef<Self>) {
         let now = self.now();
         // No lease is renewed once the last confirmed ownership is older than the horizon.
-        let renewing =
-            now < self.ownership_confirmed_at + self.deps.settings.lease_horizon && !self.handing_over;
+        let renewing = now < self.ownership_confirmed_at + self.deps.settings.lease_horizon
+            && !self.handing_over;
         let due: Vec<Arc<str>> = self
             .cell
             .workers
@@ -348,7 +348,8 @@
             return true;
         };
         let since_call = now.saturating_sub(last_called);
-        let silent = worker_state.session.since_last_report(now) > self.deps.settings.renew_interval * 2;
+        let silent =
+            worker_state.session.since_last_report(now) > self.deps.settings.renew_interval * 2;
         let has_updates = !silent && reconcile::has_pending_updates(&self.cell, name, self.durable);
         !worker_state.call_in_flight
             && (has_updates
@@ -425,7 +426,7 @@
         });
     }
 
-    pub(crate) fn update_workers(&mut self, instances: &[roster::Instance]) {
+    pub(crate) fn update_workers(&mut self, instances: &[service_catalog::Instance]) {
         let now = self.now();
         for instance in instances {
             self.cell.resize_worker(&instance.name, instance.resources);
--- a/ashtiller/src/task/plan.rs
+++ b/ashtiller/src/task/plan.rs
@@ -16,7 +16,7 @@
 use crate::fact::{Attempt, End, LogRecord, TaskId};
 use crate::interference_model::InterferenceModel;
 use crate::job::Phase;
-use crate::peer::{Submission, JobReply};
+use crate::peer::{JobReply, Submission};
 use crate::placement::{CandidateHost, PlacementPolicy};
 use crate::resources::Resources;
 use crate::session::LeaseTerms;
--- a/ashtiller/src/task/scheduler.rs
+++ b/ashtiller/src/task/scheduler.rs
@@ -19,20 +19,20 @@
 use crate::config::{self, Config};
 use crate::consul;
 use crate::failure::Failure;
-use crate::follow;
 use crate::journal::{self, OpenError};
 use crate::members::{Member, Members};
 use crate::membership::{self, Membership};
-use crate::ops::{self, Command, Health, OperatorApi, OperatorServer, CommandReply};
+use crate::ops::{self, Command, CommandReply, Health, OperatorApi, OperatorServer};
 use crate::owner::{self, OwnerDeps, OwnerHandle};
-use crate::peer::{LoanRequest, Heartbeat, Peer, Role, Submission, JobReply};
+use crate::peer::{Heartbeat, JobReply, LoanRequest, Peer, Role, Submission};
 use crate::rendezvous;
-use crate::roster::{Instance, ServiceCatalog};
+use crate::rpc;
 use crate::scheduler_metrics::SchedulerMetrics;
+use crate::service_catalog::{Instance, ServiceCatalog};
+use crate::service_watcher;
 use crate::session::LeaseTerms;
 use crate::settings::Settings;
 use crate::store::{CallFuture, Store};
-use crate::wire;
 
 /// Timeout of a call to another process; the reply to a job request waits for the log.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -90,7 +90,7 @@
 pub struct Scheduler {
     shared: Arc<Shared>,
     ops: OperatorServer,
-    served: wire::RpcServer,
+    served: rpc::RpcServer,
     _tasks: JoinSet<()>,
 }
 
@@ -123,7 +123,7 @@
     let local: Arc<dyn Peer> = Arc::new(SchedulerService {
         shared: shared.clone(),
     });
-    let served = wire::bind(settings.scheduler.peers, CALL_TIMEOUT, local).await?;
+    let served = rpc::bind(settings.scheduler.peers, CALL_TIMEOUT, local).await?;
     let operated: Arc<dyn OperatorApi> = Arc::new(SchedulerService {
         shared: shared.clone(),
     });
@@ -322,7 +322,8 @@
         shared.roster.clone(),
         shared.settings.platform.workers.clone(),
     );
-    let follower = follow::spawn(roster, workers, shared.settings.platform.refresh_interval);
+    let follower =
+        service_watcher::spawn(roster, workers, shared.settings.platform.refresh_interval);
     let mut cells: BTreeMap<Arc<str>, Vec<Instance>> = BTreeMap::new();
     let mut last_handover: Option<Duration> = None;
     loop {
--- a/ashtiller/src/workflow/link.rs
+++ b/ashtiller/src/workflow/link.rs
@@ -14,8 +14,8 @@
 use tokio::task;
 use tokio::time;
 
-use crate::calls;
 use crate::meter;
+use crate::peer_calls;
 use crate::schema::entry_capnp::entry;
 use crate::workflow::message::{PeerRequest, Reply};
 use crate::workflow::traffic::{self, Way};
@@ -101,7 +101,7 @@
 ) {
     let client: entry::Client = capnp_rpc::new_client(EntryServer { handler });
     let (reader, writer) = io::split(stream);
-    let network = calls::network_over(reader, writer, Side::Server, bytes);
+    let network = peer_calls::network_over(reader, writer, Side::Server, bytes);
     task::spawn_local(RpcSystem::new(Box::new(network), Some(client.client)));
 }
 
--- a/ashtiller/src/workflow/peers.rs
+++ b/ashtiller/src/workflow/peers.rs
@@ -17,9 +17,9 @@
 use tokio::time::{self, Instant};
 use tokio_util::sync::CancellationToken;
 
-use crate::calls;
 use crate::failure::Failure;
 use crate::meter;
+use crate::peer_calls;
 use crate::schema::entry_capnp::entry;
 use crate::workflow::link::Dial;
 use crate::workflow::message::{PeerRequest, Reply};
@@ -213,7 +213,7 @@
             .map_err(|_| Failure::no_effect(step, address, "no connection in time"))?
             .map_err(|error| Failure::no_effect(step, address, error))?;
         let (reader, writer) = io::split(stream);
-        let network = calls::network_over(reader, writer, Side::Client, &self.bytes);
+        let network = peer_calls::network_over(reader, writer, Side::Client, &self.bytes);
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: entry::Client = system.bootstrap(Side::Server);
         Ok(Rc::new(Connection {
--- a/ashtiller/tests/links/clients.rs
+++ b/ashtiller/tests/links/clients.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use crate::follower;
-use crate::front::{self, ClientApi};
+use crate::client_api::{self, ClientApi};
 use crate::net::Net;
 use crate::peer::Peer;
 
@@ -100,7 +100,7 @@
         let (node, _store) = follower::open(&net, &peer).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
         let address = listener.local_addr().expect("address");
-        task::spawn_local(front::serve_readiness(node, listener));
+        task::spawn_local(client_api::serve_readiness(node, listener));
         let balancer = TcpStream::connect(address).await.expect("connection");
         read_to_end(balancer).await;
     };
--- a/ashtiller/tests/links/entries.rs
+++ b/ashtiller/tests/links/entries.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 
-use crate::{dialect, job};
+use crate::{codec, job};
 
 /// What the platform's workers write.
 const WORKER: &str = r#"{"service":"fleet","address":"10.0.0.1:8080","zone":"bern","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},"labels":["a","r1-3"],"machine":"m1","clock_ms":482113,"sequence":4}"#;
@@ -19,11 +19,11 @@
 const CORPUS: &str = include_str!("../cases/entries.txt");
 
 fn key() -> String {
-    format!("{}i-1", dialect::open().worker_prefix())
+    format!("{}i-1", codec::open().worker_prefix())
 }
 
 fn is_worker(text: &str) -> bool {
-    dialect::open().worker(&key(), text.as_bytes()).is_ok()
+    codec::open().worker(&key(), text.as_bytes()).is_ok()
 }
 
 fn with(from: &str, to: &str) -> String {
@@ -36,7 +36,7 @@
 fn a_birth_tells_lives_of_one_worker_apart() {
     let read = |born: &str| {
         let text = with(r#""ready""#, &format!(r#""ready","born":{born}"#));
-        dialect::open().worker(&key(), text.as_bytes())
+        codec::open().worker(&key(), text.as_bytes())
     };
     let life = read("1767225600123").unwrap().incarnation;
     assert_eq!((life.id(), life.born()), ("i-1", Some(1_767_225_600_123)));
@@ -49,13 +49,13 @@
 
 #[test]
 fn a_worker_reads_as_it_says() {
-    let listed = dialect::open().worker(&key(), WORKER.as_bytes()).unwrap();
+    let listed = codec::open().worker(&key(), WORKER.as_bytes()).unwrap();
     assert_eq!(listed.incarnation, "i-1".into());
     assert_eq!(listed.machine.as_deref(), Some("m1"));
     assert_eq!(listed.capacity.processors, 16_000);
     assert!(!listed.draining);
     let leaves = with(r#""ready""#, r#""draining","remaining_ms":2500"#);
-    let listed = dialect::open().worker(&key(), leaves.as_bytes()).unwrap();
+    let listed = codec::open().worker(&key(), leaves.as_bytes()).unwrap();
     assert!(listed.draining);
     assert_eq!(listed.remaining, Some(Duration::from_millis(2500)));
 }
@@ -104,15 +104,15 @@
 
 #[test]
 fn a_key_that_names_no_worker_is_none() {
-    let prefix = dialect::open().worker_prefix();
+    let prefix = codec::open().worker_prefix();
     for key in [prefix.to_owned(), format!("{prefix}a/b")] {
-        assert!(dialect::open().worker(&key, WORKER.as_bytes()).is_err());
+        assert!(codec::open().worker(&key, WORKER.as_bytes()).is_err());
     }
 }
 
 /// All readers, on any bytes.
 fn read_all(bytes: &[u8]) {
-    let dialect = dialect::open();
+    let dialect = codec::open();
     let operators = dialect.operator_prefix();
     if let Ok(listed) = dialect.worker(&key(), bytes) {
         // What is read can be reckoned with: a hundred such workers do not overflow.
@@ -128,7 +128,7 @@
 /// The key says it all: an entry whose value cannot be read evacuates its zone, too.
 #[test]
 fn a_key_names_the_zone_that_is_evacuated() {
-    let dialect = dialect::open();
+    let dialect = codec::open();
     let key = |rest: &str| format!("{}{rest}", dialect.operator_prefix());
     let zone = dialect.evacuated(&key("evacuate/halle-bern"));
     assert_eq!(zone.as_deref(), Some("halle-bern"));
--- a/ashtiller/tests/peers.rs
+++ b/ashtiller/tests/peers.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashtiller::peer::{LoanRequest, Heartbeat, Peer, Submission, JobReply};
+use ashtiller::peer::{Heartbeat, JobReply, LoanRequest, Peer, Submission};
+use ashtiller::rpc::{self, RpcServer};
 use ashtiller::store::CallFuture;
-use ashtiller::wire::{self, RpcServer};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -53,7 +53,7 @@
 
 async fn bind() -> RpcServer {
     let any = ([127, 0, 0, 1], 0).into();
-    wire::bind(any, LIMIT, Arc::new(Greeter))
+    rpc::bind(any, LIMIT, Arc::new(Greeter))
         .await
         .expect("port")
 }
--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -126,7 +126,12 @@
         }));
         core.list_all((0..WORKERS).map(listed).collect(), at);
         let lives = (0..WORKERS).map(|number| {
-            let life = Worker::new(format!("w{number}"), room(), 99, DisabledSafeguards::default());
+            let life = Worker::new(
+                format!("w{number}"),
+                room(),
+                99,
+                DisabledSafeguards::default(),
+            );
             (listed(number).address, life)
         });
         Self {
@@ -172,7 +177,12 @@
     /// A worker's process ends, and starts again under its id.
     fn restart(&mut self, number: u16) {
         let address = listed(number).address;
-        let life = Worker::new(format!("w{number}"), room(), 99, DisabledSafeguards::default());
+        let life = Worker::new(
+            format!("w{number}"),
+            room(),
+            99,
+            DisabledSafeguards::default(),
+        );
         self.workers.insert(address, life.with_start_time(self.now));
         let lost = self.looks.extract_if(.., |it| it.to.address == address);
         for Waiting { to, .. } in lost.collect::<Vec<_>>() {
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use ashtiller::balance::Kind;
-use ashtiller::dispatch::{self, Dispatch, Limits, Admission};
+use ashtiller::dispatch::{self, Admission, Dispatch, Limits};
 use ashtiller::endpoint::{self, Listing, Phase};
 use ashtiller::fact::Body;
 use ashtiller::health::RequestResult;
-use ashtiller::line::AdmissionRequest;
 use ashtiller::peer::LoanRequest;
+use ashtiller::request_queue::AdmissionRequest;
 use ashtiller::template::Class;
 use fleet::Fleet;
 
@@ -68,7 +68,8 @@
             })
             .collect();
         self.dispatch.update_listings(&listings);
-        self.dispatch.allocate_slots(&self.gateways[1..], &self.gateways[0]);
+        self.dispatch
+            .allocate_slots(&self.gateways[1..], &self.gateways[0]);
         let census = self.dispatch.endpoint_counts(Duration::ZERO);
         format!(
             "{} live, {} leaving, {} slots dealt",
@@ -126,7 +127,10 @@
             }
             ["lend", peer, want] => self.lend(peer, false, want.parse().expect("number"), now),
             ["settle", peer] => self.lend(peer, true, 0, now),
-            ["due"] => format!("to be probed: {:?}", self.named(&self.dispatch.due_probes(now))),
+            ["due"] => format!(
+                "to be probed: {:?}",
+                self.named(&self.dispatch.due_probes(now))
+            ),
             ["probe", name, how] => {
                 self.dispatch
                     .record_probe(endpoint::id_of(name), *how == "good", now);
@@ -152,7 +156,10 @@
                 "wait".to_owned()
             }
             Admission::Refuse(refusal) => {
-                format!("refuse: {:?}, back in {:?}", refusal.cause, refusal.retry_after)
+                format!(
+                    "refuse: {:?}, back in {:?}",
+                    refusal.cause, refusal.retry_after
+                )
             }
         }
     }
@@ -168,11 +175,13 @@
             .collect();
         for request in &there {
             if let Some((account, endpoint)) = self.flying.remove(request) {
-                self.dispatch.finish(&account, endpoint, RequestResult::Failure, now);
+                self.dispatch
+                    .finish(&account, endpoint, RequestResult::Failure, now);
             }
         }
         for _ in 0..5 {
-            self.dispatch.finish(&"nobody".into(), id, RequestResult::Failure, now);
+            self.dispatch
+                .finish(&"nobody".into(), id, RequestResult::Failure, now);
         }
         format!(
             "{there:?} failed; {} ejected",
--- a/ashtiller/tests/silence.rs
+++ b/ashtiller/tests/silence.rs
@@ -9,9 +9,9 @@
 
 use ashtiller::endpoint::Phase;
 use ashtiller::failure::Failure;
-use ashtiller::follow;
 use ashtiller::resources::Resources;
-use ashtiller::roster::{Instance, InstanceList, ServiceCatalog};
+use ashtiller::service_catalog::{Instance, InstanceList, ServiceCatalog};
+use ashtiller::service_watcher;
 use ashtiller::store::CallFuture;
 use ashtiller::web;
 use bytes::Bytes;
@@ -335,7 +335,7 @@
 async fn a_silent_watch_hides_a_leaving_endpoint_for_seconds_only() {
     let leaves = Instant::now() + Duration::from_millis(100);
     let pause = Duration::from_secs(1);
-    let follower = follow::spawn(Arc::new(List { leaves }), "fleet".into(), pause);
+    let follower = service_watcher::spawn(Arc::new(List { leaves }), "fleet".into(), pause);
     let mut lists = follower.subscribe();
     let told = lists.wait_for(|list| list.iter().any(|one| one.phase == Phase::Leaving));
     drop(told.await.expect("follower"));
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -8,16 +8,16 @@
 use std::time::Duration;
 
 use ashtiller::balance::Kind;
-use ashtiller::budget::RetryBudget;
 use ashtiller::clock::Clock;
-use ashtiller::desk::{Admitted, ServiceDispatcher};
+use ashtiller::config_state::{AdoptResult, ConfigState, Head, HeadAction, StoredTemplate};
 use ashtiller::dispatch::{self, Limits};
 use ashtiller::endpoint::{Listing, Phase};
-use ashtiller::ledger::{Head, ConfigState, HeadAction, StoredTemplate, AdoptResult};
-use ashtiller::line::AdmissionRequest;
 use ashtiller::pool::ConnectionPool;
 use ashtiller::rendezvous;
+use ashtiller::request_queue::AdmissionRequest;
 use ashtiller::resources::{Pool as Room, Resources};
+use ashtiller::retry_budget::RetryBudget;
+use ashtiller::service_dispatcher::{Admitted, ServiceDispatcher};
 use ashtiller::session::{Change, LeaseTerms, ReportHeader, Session};
 use ashtiller::template::Class;
 
@@ -142,10 +142,17 @@
     let account: Arc<str> = "north".into();
     let mut ledger = ConfigState::default();
     let one = Head::default().next(&account, 10);
-    assert_eq!(ledger.next_action(&one), HeadAction::ReadAll, "nothing was read yet");
+    assert_eq!(
+        ledger.next_action(&one),
+        HeadAction::ReadAll,
+        "nothing was read yet"
+    );
     ledger.advance_to(one.revision, true);
     let two = one.next(&"south".into(), 20);
-    assert_eq!(ledger.next_action(&two), HeadAction::Read(vec!["south".into()]));
+    assert_eq!(
+        ledger.next_action(&two),
+        HeadAction::Read(vec!["south".into()])
+    );
     let other = Head::default().next(&"east".into(), 30);
     assert_eq!(
         ledger.next_action(&other),
--- a/ashtiller/tests/world/mod.rs
+++ b/ashtiller/tests/world/mod.rs
@@ -250,7 +250,8 @@
         let worker = Worker::new(life.clone(), capacity(), pace, self.faults.weak);
         // Where workers do not start again under their ids, their clocks have gone on for long.
         let began = self.faults.restarts.map_or(Duration::ZERO, |_| self.now);
-        self.workers.insert(id.into(), worker.with_start_time(began));
+        self.workers
+            .insert(id.into(), worker.with_start_time(began));
         self.news.put(listing(&life, machine, capacity()));
     }
 
@@ -280,13 +281,18 @@
         let life = self.bear(id);
         tracing::trace!(worker = %life, "world: process starts again");
         let worker = Worker::new(life, capacity(), pace, self.faults.weak);
-        self.workers.insert(id.clone(), worker.with_start_time(self.now));
+        self.workers
+            .insert(id.clone(), worker.with_start_time(self.now));
         let lag = self.millis(0, 1100);
         self.at(lag, Event::Say(id.clone()));
     }
 
     fn say_again(&mut self, id: &Arc<str>) {
-        let Some(life) = self.workers.get(id).map(|worker| worker.incarnation.clone()) else {
+        let Some(life) = self
+            .workers
+            .get(id)
+            .map(|worker| worker.incarnation.clone())
+        else {
             return;
         };
         let machine = self.machines[id].clone();
@@ -786,7 +792,9 @@
         }
         // What answers says when it was born.
         if worker.incarnation != target.incarnation && matches!(looked, PollReply::Report { .. }) {
-            return Some(PollReply::OtherIncarnation(Some(worker.incarnation.clone())));
+            return Some(PollReply::OtherIncarnation(Some(
+                worker.incarnation.clone(),
+            )));
         }
         Some(looked)
     }
--- a/bench/src/slopes.rs
+++ b/bench/src/slopes.rs
@@ -9,20 +9,20 @@
 use ashtiller::agent::{Report, Running, SyncRequest};
 use ashtiller::balance::Kind;
 use ashtiller::cell::Cell;
-use ashtiller::dispatch::{self, Dispatch, Limits, Admission};
+use ashtiller::config_state::{ConfigState, Head, StoredTemplate};
+use ashtiller::dispatch::{self, Admission, Dispatch, Limits};
 use ashtiller::endpoint::{Listing, Phase};
 use ashtiller::fact::{Attempt, Body, End, Entry, LogRecord, TaskId};
 use ashtiller::health::RequestResult;
-use ashtiller::ledger::{Head, ConfigState, StoredTemplate};
-use ashtiller::line::AdmissionRequest;
-use ashtiller::peer::{LoanRequest, Heartbeat, Peer, Submission, JobReply};
+use ashtiller::peer::{Heartbeat, JobReply, LoanRequest, Peer, Submission};
 use ashtiller::placement::InterferenceAware;
 use ashtiller::plan::Planner;
 use ashtiller::reconcile::{self, StepContext};
 use ashtiller::record;
+use ashtiller::request_queue::AdmissionRequest;
+use ashtiller::rpc;
 use ashtiller::store::CallFuture;
 use ashtiller::template::Class;
-use ashtiller::wire;
 
 use crate::cells;
 
@@ -469,8 +469,8 @@
     for cells in [1, 4, 18] {
         let any = ([127, 0, 0, 1], 0).into();
         let limit = Duration::from_secs(5);
-        let one = wire::bind(any, limit, Arc::new(Greeter { cells })).await?;
-        let other = wire::bind(any, limit, Arc::new(Greeter { cells })).await?;
+        let one = rpc::bind(any, limit, Arc::new(Greeter { cells })).await?;
+        let other = rpc::bind(any, limit, Arc::new(Greeter { cells })).await?;
         let peer = one.client().connect(other.address());
         let greeting = Greeter { cells }.greeting();
         peer.heartbeat(greeting.clone()).await?;
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -15,8 +15,8 @@
 
 use crate::client::Client;
 use crate::proxy::Proxy;
-use crate::standin::agent::WorkerServer;
 use crate::standin::store::Store;
+use crate::standin::worker_server::WorkerServer;
 use crate::touch::{SLACK, Touch};
 
 /// Time between two looks at all workers.
@@ -165,7 +165,8 @@
                 }
             }
             // A room that shrinks does not end what runs there; starts are checked for it.
-            if worker.capacity_changed_at.is_none() && !worker.used().fits_within(&worker.capacity) {
+            if worker.capacity_changed_at.is_none() && !worker.used().fits_within(&worker.capacity)
+            {
                 let text = format!("{} holds {}", worker.incarnation, worker.used());
                 seen.broken.push(text);
             }
@@ -186,7 +187,10 @@
                 continue;
             };
             let late = run.started_at > drained + DRAIN + SLACK;
-            if late && self.touch.lock().holds(owner, run.started_at) && seen.late.insert(key.clone()) {
+            if late
+                && self.touch.lock().holds(owner, run.started_at)
+                && seen.late.insert(key.clone())
+            {
                 seen.broken.push(format!(
                     "entry {owner} started {:?} on {} at {:.3}, {:.3} s after its word that it leaves",
                     key.0,
@@ -209,7 +213,10 @@
                 continue;
             };
             let late = run.started_at > since + EVACUATE + SLACK;
-            if late && self.touch.lock().holds(owner, run.started_at) && seen.late.insert(key.clone()) {
+            if late
+                && self.touch.lock().holds(owner, run.started_at)
+                && seen.late.insert(key.clone())
+            {
                 seen.broken.push(format!(
                     "entry {owner} started {:?} on {} at {:.3}, whose zone {} was evacuated at {:.3}",
                     key.0,
--- a/soak/src/shaky.rs
+++ b/soak/src/shaky.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use crate::checks::Fleet;
-use crate::standin::agent::SharedCrashInjector;
+use crate::standin::worker_server::SharedCrashInjector;
 use crate::world::World;
 
 /// Keeps these draws apart from those of the other faults.
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -22,8 +22,8 @@
 use crate::network::Network;
 use crate::proxy::Proxy;
 use crate::shaky::{Draws, Gone};
-use crate::standin::agent::{WorkerServer, TaskProfiles, SharedCrashInjector};
 use crate::standin::store::{Store, zone_of};
+use crate::standin::worker_server::{SharedCrashInjector, TaskProfiles, WorkerServer};
 use crate::touch::Touch;
 
 /// Time between two questions whether the programs serve.
--- a/standin/src/agent.rs
+++ b/standin/src/agent.rs
@@ -360,7 +360,14 @@
 
     /// An attempt that never came here is recorded as stopped, so that it cannot
     /// start later.
-    fn stop(&mut self, record: &RunHistory, task: &str, attempt: u32, end: EndReason, now: Instant) {
+    fn stop(
+        &mut self,
+        record: &RunHistory,
+        task: &str,
+        attempt: u32,
+        end: EndReason,
+        now: Instant,
+    ) {
         if self.holds(task, attempt) {
             self.end(record, task, end, now);
             return;
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -400,7 +400,8 @@
         Ok(steps) => steps,
         Err(error) => return serve::text(400, error.to_string()),
     };
-    let steps: Result<Vec<TxnOp>, String> = steps.into_iter().map(|step| step_of(step.kv)).collect();
+    let steps: Result<Vec<TxnOp>, String> =
+        steps.into_iter().map(|step| step_of(step.kv)).collect();
     let steps = match steps {
         Ok(steps) => steps,
         Err(error) => return serve::text(400, error),
