--- a/ashtiller/tests/links/clients.rs
+++ b/ashtiller/tests/links/clients.rs
@@ -11,8 +11,8 @@
 use tokio::task::{self, LocalSet};
 use tokio::time;
 
-use crate::follower;
 use crate::client_api::{self, ClientApi};
+use crate::follower;
 use crate::net::Net;
 use crate::peer::Peer;
 
--- a/ashtiller/tests/links/main.rs
+++ b/ashtiller/tests/links/main.rs
@@ -1,13 +1,13 @@
 //! Connections between entry instances, from clients and to the store that go silent for good.
 
+#[path = "../../../platform/client_api.rs"]
+mod client_api;
 mod clients;
 #[path = "../../../platform/codec.rs"]
 #[allow(dead_code, reason = "jobs are read with a part of it")]
 mod codec;
 mod entries;
 mod follower;
-#[path = "../../../platform/client_api.rs"]
-mod client_api;
 #[path = "../../../platform/job.rs"]
 mod job;
 mod lists;
