--- a/ashtiller/tests/owner/blame.rs
+++ b/ashtiller/tests/owner/blame.rs
@@ -1,4 +1,4 @@
-//! Which task is to blame when workers crash.
+//! Attribution of worker crashes to a task.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     Run { task, number }
 }
 
-fn victim(index: u16, number: u32, age: u32, weight: u32) -> LostRun {
+fn lost_run(index: u16, number: u32, age: u32, weight: u32) -> LostRun {
     LostRun {
         run: run(index, number),
         age,
@@ -30,22 +30,22 @@
     }
 }
 
-/// What these crashes say of each task.
-fn suspects(victims: &[LostRun]) -> BTreeMap<Task, Suspect> {
+/// Returns what these crashes record for each task.
+fn suspects(lost_runs: &[LostRun]) -> BTreeMap<Task, Suspect> {
     let mut known: BTreeMap<Task, Suspect> = BTreeMap::new();
-    for victim in victims {
-        known.entry(victim.run.task).or_default().note(victim);
+    for lost_run in lost_runs {
+        known.entry(lost_run.run.task).or_default().note(lost_run);
     }
     known
 }
 
-fn judge(victims: &[LostRun], known: &BTreeMap<Task, Suspect>) -> Option<u16> {
-    let guilty = blame::find_culprit(victims, |task| known.get(&task));
-    guilty.map(|task| task.index)
+fn find_culprit(lost_runs: &[LostRun], known: &BTreeMap<Task, Suspect>) -> Option<u16> {
+    let culprit = blame::find_culprit(lost_runs, |task| known.get(&task));
+    culprit.map(|task| task.index)
 }
 
 #[test]
-fn what_had_just_begun_is_suspected_most() {
+fn a_run_that_has_just_begun_is_the_strongest_suspect() {
     let young = CrashContext {
         age: 30 * MS,
         begun: true,
@@ -61,80 +61,83 @@
 }
 
 #[test]
-fn workers_that_go_together_speak_little_against_a_task_unless_it_has_sisters_there() {
+fn simultaneous_crashes_weigh_little_unless_sibling_tasks_ran_there() {
     let rack = CrashContext {
         age: 30 * MS,
         begun: true,
         many: true,
         alike: false,
     };
-    let sisters = CrashContext {
+    let siblings = CrashContext {
         alike: true,
         ..rack
     };
     assert_eq!(rack.weight(), LIGHT);
-    assert_eq!(sisters.weight(), HEAVY);
+    assert_eq!(siblings.weight(), HEAVY);
 }
 
 #[test]
 fn the_only_strong_suspect_is_convicted_by_a_crash_like_the_first() {
-    let known = suspects(&[victim(0, 1, 40, HEAVY), victim(1, 1, 7000, LIGHT)]);
-    let again = [victim(0, 2, 60, HEAVY), victim(2, 1, 900, HEAVY)];
-    assert_eq!(judge(&again, &known), Some(0));
+    let known = suspects(&[lost_run(0, 1, 40, HEAVY), lost_run(1, 1, 7000, LIGHT)]);
+    let again = [lost_run(0, 2, 60, HEAVY), lost_run(2, 1, 900, HEAVY)];
+    assert_eq!(find_culprit(&again, &known), Some(0));
 }
 
 #[test]
 fn a_crash_that_is_not_like_the_first_convicts_only_the_third_time() {
-    let first = [victim(0, 1, 40, HEAVY)];
-    let second = [victim(0, 2, 4000, LIGHT)];
-    assert_eq!(judge(&second, &suspects(&first)), None);
+    let first = [lost_run(0, 1, 40, HEAVY)];
+    let second = [lost_run(0, 2, 4000, LIGHT)];
+    assert_eq!(find_culprit(&second, &suspects(&first)), None);
     let both = suspects(&[first, second].concat());
-    assert_eq!(judge(&[victim(0, 3, 9000, LIGHT)], &both), Some(0));
+    assert_eq!(find_culprit(&[lost_run(0, 3, 9000, LIGHT)], &both), Some(0));
 }
 
 #[test]
 fn of_two_strong_suspects_neither_is_convicted() {
-    let known = suspects(&[victim(0, 1, 40, HEAVY), victim(1, 1, 40, HEAVY)]);
-    let again = [victim(0, 2, 40, HEAVY), victim(1, 2, 40, HEAVY)];
-    assert_eq!(judge(&again, &known), None);
+    let known = suspects(&[lost_run(0, 1, 40, HEAVY), lost_run(1, 1, 40, HEAVY)]);
+    let again = [lost_run(0, 2, 40, HEAVY), lost_run(1, 2, 40, HEAVY)];
+    assert_eq!(find_culprit(&again, &known), None);
 }
 
 #[test]
 fn a_weak_suspect_is_not_convicted_by_its_second_crash() {
-    let known = suspects(&[victim(0, 1, 7000, LIGHT)]);
-    assert_eq!(judge(&[victim(0, 2, 7000, LIGHT)], &known), None);
+    let known = suspects(&[lost_run(0, 1, 7000, LIGHT)]);
+    assert_eq!(find_culprit(&[lost_run(0, 2, 7000, LIGHT)], &known), None);
 }
 
-/// The worker may have been gone before the start came.
+/// The worker may have been gone before the start arrived.
 #[test]
-fn a_start_that_was_not_confirmed_speaks_little_and_convicts_nobody() {
-    let scene = CrashContext {
+fn an_unconfirmed_start_weighs_little_and_convicts_no_task() {
+    let context = CrashContext {
         age: 30 * MS,
         begun: false,
         many: false,
         alike: false,
     };
-    assert_eq!(scene.weight(), LIGHT);
-    let doubtful = |number| LostRun {
+    assert_eq!(context.weight(), LIGHT);
+    let unconfirmed = |number| LostRun {
         begun: false,
-        ..victim(0, number, 40, LIGHT)
+        ..lost_run(0, number, 40, LIGHT)
     };
-    let once = suspects(&[victim(0, 1, 40, HEAVY)]);
-    assert_eq!(judge(&[doubtful(2)], &once), None);
-    let twice = suspects(&[victim(0, 1, 40, HEAVY), doubtful(2)]);
-    assert_eq!(judge(&[victim(0, 3, 4000, HEAVY)], &twice), Some(0));
-    let never = suspects(&[doubtful(1), doubtful(2)]);
-    assert_eq!(judge(&[doubtful(3)], &never), None);
+    let once = suspects(&[lost_run(0, 1, 40, HEAVY)]);
+    assert_eq!(find_culprit(&[unconfirmed(2)], &once), None);
+    let twice = suspects(&[lost_run(0, 1, 40, HEAVY), unconfirmed(2)]);
+    assert_eq!(
+        find_culprit(&[lost_run(0, 3, 4000, HEAVY)], &twice),
+        Some(0)
+    );
+    let never = suspects(&[unconfirmed(1), unconfirmed(2)]);
+    assert_eq!(find_culprit(&[unconfirmed(3)], &never), None);
 }
 
 #[test]
-fn a_start_is_left_after_the_third_crash() {
+fn starts_are_left_after_the_third_crash() {
     let mut suspect = Suspect::default();
     for number in [2, 5, 6] {
         assert!(!suspect.has_no_starts_left(number));
-        suspect.note(&victim(0, number, 10, LIGHT));
-        // Told twice, by an earlier owner's entry and by a late answer.
-        suspect.note(&victim(0, number, 10, LIGHT));
+        suspect.note(&lost_run(0, number, 10, LIGHT));
+        // Reported twice: by an earlier owner's entry and by a late reply.
+        suspect.note(&lost_run(0, number, 10, LIGHT));
     }
     assert_eq!(suspect.crashes as usize, CRASHES_MAX);
     assert!(!suspect.has_no_starts_left(6 + STARTS_AFTER - 1));
@@ -142,20 +145,20 @@
 }
 
 #[test]
-fn a_crash_that_is_told_late_counts_where_it_belongs() {
+fn a_crash_that_is_reported_late_counts_by_its_run_number() {
     let mut suspect = Suspect::default();
     for number in [4, 2, 5, 1] {
-        suspect.note(&victim(0, number, 10, LIGHT));
+        suspect.note(&lost_run(0, number, 10, LIGHT));
     }
     assert_eq!(suspect.crashed, [1, 2, 4]);
     assert!(suspect.has_no_starts_left(4 + STARTS_AFTER));
 }
 
-/// A task that survived one moment longer than at its crash may crash in the next.
+/// A task that ran slightly longer than at its crash may still crash a moment later.
 #[test]
 fn a_run_has_to_live_twice_as_long_as_at_any_crash() {
     let mut suspect = Suspect::default();
-    suspect.note(&victim(0, 1, 900, HEAVY));
-    suspect.note(&victim(0, 2, 100, HEAVY));
+    suspect.note(&lost_run(0, 1, 900, HEAVY));
+    suspect.note(&lost_run(0, 2, 100, HEAVY));
     assert!(suspect.clears_at() > 1800 * MS);
 }
--- a/ashtiller/tests/owner/crashes.rs
+++ b/ashtiller/tests/owner/crashes.rs
@@ -1,13 +1,13 @@
 //! Tasks that crash the workers that start them.
 //!
-//! Symptom: two tasks were started 33 times each within two minutes, and each time their
-//! worker was gone; 273 runs were lost with them in the first half minute.
-//! Sequence: a run is started, its worker's process ends within 10 ms and is back after some
-//! seconds under another id; all its runs are recorded as lost and wait at once.
-//! Cause: a run whose worker crashed ended like one whose lease had lapsed, which is no
-//! attempt. Nothing counted crashes, so nothing bounded them.
-//! Settled by: `worker's life is over … came back under another id … runs 14`, then `run ended
-//! … Lost` for runs 1 to 6 of one task on six workers, under one owner.
+//! Two tasks were started 33 times each within two minutes, and each start ended their worker; 273
+//! runs were lost with those workers in the first half minute. A run was started, its worker's
+//! process ended within 10 ms and was back some seconds later under another id; all runs of that
+//! worker were recorded as lost and queued again at once. A run whose worker crashed was recorded
+//! like one whose lease had expired, which does not count as an attempt, and nothing else counted
+//! or limited crashes. In the log, `worker's incarnation has ended … came back under another id …
+//! runs 14` was followed by `run ended … Lost` for runs 1 to 6 of one task on six workers, under
+//! one owner.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,74 +22,78 @@
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-/// Time between a crash and the worker's next life.
-const BACK: Duration = Duration::from_millis(2800);
-/// Crashes after which a task may be started twice more at most.
-const CRASHES: usize = 3;
+/// Time between a crash and the worker's next incarnation.
+const RESTART_DELAY: Duration = Duration::from_millis(2800);
+/// Crashes after which a task may be started at most twice more.
+const CRASHES_MAX: usize = 3;
 
 /// Workers that crash when they start a task of the job `bad`.
-pub struct Crashing {
+pub struct CrashingWorkers {
     pub driver: Driver,
     /// Workers as the platform lists them.
-    lives: Vec<ListedWorker>,
-    /// Runs that took their worker down, in order.
+    workers: Vec<ListedWorker>,
+    /// Runs that crashed their worker, in order.
     pub crashed: Vec<Run>,
-    seen: usize,
+    starts_seen: usize,
 }
 
-impl Crashing {
+impl CrashingWorkers {
     pub fn new(workers: u16) -> Self {
-        let lives = (0..workers).map(listed).collect();
-        Self::replay(&[], lives)
+        let workers = (0..workers).map(listed).collect();
+        Self::replay(&[], workers)
     }
 
-    /// The same workers under an owner that reads the log.
-    pub fn replay(facts: &[LogRecord], lives: Vec<ListedWorker>) -> Self {
-        let mut driver = Driver::replay(facts, 0, policy());
-        driver.core.list_all(lives.clone(), driver.now);
+    /// Creates the same workers under an owner that replays the log.
+    pub fn replay(records: &[LogRecord], workers: Vec<ListedWorker>) -> Self {
+        let mut driver = Driver::replay(records, 0, policy());
+        driver.core.list_all(workers.clone(), driver.now);
         Self {
             driver,
-            lives,
+            workers,
             crashed: Vec::new(),
-            seen: 0,
+            starts_seen: 0,
         }
     }
 
-    fn is_bad(&self, run: Run) -> bool {
+    fn is_crashing(&self, run: Run) -> bool {
         let job = &self.driver.core.log_state().jobs[&run.task.job];
         job.job.id.starts_with("bad")
     }
 
-    /// Lets time pass; each worker that starts a bad task is gone, and back later.
-    pub fn pass(&mut self, span: Duration) {
+    /// Advances time by `span`; every worker that starts a task of the job `bad` crashes and
+    /// restarts after a delay.
+    pub fn run_for(&mut self, span: Duration) {
         let end = self.driver.now.at + span;
         while self.driver.now.at < end {
             self.driver.pass(10 * MS);
             if let Some(id) = self.crash_next() {
-                self.driver.pass(BACK);
-                self.come_back(&id);
+                self.driver.pass(RESTART_DELAY);
+                self.restart_worker(&id);
             }
         }
     }
 
-    /// The worker that started a bad task crashes, if one did.
+    /// Crashes the worker that last started a task of the job `bad`, if there is one.
     pub fn crash_next(&mut self) -> Option<Incarnation> {
         let starts = self.driver.starts();
-        let new = starts[self.seen..].to_vec();
-        self.seen = starts.len();
-        let (id, run) = new.into_iter().find(|(_, run)| self.is_bad(*run))?;
+        let new = starts[self.starts_seen..].to_vec();
+        self.starts_seen = starts.len();
+        let (id, run) = new.into_iter().find(|(_, run)| self.is_crashing(*run))?;
         self.crashed.push(run);
         self.driver.crash(&id);
         Some(id)
     }
 
-    /// The worker is listed under another id.
-    pub fn come_back(&mut self, id: &Incarnation) {
-        let life = self.lives.iter_mut().find(|life| life.incarnation == *id);
-        let life = life.expect("a worker that was listed");
-        life.incarnation = format!("{id}x").into();
-        let life = life.clone();
-        self.driver.come_back_as(id, life);
+    /// Lists the worker under another id.
+    pub fn restart_worker(&mut self, id: &Incarnation) {
+        let incarnation = self
+            .workers
+            .iter_mut()
+            .find(|incarnation| incarnation.incarnation == *id);
+        let incarnation = incarnation.expect("a worker that was listed");
+        incarnation.incarnation = format!("{id}x").into();
+        let incarnation = incarnation.clone();
+        self.driver.relist_as(id, incarnation);
     }
 
     pub fn state(&self, id: &str) -> Reply {
@@ -97,7 +101,7 @@
     }
 }
 
-pub fn bad_job(steps: Vec<Step>) -> Job {
+pub fn crashing_job(steps: Vec<Step>) -> Job {
     job("bad", steps)
 }
 
@@ -107,89 +111,87 @@
 
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up() {
-    let mut world = Crashing::new(6);
-    world.driver.submit(bad_job(vec![step(1)]));
-    world.pass(Duration::from_secs(30));
-    let starts = world.crashed.len();
-    assert!(starts <= CRASHES, "started {starts} times");
-    assert_eq!(world.state("bad"), failed());
+    let mut cluster = CrashingWorkers::new(6);
+    cluster.driver.submit(crashing_job(vec![step(1)]));
+    cluster.run_for(Duration::from_secs(30));
+    let starts = cluster.crashed.len();
+    assert!(starts <= CRASHES_MAX, "started {starts} times");
+    assert_eq!(cluster.state("bad"), failed());
 }
 
-/// Each crash is followed by another owner that replays the log, `after` the crashed worker
-/// was listed again; the result is how often the task was started.
+/// Follows each crash by another owner that replays the log, `after` the crashed worker was listed
+/// again. Returns how often the task was started.
 fn start_under_many_owners(after: Duration) -> usize {
-    let mut world = Crashing::new(6);
-    world.driver.submit(bad_job(vec![step(1)]));
-    let mut facts = Vec::new();
+    let mut cluster = CrashingWorkers::new(6);
+    cluster.driver.submit(crashing_job(vec![step(1)]));
+    let mut records = Vec::new();
     let mut starts = 0;
     for _ in 0..8 {
         for _ in 0..3000 {
-            world.driver.pass(10 * MS);
-            if let Some(id) = world.crash_next() {
+            cluster.driver.pass(10 * MS);
+            if let Some(id) = cluster.crash_next() {
                 starts += 1;
-                world.driver.pass(BACK);
-                world.come_back(&id);
-                world.driver.pass(after);
+                cluster.driver.pass(RESTART_DELAY);
+                cluster.restart_worker(&id);
+                cluster.driver.pass(after);
                 break;
             }
         }
-        facts.append(&mut world.driver.facts);
-        world = Crashing::replay(&facts, world.lives);
+        records.append(&mut cluster.driver.records);
+        cluster = CrashingWorkers::replay(&records, cluster.workers);
     }
-    assert_eq!(world.state("bad"), failed());
+    assert_eq!(cluster.state("bad"), failed());
     starts
 }
 
 #[test]
 fn crashes_count_across_owners() {
     let starts = start_under_many_owners(50 * MS);
-    assert!(starts <= CRASHES, "started {starts} times");
+    assert!(starts <= CRASHES_MAX, "started {starts} times");
 }
 
-/// An owner that ends before it knows of the crash records nothing of it; the next one finds
-/// a run on a worker that nobody lists.
+/// An owner that ends before it learns of the crash records nothing of it; the next one finds a run
+/// on a worker that is not listed.
 #[test]
-fn crashes_count_across_owners_that_never_saw_them() {
+fn crashes_count_across_owners_that_never_observed_them() {
     let starts = start_under_many_owners(Duration::ZERO);
-    assert!(starts <= CRASHES + 2, "started {starts} times");
+    assert!(starts <= CRASHES_MAX + 2, "started {starts} times");
 }
 
-/// Twelve tasks that last run on the workers, and go down with each crash there.
+/// Twelve long-running tasks share the workers and are lost with each crash there.
 #[test]
-fn neighbours_of_a_task_that_crashes_workers_are_not_given_up() {
-    let mut world = Crashing::new(6);
+fn neighbours_of_a_task_that_crashes_workers_do_not_fail() {
+    let mut cluster = CrashingWorkers::new(6);
     for number in 0..12 {
-        let lasting = Step {
+        let long_running = Step {
             long_running: true,
             ..step(1)
         };
-        world
+        cluster
             .driver
-            .submit(job(&format!("{number}"), vec![lasting]));
+            .submit(job(&format!("{number}"), vec![long_running]));
     }
-    world.driver.pass(500 * MS);
-    world.driver.submit(bad_job(vec![step(1)]));
-    world.pass(Duration::from_secs(30));
-    assert_eq!(world.state("bad"), failed());
+    cluster.driver.pass(500 * MS);
+    cluster.driver.submit(crashing_job(vec![step(1)]));
+    cluster.run_for(Duration::from_secs(30));
+    assert_eq!(cluster.state("bad"), failed());
     let lost: BTreeSet<u32> = (0..12)
-        .filter(|number| world.state(&number.to_string()) != Reply::State(State::Running))
+        .filter(|number| cluster.state(&number.to_string()) != Reply::State(State::Running))
         .collect();
-    assert!(lost.is_empty(), "given up: {lost:?}");
+    assert!(lost.is_empty(), "failed: {lost:?}");
 }
 
-/// Symptom: on a full fleet a lasting task that had failed did not run for 14 s, with room for it
-/// on three workers.
-///
-/// What happened: 14 workers had crashed, and lasting tasks that ran there were suspected. They were
-/// tried one after the other on the same three workers, on which nothing else starts for 4 s each
-/// time, and in the round in which that was over the next one went there: at 24.3, 28.3, 32.3, 36.3 and 40.3 s on one worker, alike on two others.
-///
-/// Cause: lasting steps that have waited for long go first, the older job before the newer, so the
-/// suspects of older jobs stood before the task. The line `lasting task waits` had
+/// On a full fleet a long-running task that had failed did not run for 14 s, although three workers
+/// had capacity for it. 14 workers had crashed, and the long-running tasks that ran there were
+/// suspected. They were tried one after the other on the same three workers, which accept nothing
+/// else for 4 s during a trial, and the next trial began in the same round in which the previous
+/// one ended: at 24.3, 28.3, 32.3, 36.3 and 40.3 s on one worker, and likewise on the other two.
+/// Long-running steps that have waited long are placed first, older jobs before newer ones, so the
+/// suspects of older jobs came before the task. `lasting task waits` was logged with
 /// `"shut_with_room":"tried 3"` at 30.8, 35.8 and 40.8 s.
 #[test]
-fn trials_leave_room_to_tasks_that_are_not_suspected() {
-    let lasting = |count| Step {
+fn trials_leave_capacity_for_tasks_that_are_not_suspected() {
+    let long_running = |count| Step {
         long_running: true,
         ..step(count)
     };
@@ -203,23 +205,23 @@
         task: task(index),
         number: 1,
     });
-    let victims = runs.map(|run| LostRun {
+    let lost_runs = runs.map(|run| LostRun {
         run,
         age: 8000,
         weight: 2,
         begun: true,
     });
     let accepted = LogRecord::Accepted(
-        Box::new(job("suspects", vec![lasting(3)])),
+        Box::new(job("suspects", vec![long_running(3)])),
         policy(),
         1_000_000,
     );
-    let mut facts = vec![accepted];
-    facts.extend(runs.map(|run| LogRecord::Placed(run, "w9".into(), "".into())));
-    facts.push(LogRecord::Crashed("w9".into(), victims.to_vec()));
-    facts.extend(runs.map(|run| LogRecord::Ended(run, End::Lost, "".into())));
-    let mut driver = Driver::replay(&facts, 1, policy());
-    driver.submit(job("plain", vec![lasting(1)]));
+    let mut records = vec![accepted];
+    records.extend(runs.map(|run| LogRecord::Placed(run, "w9".into(), "".into())));
+    records.push(LogRecord::Crashed("w9".into(), lost_runs.to_vec()));
+    records.extend(runs.map(|run| LogRecord::Ended(run, End::Lost, "".into())));
+    let mut driver = Driver::replay(&records, 1, policy());
+    driver.submit(job("plain", vec![long_running(1)]));
     driver.pass(Duration::from_secs(9));
     let starts = driver.starts();
     let plain = starts.iter().filter(|(_, run)| run.task.job == 1).count();
@@ -232,18 +234,19 @@
     );
 }
 
-/// Symptom: a harmless job was given up. Its worker had been cut off for 0.46 s before its process
-/// ended, and the task had ended done in between (run 2 of `23.0.0.0`: heard of at 70.88 s, done at
-/// 71.31, the process ended at 71.35, `job given up … crashes=2`). The owner took the moment at which
-/// the worker fell silent for that of the crash, when the run was going on for certain. Guards
-/// against crashes that are charged to work that was over.
+/// A crash must not be attributed to a run that had already ended. A harmless job failed after two
+/// crashes: its worker had been unreachable for 0.46 s before its process ended, and the task had
+/// completed in between (run 2 of `23.0.0.0`: last reported at 70.88 s, done at 71.31 s, end of the
+/// process at 71.35 s, `job failed: workers crash under one of its tasks` with `crashes=2`). The
+/// owner took the moment at which the worker stopped answering, when the run was certainly active,
+/// as the time of the crash.
 #[test]
-fn a_run_that_may_have_ended_in_the_dark_was_not_certainly_there_at_the_crash() {
-    for (dark, certain) in [(Duration::ZERO, true), (400 * MS, false)] {
+fn a_run_that_may_have_ended_unobserved_does_not_certainly_belong_to_the_crash() {
+    for (silence, certain) in [(Duration::ZERO, true), (400 * MS, false)] {
         let mut driver = Driver::new(2, policy());
         driver.submit(job("1", vec![step(1)]));
         driver.pass(100 * MS);
-        let (life, run) = driver.starts()[0].clone();
+        let (incarnation, run) = driver.starts()[0].clone();
         let row = Active {
             name: driver.name(run),
             run: run.number,
@@ -251,26 +254,29 @@
             percent: 4,
             figure: None,
         };
-        driver.at_work.push((life.clone(), row));
+        driver.running.push((incarnation.clone(), row));
         driver.pass(100 * MS);
-        driver.mute = Some(life.clone());
-        driver.pass(dark);
-        driver.mute = None;
-        driver.crash(&life);
+        driver.timing_out = Some(incarnation.clone());
+        driver.pass(silence);
+        driver.timing_out = None;
+        driver.crash(&incarnation);
         driver.pass(200 * MS);
-        let machine = driver.core.workers()[&life].listed.clone();
+        let machine = driver.core.workers()[&incarnation].listed.clone();
         let next = ListedWorker {
             incarnation: "next".into(),
             ..machine
         };
-        driver.come_back_as(&life, next);
+        driver.relist_as(&incarnation, next);
         driver.pass(500 * MS);
-        let victims = driver.facts.iter().filter_map(|fact| match fact {
-            LogRecord::Crashed(of, victims) if *of == life => Some(victims),
+        let lost_runs = driver.records.iter().filter_map(|record| match record {
+            LogRecord::Crashed(of, lost_runs) if *of == incarnation => Some(lost_runs),
             _ => None,
         });
-        let victim = victims.flatten().find(|victim| victim.run == run);
-        let victim = victim.expect("its worker crashed");
-        assert_eq!(victim.begun, certain, "silent for {dark:?} before");
+        let lost_run = lost_runs.flatten().find(|lost_run| lost_run.run == run);
+        let lost_run = lost_run.expect("its worker crashed");
+        assert_eq!(
+            lost_run.begun, certain,
+            "unreachable for {silence:?} before"
+        );
     }
 }
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -1,4 +1,4 @@
-//! The owner of a log as a state machine, with a store and workers that answer at once.
+//! Drives the state machine of a log owner with a store and workers that reply immediately.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -75,72 +75,72 @@
     }
 }
 
-/// What becomes of questions to the advisor.
+/// Outcomes of requests to the advisor.
 #[derive(Default, Eq, PartialEq)]
 pub enum Advisor {
-    /// Each is answered.
+    /// Every request is answered.
     #[default]
     Answers,
-    /// The next answer is lost.
+    /// The next reply is lost.
     LosesOne,
-    /// It is still at all of them.
+    /// No request is answered: all are still being processed.
     Works,
 }
 
-/// A core whose store answers at once, and what it wants done.
+/// A core with a simulated store, workers and advisor, and the effects that the core requested.
 pub struct Driver {
     pub core: Core,
     pub now: Now,
-    pub ticket: u64,
+    pub last_token: u64,
     pub orders: Vec<(Incarnation, Run, Order)>,
-    pub answers: Vec<(RequestToken, Reply)>,
-    /// Starts that were refused.
+    pub replies: Vec<(RequestToken, Reply)>,
+    /// Starts that the worker refused.
     pub refused: Vec<(Incarnation, Run)>,
-    pub asked: Vec<AdviceRequest>,
-    /// What becomes of questions to the advisor.
+    pub advice_requests: Vec<AdviceRequest>,
+    /// Outcomes of requests to the advisor.
     pub advisor: Advisor,
-    pub duties: Vec<(Arc<str>, MachineOrder)>,
-    /// What the machines' interface says to each order; nothing when it is silent.
-    pub says: Option<Done>,
-    pub facts: Vec<LogRecord>,
-    /// The only worker that the advisor lets run anything.
-    pub advises: Option<Incarnation>,
-    /// A worker that refuses starts, and why.
-    pub refuses: Option<(Incarnation, Refusal)>,
-    /// A worker that answers no look.
+    pub machine_orders: Vec<(Arc<str>, MachineOrder)>,
+    /// Reply of the machine management interface to each order; `None` while it is silent.
+    pub machine_reply: Option<Done>,
+    pub records: Vec<LogRecord>,
+    /// The only worker that the advisor allows for any run.
+    pub advised_worker: Option<Incarnation>,
+    /// A worker that refuses starts, and the reason it gives.
+    pub refusing_worker: Option<(Incarnation, Refusal)>,
+    /// A worker that does not answer polls.
     pub silent: Option<Incarnation>,
-    /// A worker at which looks run out of time.
-    pub mute: Option<Incarnation>,
-    /// Lives of workers that are over: they answer nothing.
+    /// A worker whose polls time out.
+    pub timing_out: Option<Incarnation>,
+    /// Incarnations that have ended: they answer nothing.
     pub crashed: BTreeSet<Incarnation>,
-    /// Lives that are not where their entries say: another one answers.
-    pub strangers: BTreeSet<Incarnation>,
-    /// Lives that are over, and the next ones, which answer for them.
-    pub reborn: BTreeMap<Incarnation, Incarnation>,
-    /// What each look acknowledged.
+    /// Incarnations that are not at their listed address: another one answers there.
+    pub displaced: BTreeSet<Incarnation>,
+    /// Incarnations that have ended, with the incarnation that now answers at their address.
+    pub restarted: BTreeMap<Incarnation, Incarnation>,
+    /// The number of the last recorded end that each poll acknowledged.
     pub acknowledged: Vec<(Incarnation, u64)>,
-    /// Looks by worker.
-    pub looked: BTreeMap<Incarnation, u32>,
-    /// Rows that a look at a worker shows in place of the usual ones.
-    pub at_work: Vec<(Incarnation, Active)>,
-    /// Ends that each look shows.
-    pub listed_ends: Vec<Finished>,
-    /// Whether looks are answered only when they need not wait any longer.
-    pub patient: bool,
-    /// Looks that wait, and until when.
-    looks: Vec<(Duration, Incarnation)>,
-    /// Whether entries become durable.
-    pub store: bool,
-    /// Whether news of workers comes.
+    /// Number of polls by worker.
+    pub poll_counts: BTreeMap<Incarnation, u32>,
+    /// Rows that a poll of a worker reports in place of the default ones.
+    pub running: Vec<(Incarnation, Active)>,
+    /// Ends that every poll reports.
+    pub reported_ends: Vec<Finished>,
+    /// Whether polls are answered only when their wait is over.
+    pub long_polls: bool,
+    /// Long polls, each with the time at which it is answered.
+    waiting_polls: Vec<(Duration, Incarnation)>,
+    /// Whether log entries become durable.
+    pub store_available: bool,
+    /// Whether the list of workers is kept up to date.
     pub news: bool,
-    /// Availability zones under evacuation; nothing while no news of that comes.
+    /// Availability zones under evacuation; `None` while no reading of them arrives.
     pub evacuated: Option<Zones>,
-    /// A worker whose orders get lost.
-    pub deaf: Option<Incarnation>,
-    /// When the workers' clocks began.
-    pub began: Duration,
-    /// Position of the entry that is not durable.
-    waiting: Option<u64>,
+    /// A worker whose orders get no reply.
+    pub drops_orders: Option<Incarnation>,
+    /// Time at which the workers' clocks started.
+    pub clock_start: Duration,
+    /// Position of the log entry that is not durable yet.
+    pending_append: Option<u64>,
 }
 
 impl Driver {
@@ -148,22 +148,27 @@
         Self::replay(&[], workers, policy)
     }
 
-    /// A new owner of a log that holds these facts.
-    pub fn replay(facts: &[LogRecord], workers: u16, policy: Policy) -> Self {
-        Self::with_terms(&Tuning::default(), facts, workers, policy)
+    /// Creates a new owner of a log that holds these records.
+    pub fn replay(records: &[LogRecord], workers: u16, policy: Policy) -> Self {
+        Self::with_tuning(&Tuning::default(), records, workers, policy)
     }
 
-    /// A new owner of such a log under these terms.
-    pub fn with_terms(terms: &Tuning, facts: &[LogRecord], workers: u16, policy: Policy) -> Self {
+    /// Creates a new owner of such a log with this tuning.
+    pub fn with_tuning(
+        tuning: &Tuning,
+        records: &[LogRecord],
+        workers: u16,
+        policy: Policy,
+    ) -> Self {
         let now = Now {
             at: Duration::from_mins(10),
             wall: 1_000_000,
         };
-        let mut book = LogState::default();
-        for fact in facts {
-            book.apply(fact, now.at);
+        let mut state = LogState::default();
+        for record in records {
+            state.apply(record, now.at);
         }
-        let mut core = Core::new(*terms, 5, book, 1, now);
+        let mut core = Core::new(*tuning, 5, state, 1, now);
         core.set_config(Arc::new(Config {
             version: 1,
             queues: vec![Queue {
@@ -177,40 +182,40 @@
         let mut driver = Self {
             core,
             now,
-            ticket: 0,
+            last_token: 0,
             orders: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             refused: Vec::new(),
-            asked: Vec::new(),
+            advice_requests: Vec::new(),
             advisor: Advisor::Answers,
-            duties: Vec::new(),
-            says: Some(Done::Yes),
-            facts: Vec::new(),
-            advises: None,
-            refuses: None,
+            machine_orders: Vec::new(),
+            machine_reply: Some(Done::Yes),
+            records: Vec::new(),
+            advised_worker: None,
+            refusing_worker: None,
             silent: None,
-            mute: None,
+            timing_out: None,
             crashed: BTreeSet::new(),
-            strangers: BTreeSet::new(),
-            reborn: BTreeMap::new(),
+            displaced: BTreeSet::new(),
+            restarted: BTreeMap::new(),
             acknowledged: Vec::new(),
-            looked: BTreeMap::new(),
-            at_work: Vec::new(),
-            listed_ends: Vec::new(),
-            patient: false,
-            looks: Vec::new(),
-            store: true,
+            poll_counts: BTreeMap::new(),
+            running: Vec::new(),
+            reported_ends: Vec::new(),
+            long_polls: false,
+            waiting_polls: Vec::new(),
+            store_available: true,
             news: true,
             evacuated: Some(Zones::new()),
-            deaf: None,
-            began: Duration::ZERO,
-            waiting: None,
+            drops_orders: None,
+            clock_start: Duration::ZERO,
+            pending_append: None,
         };
         driver.pass(100 * MS);
         driver
     }
 
-    /// Lets time pass; workers answer looks with nothing, and take every order.
+    /// Advances time by `span`; workers accept every order and report what was started there.
     pub fn pass(&mut self, span: Duration) {
         let end = self.now.at + span;
         while self.now.at < end {
@@ -218,11 +223,11 @@
             for effect in self.poll() {
                 self.carry_out(effect);
             }
-            self.answer_looks();
+            self.reply_to_polls();
         }
     }
 
-    /// Polls the core 5 ms later; while news comes, its list is whole as of then.
+    /// Advances the core by 5 ms; while `news` is set, the list of workers is complete as of then.
     fn poll(&mut self) -> Vec<Effect> {
         self.now.at += 5 * MS;
         if self.news {
@@ -234,40 +239,43 @@
         self.core.advance(self.now)
     }
 
-    fn answer_looks(&mut self) {
-        let looks = std::mem::take(&mut self.looks);
-        for (until, id) in looks {
+    fn reply_to_polls(&mut self) {
+        let waiting_polls = std::mem::take(&mut self.waiting_polls);
+        for (until, id) in waiting_polls {
             if self.now.at < until {
-                self.looks.push((until, id));
+                self.waiting_polls.push((until, id));
             } else {
-                self.show(&id);
+                self.report_running(&id);
             }
         }
     }
 
-    /// Reports what runs at a worker.
-    fn show(&mut self, id: &Incarnation) {
-        let rows = self.at_work.iter().filter(|(at, _)| at == id);
+    /// Reports what runs on a worker.
+    fn report_running(&mut self, id: &Incarnation) {
+        let rows = self.running.iter().filter(|(at, _)| at == id);
         let rows = rows.map(|(_, row)| row.clone()).collect();
-        let ends = self.listed_ends.clone();
+        let ends = self.reported_ends.clone();
         self.report(id, rows, ends);
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm for each effect")]
     pub fn carry_out(&mut self, effect: Effect) {
-        if let Effect::Poll(target, look) = &effect {
+        if let Effect::Poll(target, poll) = &effect {
             self.acknowledged
-                .push((target.incarnation.clone(), look.ends_recorded));
-            *self.looked.entry(target.incarnation.clone()).or_insert(0) += 1;
+                .push((target.incarnation.clone(), poll.ends_recorded));
+            *self
+                .poll_counts
+                .entry(target.incarnation.clone())
+                .or_insert(0) += 1;
         }
         match effect {
-            Effect::Poll(target, _) if self.reborn.contains_key(&target.incarnation) => {
-                let next = self.reborn[&target.incarnation].clone();
-                let looked = PollReply::OtherIncarnation(Some(next));
+            Effect::Poll(target, _) if self.restarted.contains_key(&target.incarnation) => {
+                let next = self.restarted[&target.incarnation].clone();
+                let reply = PollReply::OtherIncarnation(Some(next));
                 self.core
-                    .handle_poll_reply(&target.incarnation, Ok(looked), self.now);
+                    .handle_poll_reply(&target.incarnation, Ok(reply), self.now);
             }
-            Effect::Poll(target, _) if self.strangers.contains(&target.incarnation) => {
+            Effect::Poll(target, _) if self.displaced.contains(&target.incarnation) => {
                 self.core.handle_poll_reply(
                     &target.incarnation,
                     Ok(PollReply::OtherIncarnation(None)),
@@ -275,140 +283,140 @@
                 );
             }
             Effect::Order(target, run, order) if self.crashed.contains(&target.incarnation) => {
-                let nothing =
+                let failure =
                     Failure::unknown_effect("order", &target.incarnation, "connection refused");
                 self.core.handle_order_reply(
                     &target.incarnation,
                     run,
                     &order,
-                    Err(nothing),
+                    Err(failure),
                     self.now,
                 );
             }
-            Effect::Poll(target, _) if Some(&target.incarnation) == self.mute.as_ref() => {
-                let nothing =
+            Effect::Poll(target, _) if Some(&target.incarnation) == self.timing_out.as_ref() => {
+                let failure =
                     Failure::unknown_effect("look", &target.incarnation, "no answer in time");
                 self.core
-                    .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
+                    .handle_poll_reply(&target.incarnation, Err(failure), self.now);
             }
             Effect::Poll(target, _) if self.crashed.contains(&target.incarnation) => {
-                let nothing =
+                let failure =
                     Failure::unknown_effect("look", &target.incarnation, "connection refused");
                 self.core
-                    .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
+                    .handle_poll_reply(&target.incarnation, Err(failure), self.now);
             }
-            Effect::Append(position, facts) => {
-                self.facts.extend(facts);
-                if self.store {
+            Effect::Append(position, records) => {
+                self.records.extend(records);
+                if self.store_available {
                     self.core.note_durable(position, self.now.at, self.now);
                 } else {
-                    self.waiting = Some(position);
+                    self.pending_append = Some(position);
                 }
             }
             Effect::Order(target, run, order)
-                if Some(&target.incarnation) == self.deaf.as_ref() =>
+                if Some(&target.incarnation) == self.drops_orders.as_ref() =>
             {
-                let nothing = Failure::unknown_effect("order", &target.incarnation, "no answer");
+                let failure = Failure::unknown_effect("order", &target.incarnation, "no answer");
                 self.core.handle_order_reply(
                     &target.incarnation,
                     run,
                     &order,
-                    Err(nothing),
+                    Err(failure),
                     self.now,
                 );
                 self.orders.push((target.incarnation, run, order));
             }
             Effect::Order(target, run, order) if self.refusal(&target, &order).is_some() => {
                 let refusal = self.refusal(&target, &order).expect("a refusal");
-                let said = Ok(OrderReply::Refused(refusal));
+                let reply = Ok(OrderReply::Refused(refusal));
                 self.core
-                    .handle_order_reply(&target.incarnation, run, &order, said, self.now);
+                    .handle_order_reply(&target.incarnation, run, &order, reply, self.now);
                 self.refused.push((target.incarnation, run));
             }
             Effect::Order(target, run, order) => {
-                let said = Ok(OrderReply::Done(self.clock()));
+                let reply = Ok(OrderReply::Done(self.clock()));
                 self.core
-                    .handle_order_reply(&target.incarnation, run, &order, said, self.now);
+                    .handle_order_reply(&target.incarnation, run, &order, reply, self.now);
                 if let Order::Stop(name, _) = &order {
-                    self.at_work.retain(|(_, row)| row.name != *name);
+                    self.running.retain(|(_, row)| row.name != *name);
                 }
                 self.orders.push((target.incarnation, run, order));
             }
             Effect::Poll(target, _) if Some(&target.incarnation) == self.silent.as_ref() => {
-                let nothing = Failure::unknown_effect("look", &target.incarnation, "no answer");
+                let failure = Failure::unknown_effect("look", &target.incarnation, "no answer");
                 self.core
-                    .handle_poll_reply(&target.incarnation, Err(nothing), self.now);
+                    .handle_poll_reply(&target.incarnation, Err(failure), self.now);
             }
-            Effect::Poll(target, look) if self.patient => {
-                self.looks
-                    .push((self.now.at + look.wait, target.incarnation));
+            Effect::Poll(target, poll) if self.long_polls => {
+                self.waiting_polls
+                    .push((self.now.at + poll.wait, target.incarnation));
             }
-            Effect::Poll(target, _) => self.show(&target.incarnation),
-            Effect::Reply(ticket, reply) => self.answers.push((ticket, reply)),
-            Effect::Advise(question) if self.advisor == Advisor::Works => {
-                self.asked.push(question);
+            Effect::Poll(target, _) => self.report_running(&target.incarnation),
+            Effect::Reply(token, reply) => self.replies.push((token, reply)),
+            Effect::Advise(request) if self.advisor == Advisor::Works => {
+                self.advice_requests.push(request);
             }
-            Effect::Advise(question) => {
-                let AdviceRequest { key, asked_at, .. } = question;
-                let only = self.advises.clone();
+            Effect::Advise(request) => {
+                let AdviceRequest { key, asked_at, .. } = request;
+                let only = self.advised_worker.clone();
                 let allowed = |id: &&Incarnation| only.as_ref().is_none_or(|only| only == *id);
-                let good = question.workers.iter().filter(allowed).take(1);
-                let good = good.map(|id| (id.clone(), Arc::from("t")));
+                let chosen = request.workers.iter().filter(allowed).take(1);
+                let chosen = chosen.map(|id| (id.clone(), Arc::from("t")));
                 let answer = match std::mem::take(&mut self.advisor) {
                     Advisor::LosesOne => {
                         Err(Failure::unknown_effect("advise", "advisor", "no answer"))
                     }
-                    _ => Ok(good.collect()),
+                    _ => Ok(chosen.collect()),
                 };
-                self.asked.push(question);
+                self.advice_requests.push(request);
                 self.core.handle_advice(key, asked_at, answer, self.now);
             }
-            Effect::MachineOrder(machine, duty) => {
-                let nothing = Failure::unknown_effect("order machine", &machine, "no answer");
-                let said = self.says.ok_or(nothing);
+            Effect::MachineOrder(machine, order) => {
+                let failure = Failure::unknown_effect("order machine", &machine, "no answer");
+                let reply = self.machine_reply.ok_or(failure);
                 self.core
-                    .handle_machine_reply(&machine, &duty, said, self.now);
-                self.duties.push((machine, duty));
+                    .handle_machine_reply(&machine, &order, reply, self.now);
+                self.machine_orders.push((machine, order));
             }
         }
     }
 
-    /// A worker's process ends, and with it all that runs there.
+    /// Ends a worker's process, and with it all runs on that worker.
     pub fn crash(&mut self, id: &Incarnation) {
         self.crashed.insert(id.clone());
-        self.at_work.retain(|(at, _)| at != id);
+        self.running.retain(|(at, _)| at != id);
     }
 
-    /// The platform lists another life in place of one that is over.
-    pub fn come_back_as(&mut self, former: &Incarnation, listed: ListedWorker) {
+    /// Lists another incarnation in place of one that has ended.
+    pub fn relist_as(&mut self, former: &Incarnation, listed: ListedWorker) {
         self.core.unlist_worker(former, self.now);
         self.core.list_worker(listed, self.now);
     }
 
-    /// The store answers again, the entry under way first.
-    pub fn come_back(&mut self) {
-        self.store = true;
-        if let Some(position) = self.waiting.take() {
+    /// Makes the store answer again, starting with the pending append.
+    pub fn restore_store(&mut self) {
+        self.store_available = true;
+        if let Some(position) = self.pending_append.take() {
             self.core.note_durable(position, self.now.at, self.now);
         }
     }
 
     fn refusal(&self, target: &Target, order: &Order) -> Option<Refusal> {
-        let (id, refusal) = self.refuses.as_ref()?;
+        let (id, refusal) = self.refusing_worker.as_ref()?;
         let starts = matches!(order, Order::Start(_));
         (starts && target.incarnation == *id).then_some(*refusal)
     }
 
     pub fn clock(&self) -> u64 {
-        u64::try_from(self.now.at.saturating_sub(self.began).as_millis()).unwrap()
+        u64::try_from(self.now.at.saturating_sub(self.clock_start).as_millis()).unwrap()
     }
 
     pub fn report(&mut self, id: &Incarnation, mut active: Vec<Active>, finished: Vec<Finished>) {
-        // What was started there goes on, unless it was stopped or is among the finished.
+        // A run that was started there continues unless it was stopped or has finished.
         for (worker, run, order) in &self.orders {
             if let Order::Start(start) = order
                 && worker == id
-                && self.deaf.as_ref() != Some(worker)
+                && self.drops_orders.as_ref() != Some(worker)
                 && !finished
                     .iter()
                     .any(|end| end.name == start.name && end.run == start.run)
@@ -425,12 +433,12 @@
                 });
             }
         }
-        let looked = PollReply::Report {
+        let reply = PollReply::Report {
             clock: self.clock(),
             active,
             finished,
         };
-        self.core.handle_poll_reply(id, Ok(looked), self.now);
+        self.core.handle_poll_reply(id, Ok(reply), self.now);
     }
 
     fn is_stopped(&self, run: Run) -> bool {
@@ -438,7 +446,7 @@
         orders.any(|(_, at, order)| *at == run && matches!(order, Order::Stop(..)))
     }
 
-    /// Runs that were told to stop.
+    /// Returns the runs that were ordered to stop.
     pub fn stops(&self) -> BTreeSet<Run> {
         let orders = self.orders.iter();
         let stops = orders.filter(|(_, _, order)| matches!(order, Order::Stop(..)));
@@ -446,10 +454,10 @@
     }
 
     pub fn submit(&mut self, job: Job) -> RequestToken {
-        self.ticket += 1;
-        let ticket = RequestToken(self.ticket);
-        self.core.submit(job, ticket, self.now);
-        ticket
+        self.last_token += 1;
+        let token = RequestToken(self.last_token);
+        self.core.submit(job, token, self.now);
+        token
     }
 
     pub fn starts(&self) -> Vec<(Incarnation, Run)> {
@@ -460,7 +468,7 @@
         starts.map(|(id, run, _)| (id.clone(), *run)).collect()
     }
 
-    /// A list of one end.
+    /// Returns a list with one end.
     pub fn ends(&self, run: Run, how: EndReason, number: u64) -> Vec<Finished> {
         vec![Finished {
             number,
@@ -471,29 +479,29 @@
         }]
     }
 
-    /// The next look at a worker shows that this run ended.
+    /// Reports in the next poll of a worker that this run has ended.
     pub fn end(&mut self, id: &Incarnation, run: Run, how: EndReason, number: u64) {
         for _ in 0..1000 {
             let mut rest = Vec::new();
-            let mut looked = false;
+            let mut polled = false;
             for effect in self.poll() {
                 match effect {
-                    Effect::Poll(target, _) if target.incarnation == *id => looked = true,
+                    Effect::Poll(target, _) if target.incarnation == *id => polled = true,
                     other => rest.push(other),
                 }
             }
-            if looked {
+            if polled {
                 let finished = self.ends(run, how, number);
                 self.report(id, Vec::new(), finished);
             }
             for effect in rest {
                 self.carry_out(effect);
             }
-            if looked {
+            if polled {
                 return;
             }
         }
-        panic!("{id} was not looked at");
+        panic!("{id} was not polled");
     }
 
     pub fn name(&self, run: Run) -> TaskName {
--- a/ashtiller/tests/owner/evacuation.rs
+++ b/ashtiller/tests/owner/evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones that operators evacuate: nothing new starts there, and what runs goes on.
+//! Availability zones that operators evacuate: no new run starts there, and active runs continue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-fn terms() -> Tuning {
+fn tuning() -> Tuning {
     Tuning {
         evacuation: Some(Duration::from_secs(5)),
         ..Tuning::default()
     }
 }
 
-/// A worker in the zone that is evacuated.
+/// Returns a worker in the evacuated zone.
 fn inside(number: u16) -> ListedWorker {
     ListedWorker {
         zone: "olten".into(),
@@ -32,9 +32,9 @@
     [(Arc::from("olten"), 17)].into()
 }
 
-/// A driver with some workers in the zone that is evacuated, and some elsewhere.
+/// Returns a driver with `inner` workers in the evacuated zone and `outer` elsewhere.
 fn open(inner: u16, outer: u16) -> Driver {
-    let mut driver = Driver::with_terms(&terms(), &[], 0, policy());
+    let mut driver = Driver::with_tuning(&tuning(), &[], 0, policy());
     let workers = (0..inner).map(inside);
     let workers = workers.chain((inner..inner + outer).map(listed));
     driver.core.list_all(workers.collect(), driver.now);
@@ -46,14 +46,14 @@
     (0..inner).any(|number| *id == inside(number).incarnation)
 }
 
-/// Starts in the zone that is evacuated.
+/// Counts the starts in the evacuated zone.
 fn inner_starts(driver: &Driver, inner: u16) -> usize {
     let starts = driver.starts();
     starts.iter().filter(|(id, _)| is_inside(id, inner)).count()
 }
 
-/// Every look shows a run at this percent.
-fn work(driver: &mut Driver, id: &Incarnation, run: Run, percent: u32) {
+/// Makes every poll report the run with this percentage.
+fn show_running(driver: &mut Driver, id: &Incarnation, run: Run, percent: u32) {
     let row = Active {
         name: driver.name(run),
         run: run.number,
@@ -61,18 +61,18 @@
         percent,
         figure: None,
     };
-    driver.at_work.push((id.clone(), row));
+    driver.running.push((id.clone(), row));
 }
 
 #[test]
-fn nothing_starts_in_an_evacuated_zone_until_it_is_taken_back() {
+fn nothing_starts_in_an_evacuated_zone_until_the_evacuation_is_revoked() {
     let mut driver = open(2, 1);
     driver.evacuated = Some(olten());
     driver.pass(20 * MS);
     driver.submit(job("1", vec![step(10)]));
     driver.pass(Duration::from_secs(1));
     assert_eq!(inner_starts(&driver, 2), 0);
-    // One worker of four processors is left.
+    // One worker with four processors is left.
     assert_eq!(driver.starts().len(), 4);
     driver.evacuated = Some(Zones::new());
     driver.pass(100 * MS);
@@ -88,16 +88,16 @@
     driver.submit(job("1", vec![step(2)]));
     driver.pass(Duration::from_secs(2));
     assert!(driver.starts().is_empty());
-    assert_eq!(driver.answers.len(), 1, "it is accepted");
+    assert_eq!(driver.replies.len(), 1, "it is accepted");
     driver.evacuated = Some(olten());
     driver.pass(100 * MS);
     assert_eq!(driver.starts().len(), 2);
     assert_eq!(inner_starts(&driver, 1), 0);
 }
 
-/// Both tasks of a service, of which none may be away, are at work in the zone.
+/// Both tasks of a service, none of which may be missing, run in the zone.
 #[test]
-fn what_runs_in_an_evacuated_zone_goes_on() {
+fn active_runs_in_an_evacuated_zone_continue() {
     let mut driver = open(2, 2);
     let service = Step {
         long_running: true,
@@ -109,7 +109,7 @@
     driver.submit(job("1", vec![service, step(1)]));
     driver.pass(200 * MS);
     for (id, run) in driver.starts() {
-        work(&mut driver, &id, run, 100);
+        show_running(&mut driver, &id, run, 100);
     }
     driver.pass(200 * MS);
     driver.evacuated = Some(olten());
@@ -121,29 +121,29 @@
 
 /// The record of a run becomes durable after its zone was evacuated.
 #[test]
-fn a_run_that_has_not_begun_begins_elsewhere() {
+fn a_run_that_has_not_started_starts_elsewhere() {
     for offset in 0..8 {
         let mut driver = open(1, 0);
         driver.pass(offset * 5 * MS);
-        driver.store = false;
+        driver.store_available = false;
         driver.submit(job("1", vec![step(1)]));
         driver.pass(100 * MS);
         driver.core.list_worker(listed(1), driver.now);
         driver.evacuated = Some(olten());
         driver.pass(offset * 5 * MS);
-        driver.come_back();
+        driver.restore_store();
         driver.pass(Duration::from_secs(1));
         assert_eq!(inner_starts(&driver, 1), 0, "{offset}");
-        assert_eq!(driver.starts().len(), 1, "it begins elsewhere, {offset}");
+        assert_eq!(driver.starts().len(), 1, "it starts elsewhere, {offset}");
     }
 }
 
-/// A start without an answer goes out again after 60 ms, unless its zone was evacuated.
+/// An unanswered start is sent again after 60 ms, unless its zone was evacuated.
 #[test]
 fn a_start_in_doubt_is_not_sent_again() {
     for offset in 0..16 {
         let mut driver = open(1, 0);
-        driver.deaf = Some("w0".into());
+        driver.drops_orders = Some("w0".into());
         driver.pass(offset * 5 * MS);
         driver.submit(job("1", vec![step(1)]));
         while driver.starts().is_empty() {
@@ -158,8 +158,8 @@
     }
 }
 
-/// A zone may have been evacuated right after the last reading. A start takes up to 1.756 s, over
-/// a relay, of the 5 s that are left then.
+/// A zone may have been evacuated right after the last reading. A start takes up to 1.756 s over a
+/// relay, which counts against the 5 s that remain then.
 #[test]
 fn starts_wait_while_the_reading_of_evacuations_is_old() {
     for (age, started) in [(3100, 1), (3300, 0)] {
@@ -175,7 +175,8 @@
     }
 }
 
-/// An instance followed the entries before it became the owner; what it knows may be old then.
+/// An instance follows the evacuation entries before it becomes the owner, so what it knows may be
+/// outdated by then.
 #[test]
 fn a_new_owner_starts_nothing_before_it_knows_of_evacuations() {
     let mut driver = open(1, 1);
@@ -205,7 +206,7 @@
     assert_eq!(driver.starts().len(), 1);
 }
 
-/// The log has a run in the zone. Whether the former owner started it, the worker tells.
+/// The log has a run in the zone. Only the worker knows whether the former owner started it.
 #[test]
 fn a_new_owner_withdraws_only_what_has_not_begun() {
     let task = Task {
@@ -215,15 +216,15 @@
         index: 0,
     };
     let run = Run { task, number: 1 };
-    let facts = [
+    let records = [
         LogRecord::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
         LogRecord::Placed(run, "w0".into(), Arc::from("")),
     ];
     for begun in [false, true] {
-        let mut driver = Driver::with_terms(&terms(), &facts, 0, policy());
+        let mut driver = Driver::with_tuning(&tuning(), &records, 0, policy());
         driver.evacuated = Some(olten());
         if begun {
-            work(&mut driver, &"w0".into(), run, 40);
+            show_running(&mut driver, &"w0".into(), run, 40);
         }
         driver.core.list_all(vec![inside(0), listed(1)], driver.now);
         driver.pass(Duration::from_secs(1));
@@ -233,11 +234,11 @@
     }
 }
 
-/// A gang that has begun in part is withdrawn whole, and begins where there is room.
+/// A partly started gang is withdrawn as a whole and starts where there is capacity.
 #[test]
 fn a_gang_is_withdrawn_whole() {
     let mut driver = open(1, 1);
-    driver.store = false;
+    driver.store_available = false;
     let gang = Step {
         gang: true,
         ..step(6)
@@ -250,7 +251,7 @@
     };
     driver.core.list_worker(more, driver.now);
     driver.evacuated = Some(olten());
-    driver.come_back();
+    driver.restore_store();
     driver.pass(Duration::from_secs(2));
     assert_eq!(inner_starts(&driver, 1), 0);
     let numbers = driver.starts().into_iter().map(|(_, run)| run.number);
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -1,11 +1,12 @@
-//! Fences that rise within the time of one owner.
+//! Fences that rise during the time of one owner, so that a later incarnation of a worker does not
+//! execute earlier calls.
 //!
-//! Symptom: a task that was done began again. A look that acknowledged ends up to 6 went
-//! unanswered; the worker started again under its id, without a birth, and a start was refused
-//! by the network and sent once more: the new life took it (clock 1281 ms), ended it, and then the
-//! look came, 3.3 s late. The new life forgot an end that nobody had read, and the run counted as
-//! lost. Settled by the order of the calls at that life: start at 71.845 s, look at 73.640 s, both
-//! with fence 2. Guards against calls of before that a later life carries out.
+//! A task that was done started again. A poll that acknowledged ends up to 6 went unanswered; the
+//! worker restarted under its id, without a start time. The network refused a start, which was sent
+//! once more: the new incarnation accepted it (clock 1281 ms) and ended the run, and then the poll
+//! arrived, 3.3 s late. The new incarnation forgot an end that nobody had read, and the run was
+//! counted as lost. That incarnation received the start at 71.845 s and the poll at 73.640 s, both
+//! with fence 2.
 
 use std::time::Duration;
 
@@ -18,7 +19,8 @@
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-/// Passes time until a call is made that `wants` takes; the others are carried out.
+/// Advances time until a call that `wants` accepts is made and returns it; other calls are
+/// executed.
 fn await_call<T>(driver: &mut Driver, mut wants: impl FnMut(&Effect) -> Option<T>) -> T {
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
@@ -39,8 +41,8 @@
 
 fn acknowledges(effect: &Effect) -> Option<(Target, Poll)> {
     match effect {
-        Effect::Poll(target, look) if look.ends_recorded > 0 => {
-            Some((target.clone(), look.clone()))
+        Effect::Poll(target, poll) if poll.ends_recorded > 0 => {
+            Some((target.clone(), poll.clone()))
         }
         _ => None,
     }
@@ -55,15 +57,16 @@
     }
 }
 
-/// A worker with an end that was acknowledged by a look which is on its way.
-fn begin(listed: ListedWorker) -> (Driver, Target) {
+/// Returns a worker with an end that is acknowledged by a poll in flight, and the target of that
+/// poll.
+fn with_ack_in_flight(listed: ListedWorker) -> (Driver, Target) {
     let mut driver = Driver::new(0, policy());
     driver.core.list_all(vec![listed], driver.now);
     driver.pass(100 * MS);
     driver.submit(job("1", vec![step(1)]));
     driver.pass(200 * MS);
-    let (life, run) = driver.starts()[0].clone();
-    driver.end(&life, run, EndReason::Done, 6);
+    let (incarnation, run) = driver.starts()[0].clone();
+    driver.end(&incarnation, run, EndReason::Done, 6);
     let (target, _) = await_call(&mut driver, acknowledges);
     (driver, target)
 }
@@ -74,46 +77,51 @@
 }
 
 #[test]
-fn what_is_sent_after_a_call_failed_keeps_out_an_acknowledgement_of_before() {
-    let (mut driver, look) = begin(listed(0));
+fn calls_after_a_failed_call_fence_out_an_earlier_acknowledgement() {
+    let (mut driver, polled) = with_ack_in_flight(listed(0));
     see_entry(&mut driver, 1);
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
-    assert_eq!(first.fence, look.fence);
+    assert_eq!(first.fence, polled.fence);
     let refused = Failure::no_effect("order", &first.incarnation, "connection refused");
     let core = &mut driver.core;
     core.handle_order_reply(&first.incarnation, run, &order, Err(refused), driver.now);
     let (again, ..) = await_call(&mut driver, starts);
-    assert!(again.fence > look.fence, "the look comes after this start");
+    assert!(
+        again.fence > polled.fence,
+        "the poll arrives after this start"
+    );
 }
 
 #[test]
-fn a_later_owner_has_a_higher_fence_than_any_of_before() {
-    let (mut driver, look) = begin(listed(0));
+fn a_later_owner_has_a_higher_fence_than_all_earlier_calls() {
+    let (mut driver, polled) = with_ack_in_flight(listed(0));
     see_entry(&mut driver, 9);
-    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
+    let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
-        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
+        .handle_poll_reply(&polled.incarnation, Err(failure), driver.now);
     let (target, ..) = await_call(&mut driver, |effect| match effect {
-        Effect::Poll(target, look) => Some((target.clone(), look.clone())),
+        Effect::Poll(target, poll) => Some((target.clone(), poll.clone())),
         _ => None,
     });
-    // The store counts on with each write, and a later owner's epoch is such a revision.
+    // The revision of the store increases with every write, and the epoch of a later owner is such
+    // a revision.
     assert_eq!(target.fence, driver.core.epoch() + 9);
 }
 
-/// An order that was on its way when the fence rose is refused, which is no word of another owner.
+/// An order that was in flight when the fence rose is rejected, which does not prove that there is
+/// another owner.
 #[test]
-fn an_order_that_its_own_fence_keeps_out_goes_out_again() {
-    let (mut driver, look) = begin(listed(0));
+fn an_order_rejected_by_its_own_fence_is_sent_again() {
+    let (mut driver, polled) = with_ack_in_flight(listed(0));
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
+    let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
-        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
+        .handle_poll_reply(&polled.incarnation, Err(failure), driver.now);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
     core.handle_order_reply(&first.incarnation, run, &order, fenced, driver.now);
@@ -124,44 +132,42 @@
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
     core.handle_order_reply(&again.incarnation, run, &order, fenced, driver.now);
-    assert!(
-        driver.core.is_superseded(),
-        "nothing of before is under way"
-    );
+    assert!(driver.core.is_superseded(), "no earlier call is in flight");
 }
 
 #[test]
-fn a_look_that_its_own_fence_keeps_out_is_no_word_of_another_owner() {
-    let (mut driver, look) = begin(listed(0));
+fn a_poll_rejected_by_its_own_fence_does_not_prove_another_owner() {
+    let (mut driver, polled) = with_ack_in_flight(listed(0));
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown_effect("order", &first.incarnation, "no answer in time");
+    let failure = Failure::unknown_effect("order", &first.incarnation, "no answer in time");
     let core = &mut driver.core;
-    core.handle_order_reply(&first.incarnation, run, &order, Err(nothing), driver.now);
+    core.handle_order_reply(&first.incarnation, run, &order, Err(failure), driver.now);
     driver
         .core
-        .handle_poll_reply(&look.incarnation, Ok(PollReply::Fenced), driver.now);
+        .handle_poll_reply(&polled.incarnation, Ok(PollReply::Fenced), driver.now);
     assert!(!driver.core.is_superseded());
 }
 
-/// A next life waited for 13 s, until no acknowledgement meant for the one before could come.
+/// The next incarnation used to wait for 13 s, until no acknowledgement meant for the previous one
+/// could arrive.
 #[test]
-fn a_life_that_has_taken_a_higher_fence_gets_work_at_once() {
-    let born = |at| ListedWorker {
+fn an_incarnation_that_has_accepted_a_higher_fence_gets_work_immediately() {
+    let started_at = |at| ListedWorker {
         incarnation: Incarnation::new("w0", Some(at)),
         ..listed(0)
     };
-    let (mut driver, look) = begin(born(1000));
+    let (mut driver, polled) = with_ack_in_flight(started_at(1000));
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
+    let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
-        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
-    let next = born(2000);
+        .handle_poll_reply(&polled.incarnation, Err(failure), driver.now);
+    let next = started_at(2000);
     driver
-        .reborn
-        .insert(look.incarnation, next.incarnation.clone());
+        .restarted
+        .insert(polled.incarnation, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(Duration::from_secs(1));
@@ -173,28 +179,28 @@
     );
 }
 
-/// Symptom: an owner gave the log up without another one. A call to the former life had been taken
-/// by the next, with a fence that had risen; the first look at that life, listed under its own birth,
-/// bore the owner's epoch and was refused. Guards against fences that are kept for a life.
+/// All incarnations of a worker must share one fence. An owner gave up the log although there was
+/// no other owner: the next incarnation had accepted a call to the former one, with a raised fence,
+/// and then rejected the first poll under its own start time, which carried the owner's epoch.
 #[test]
-fn all_lives_of_a_worker_are_called_with_one_fence() {
-    let born = |at| ListedWorker {
+fn all_incarnations_of_a_worker_are_called_with_one_fence() {
+    let started_at = |at| ListedWorker {
         incarnation: Incarnation::new("w0", Some(at)),
         ..listed(0)
     };
-    let (mut driver, look) = begin(born(1000));
+    let (mut driver, polled) = with_ack_in_flight(started_at(1000));
     see_entry(&mut driver, 1);
-    let nothing = Failure::unknown_effect("look", &look.incarnation, "no answer in time");
+    let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
-        .handle_poll_reply(&look.incarnation, Err(nothing), driver.now);
-    let next = born(2000);
+        .handle_poll_reply(&polled.incarnation, Err(failure), driver.now);
+    let next = started_at(2000);
     driver.core.list_worker(next.clone(), driver.now);
     let (target, _) = await_call(&mut driver, |effect| match effect {
-        Effect::Poll(target, look) if target.incarnation == next.incarnation => {
-            Some((target.clone(), look.clone()))
+        Effect::Poll(target, poll) if target.incarnation == next.incarnation => {
+            Some((target.clone(), poll.clone()))
         }
         _ => None,
     });
-    assert!(target.fence > look.fence);
+    assert!(target.fence > polled.fence);
 }
--- a/ashtiller/tests/owner/first_list.rs
+++ b/ashtiller/tests/owner/first_list.rs
@@ -1,10 +1,10 @@
-//! After a take-over of 3,000 workers an owner wrote no entry for 2 to 4 s, although it had
-//! looked at no more than 160 of them: long enough to be replaced, each time anew. It compared
-//! each worker in the first list with all others, and with all runs of the former owner, for
-//! earlier lives and for runs to take over. 9 million and 39 million comparisons took 0.8 to 2.3 s
-//! of a whole processor, of which an instance has half.
+//! After a takeover of 3,000 workers an owner wrote no log entry for 2 to 4 s, although it had
+//! polled at most 160 of them. That is long enough to be replaced, and each new owner was replaced
+//! in turn. It compared every worker in the first list with all others, to find earlier
+//! incarnations, and with all runs of the former owner, to find runs to take over. 9 million and 39
+//! million comparisons took 0.8 to 2.3 s of a whole processor, and an instance has half of one.
 //!
-//! Its log showed `hands over the log` with `stalled_ms: 2244`, and `no longer the owner of the
+//! The log showed `hands over the log` with `stalled_ms: 2244`, and `no longer the owner of the
 //! log` with `looks: 160, orders: 0`.
 
 use std::sync::Arc;
@@ -23,16 +23,16 @@
 const WORKERS: u16 = 3000;
 const JOBS: u32 = 600;
 const TASKS: u16 = 22;
-/// After this time without an answer to its heartbeat, a follower doubts the owner.
-const LIMIT: Duration = Duration::from_millis(250);
+/// Time without an answer to its heartbeat after which a follower suspects the owner.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(250);
 
 fn take_over(now: Now) -> Core {
-    let mut book = LogState::default();
+    let mut state = LogState::default();
     let mut place = 0;
     for number in 0..JOBS {
         let job = job(&format!("{number:016x}"), vec![step(TASKS.into())]);
         let accepted = LogRecord::Accepted(Box::new(job), policy(), now.wall);
-        book.apply(&accepted, now.at);
+        state.apply(&accepted, now.at);
         for index in 0..TASKS {
             let task = Task {
                 job: number,
@@ -45,14 +45,15 @@
                 listed(place).incarnation,
                 Arc::from(""),
             );
-            book.apply(&placed, now.at);
+            state.apply(&placed, now.at);
             place = (place + 1) % WORKERS;
         }
     }
-    Core::new(Tuning::default(), 5, book, 1, now)
+    Core::new(Tuning::default(), 5, state, 1, now)
 }
 
-/// Processor time of this thread so far: what others on the machine do is not the owner's.
+/// Returns the processor time that this thread has used, so that other load on the machine does not
+/// count.
 fn processor_time() -> Duration {
     let spent = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID);
     spent.expect("a clock of the thread").into()
@@ -69,7 +70,7 @@
     let began = processor_time();
     core.list_all(list, now);
     let took = processor_time().saturating_sub(began);
-    assert!(took < LIMIT, "{took:?}");
+    assert!(took < HEARTBEAT_TIMEOUT, "{took:?}");
     let runs: usize = core.workers().values().map(|it| it.runs.len()).sum();
     assert_eq!(runs, usize::from(TASKS) * JOBS as usize);
 }
--- a/ashtiller/tests/owner/first_looks.rs
+++ b/ashtiller/tests/owner/first_looks.rs
@@ -1,7 +1,8 @@
-//! An owner takes over on a link of 2 Mbit/s. It looked at all 192 workers at once; their answers,
-//! which list all that runs there, needed 1.2 s of its link, so most came after the limit of a
-//! look and were asked for again. Relays counted as failed for the same reason (`relay fails`, all
-//! six within 10 ms), and direct calls came on top.
+//! An owner takes over on a link of 2 Mbit/s. It polled all 192 workers at once; their replies,
+//! which list every run on each worker, needed 1.2 s of its link, so most arrived after the poll
+//! timeout and were requested again. Relays counted as failed for the same reason (`relay excluded;
+//! its zone uses another relay or direct calls`, all six within 10 ms), and direct calls added to
+//! the load.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,17 +16,17 @@
 
 use crate::driver::{MS, listed};
 
-/// Time that one answer takes on the link.
+/// Transmission time of one reply on the link.
 const ANSWER: Duration = Duration::from_micros(5500);
 
-/// What an owner needed to hear of all workers.
-struct TakeOver {
+/// Time and polls that an owner needed to get replies from all workers.
+struct TakeoverCost {
     took: Duration,
-    looks: u32,
+    polls: u32,
 }
 
-/// An owner takes over so many workers, of which each `silent`-th says nothing, if that is not 0.
-fn take_over(workers: u16, silent: u16) -> TakeOver {
+/// Takes over this many workers; every `silent`-th of them does not reply, unless `silent` is 0.
+fn take_over(workers: u16, silent: u16) -> TakeoverCost {
     let mut now = Now {
         at: Duration::from_mins(10),
         wall: 1_000_000,
@@ -33,13 +34,13 @@
     let began = now.at;
     let mut core = Core::new(Tuning::default(), 5, LogState::default(), 1, now);
     core.list_all((0..workers).map(listed).collect(), now);
-    let says = |life: &Incarnation| {
-        let number: u16 = life.id()[1..].parse().unwrap();
+    let responds = |incarnation: &Incarnation| {
+        let number: u16 = incarnation.id()[1..].parse().unwrap();
         silent == 0 || !number.is_multiple_of(silent)
     };
-    let (mut free, mut under_way) = (now.at, Vec::new());
+    let (mut link_free, mut under_way) = (now.at, Vec::new());
     let mut heard = BTreeSet::new();
-    let mut looks = 0;
+    let mut polls = 0;
     let expected = (0..workers).filter(|number| silent == 0 || !number.is_multiple_of(silent));
     let expected = expected.count();
     while heard.len() < expected && now.at < began + Duration::from_secs(30) {
@@ -48,11 +49,11 @@
             match effect {
                 Effect::Append(position, _) => core.note_durable(position, now.at, now),
                 Effect::Poll(target, _) if !heard.contains(&target.incarnation) => {
-                    looks += 1;
+                    polls += 1;
                     let limit = now.at + POLL_TIMEOUT_MIN;
-                    if says(&target.incarnation) {
-                        free = free.max(now.at) + ANSWER;
-                        under_way.push((free, limit, target.incarnation));
+                    if responds(&target.incarnation) {
+                        link_free = link_free.max(now.at) + ANSWER;
+                        under_way.push((link_free, limit, target.incarnation));
                     } else {
                         under_way.push((Duration::MAX, limit, target.incarnation));
                     }
@@ -64,38 +65,42 @@
             .into_iter()
             .partition(|(answered, limit, _)| (*answered).min(*limit) <= now.at);
         under_way = left;
-        for (answered, limit, life) in over {
-            let looked = if answered <= limit {
-                heard.insert(life.clone());
+        for (answered, limit, incarnation) in over {
+            let reply = if answered <= limit {
+                heard.insert(incarnation.clone());
                 Ok(PollReply::Report {
                     clock: 5000,
                     active: Vec::new(),
                     finished: Vec::new(),
                 })
             } else {
-                Err(Failure::unknown_effect("look", &life, "no answer in time"))
+                Err(Failure::unknown_effect(
+                    "look",
+                    &incarnation,
+                    "no answer in time",
+                ))
             };
-            core.handle_poll_reply(&life, looked, now);
+            core.handle_poll_reply(&incarnation, reply, now);
         }
     }
-    assert_eq!(heard.len(), expected, "all that answer are heard of");
-    TakeOver {
+    assert_eq!(heard.len(), expected, "all workers that reply are known");
+    TakeoverCost {
         took: now.at.saturating_sub(began),
-        looks,
+        polls,
     }
 }
 
 #[test]
-fn a_take_over_on_a_thin_link_asks_for_nothing_twice() {
+fn a_takeover_on_a_slow_link_repeats_no_poll() {
     let whole = take_over(192, 0);
     let least = ANSWER * 192;
-    assert!(whole.looks <= 192 + 8, "{} looks", whole.looks);
+    assert!(whole.polls <= 192 + 8, "{} polls", whole.polls);
     assert!(whole.took <= least + 100 * MS, "{:?}", whole.took);
 }
 
-/// Workers that say nothing must not keep the others waiting.
+/// Silent workers must not delay the others.
 #[test]
-fn silent_workers_hold_up_a_take_over_for_three_looks_at_most() {
+fn silent_workers_delay_a_takeover_by_three_polls_at_most() {
     for silent in [2, 7] {
         let whole = take_over(90, silent);
         let most = ANSWER * 90 + POLL_TIMEOUT_MIN * 3;
--- a/ashtiller/tests/owner/growth.rs
+++ b/ashtiller/tests/owner/growth.rs
@@ -10,7 +10,7 @@
 use ashtiller::workflow::log::Log;
 use tokio::time::{self, Instant};
 
-/// A log of so many entries.
+/// A log with this many entries.
 struct Entries(AtomicU64);
 
 impl Store for Entries {
@@ -43,18 +43,19 @@
     }
 }
 
-/// A follower doubts an owner before it gives it up; the time between counts.
+/// A follower suspects an owner before it replaces it; the time in between counts as observation
+/// time.
 #[tokio::test]
-async fn a_log_that_was_seen_a_while_ago_is_judged_at_once() {
+async fn a_log_that_was_read_a_while_ago_is_judged_immediately() {
     time::pause();
     for (added, expected) in [(0, false), (1, true)] {
         let entries = Arc::new(Entries(AtomicU64::new(7)));
         let log = Log::new(entries.clone(), "flow/", 1);
-        let sight = log.read_tail(5).await.expect("sight");
+        let tail = log.read_tail(5).await.expect("the tail of the log");
         time::advance(Duration::from_millis(700)).await;
         entries.0.fetch_add(added, Ordering::Relaxed);
         let asked = Instant::now();
-        assert_eq!(log.has_grown(sight).await.expect("answer"), expected);
+        assert_eq!(log.has_grown(tail).await.expect("answer"), expected);
         assert!(asked.elapsed() < Duration::from_millis(5), "waited again");
     }
 }
--- a/ashtiller/tests/owner/jobs.rs
+++ b/ashtiller/tests/owner/jobs.rs
@@ -1,4 +1,4 @@
-//! What becomes of jobs: taken, refused, run step by step, repeated, given up.
+//! The course of jobs: accepted, rejected, run step by step, repeated, failed.
 
 use std::time::Duration;
 
@@ -12,61 +12,61 @@
 #[test]
 fn an_accepted_job_is_answered_when_it_is_durable() {
     let mut driver = Driver::new(2, policy());
-    let ticket = driver.submit(job("1", vec![step(2)]));
-    assert!(driver.answers.is_empty());
+    let token = driver.submit(job("1", vec![step(2)]));
+    assert!(driver.replies.is_empty());
     driver.pass(100 * MS);
-    assert_eq!(driver.answers, [(ticket, Reply::Accepted)]);
+    assert_eq!(driver.replies, [(token, Reply::Accepted)]);
     assert_eq!(driver.starts().len(), 2);
-    // The same id again is the same job.
+    // Submitting the same id again refers to the same job.
     let again = driver.submit(job("1", vec![step(2)]));
     driver.pass(100 * MS);
-    assert_eq!(driver.answers[1], (again, Reply::Accepted));
+    assert_eq!(driver.replies[1], (again, Reply::Accepted));
     assert_eq!(driver.starts().len(), 2);
 }
 
 #[test]
 fn nothing_starts_before_its_record_is_durable() {
     let mut driver = Driver::new(2, policy());
-    driver.store = false;
+    driver.store_available = false;
     driver.submit(job("1", vec![step(2)]));
     driver.pass(300 * MS);
     assert!(driver.starts().is_empty());
-    assert!(driver.answers.is_empty());
+    assert!(driver.replies.is_empty());
 }
 
 #[test]
-fn jobs_are_refused_at_once_while_the_store_is_away() {
+fn jobs_are_refused_immediately_while_the_store_is_unavailable() {
     let mut driver = Driver::new(2, policy());
-    driver.store = false;
+    driver.store_available = false;
     driver.pass(Duration::from_secs(2));
-    let ticket = driver.submit(job("1", vec![step(1)]));
+    let token = driver.submit(job("1", vec![step(1)]));
     driver.pass(10 * MS);
-    assert_eq!(driver.answers, [(ticket, Reply::Refused(1000))]);
+    assert_eq!(driver.replies, [(token, Reply::Refused(1000))]);
     let known = driver
-        .facts
+        .records
         .iter()
-        .any(|fact| matches!(fact, LogRecord::Accepted(..)));
-    assert!(!known, "a refused job is nowhere");
+        .any(|record| matches!(record, LogRecord::Accepted(..)));
+    assert!(!known, "a refused job is not recorded");
     assert_eq!(driver.core.state("1"), Reply::Missing);
 }
 
-/// The same job is asked for twice, just before and just after the store counts as away;
-/// then the store answers. The second call was refused, which says that the job never
-/// runs, while the first was recorded: what waits to be recorded was looked at last.
+/// The same job is submitted twice, just before and just after the store counts as unavailable;
+/// then the store answers. The second request was refused, which promises that the job never runs,
+/// while the first was recorded: jobs waiting to be recorded were checked last.
 #[test]
 fn a_job_that_waits_to_be_recorded_is_not_refused() {
     let mut driver = Driver::new(2, policy());
-    driver.store = false;
+    driver.store_available = false;
     driver.submit(job("1", vec![step(1)]));
     driver.pass(100 * MS);
     let first = driver.submit(job("2", vec![step(1)]));
     driver.now.at += 400 * MS;
     let again = driver.submit(job("2", vec![step(1)]));
-    driver.come_back();
+    driver.restore_store();
     driver.pass(100 * MS);
-    for ticket in [first, again] {
-        let answer = (ticket, Reply::Accepted);
-        assert!(driver.answers.contains(&answer), "{:?}", driver.answers);
+    for token in [first, again] {
+        let answer = (token, Reply::Accepted);
+        assert!(driver.replies.contains(&answer), "{:?}", driver.replies);
     }
 }
 
--- a/ashtiller/tests/owner/late_ends.rs
+++ b/ashtiller/tests/owner/late_ends.rs
@@ -1,12 +1,11 @@
-//! Ends that a worker reports after their runs were given up.
+//! Ends that a worker reports after their runs were recorded as lost.
 //!
-//! Symptom: a task whose run had ended well was started again, although its worker told of
-//! the end, and was told that the end is recorded.
-//! Sequence: a run is started, its worker's answers do not come through until its lease is
-//! over, the run is recorded as lost; then the worker answers and lists the end.
-//! Cause: the end of a run that the owner no longer had was passed over and acknowledged.
-//! Settled by: `run ended … Lost` for nine runs of a worker that was silent for 6.3 s, two of
-//! which had ended well; both tasks were started again after it answered.
+//! A task whose run had ended well was started again, although its worker reported the end and was
+//! told that the end is recorded. The worker's replies had not come through until its lease
+//! expired, so the run was recorded as lost; then the worker answered and listed the end. The end
+//! of a run that the owner no longer tracked was ignored and acknowledged. In the log, `run ended …
+//! Lost` appeared for nine runs of a worker that was silent for 6.3 s; two of them had ended well,
+//! and both tasks were started again after the worker answered.
 
 use std::time::Duration;
 
@@ -15,12 +14,12 @@
 use ashtiller::workflow::record::{Outcome, Run};
 
 use crate::driver::{Driver, MS, job, policy, step};
-use crate::trial::lasting;
+use crate::trial::long_running;
 
-/// Longer than a lease.
+/// A silence that is longer than a lease.
 const SILENCE: Duration = Duration::from_secs(8);
 
-/// One worker whose only run was started, and was lost to its silence.
+/// Returns one worker whose only run was started and recorded as lost while the worker was silent.
 fn lose_run() -> (Driver, Run) {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![step(1)]));
@@ -28,19 +27,22 @@
     let (id, run) = driver.starts()[0].clone();
     driver.silent = Some(id);
     driver.pass(SILENCE);
-    assert!(!driver.core.log_state().is_live(run), "its lease is over");
+    assert!(
+        !driver.core.log_state().is_live(run),
+        "its lease has expired"
+    );
     (driver, run)
 }
 
-/// The worker answers again, and lists how the run ended.
+/// Makes the worker answer again and list how the run ended.
 fn answer_with(driver: &mut Driver, run: Run, how: EndReason) {
-    driver.listed_ends = driver.ends(run, how, 1);
+    driver.reported_ends = driver.ends(run, how, 1);
     driver.silent = None;
     driver.pass(1000 * MS);
 }
 
 #[test]
-fn work_that_is_done_counts_however_late_it_is_told() {
+fn completed_work_counts_however_late_it_is_reported() {
     let (mut driver, run) = lose_run();
     answer_with(&mut driver, run, EndReason::Done);
     assert_eq!(driver.starts().len(), 1, "it is not started again");
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn work_that_is_done_after_all_stops_its_next_run() {
+fn a_late_completion_stops_the_next_run() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1), step(1)]));
     driver.pass(200 * MS);
@@ -62,11 +64,11 @@
         .find(|(_, it)| it.task == run.task && *it != run);
     let (_, again) = again.cloned().expect("a run elsewhere");
     answer_with(&mut driver, run, EndReason::Done);
-    assert!(driver.stops().contains(&again), "nobody needs it");
+    assert!(driver.stops().contains(&again), "its result is not needed");
 }
 
 #[test]
-fn a_failure_counts_once_however_late_and_often_it_is_told() {
+fn a_failure_counts_once_however_late_and_often_it_is_reported() {
     let (mut driver, run) = lose_run();
     answer_with(&mut driver, run, EndReason::Failed);
     let starts = driver.starts();
@@ -77,26 +79,26 @@
     };
     assert_eq!(failures(&driver), 1);
     driver.pass(1000 * MS);
-    assert_eq!(failures(&driver), 1, "it is told again and again");
+    assert_eq!(failures(&driver), 1, "it is reported repeatedly");
     let (id, last) = starts[1].clone();
-    driver.listed_ends.clear();
+    driver.reported_ends.clear();
     driver.end(&id, last, EndReason::Failed, 2);
     driver.pass(300 * MS);
     let state = driver.core.state("1");
     assert_eq!(state, Reply::State(State::Over(Outcome::Failed)));
 }
 
-/// A task that lasts is never done; whatever became of a lost run, it is needed.
+/// A long-running task is never done; whatever became of a lost run, the task must run.
 #[test]
-fn a_lasting_task_is_started_again_whatever_is_told_of_a_lost_run() {
+fn a_long_running_task_restarts_however_its_lost_run_ended() {
     let mut driver = Driver::new(1, policy());
-    driver.submit(job("1", vec![lasting(1000)]));
+    driver.submit(job("1", vec![long_running(1000)]));
     driver.pass(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     driver.silent = Some(id);
     driver.pass(SILENCE);
     answer_with(&mut driver, run, EndReason::Done);
-    driver.listed_ends.clear();
+    driver.reported_ends.clear();
     driver.pass(1000 * MS);
     assert_eq!(driver.starts().len(), 2);
 }
--- a/ashtiller/tests/owner/leaving.rs
+++ b/ashtiller/tests/owner/leaving.rs
@@ -1,4 +1,4 @@
-//! Workers that leave without saying so: their entry goes, and they work on for a while.
+//! Workers that leave without notice: their entry disappears, and they continue to run for a while.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-/// A driver on which both tasks of a service are at work, on workers of their own.
+/// Returns a driver on which both tasks of a service run, on separate workers.
 fn serving(away_max: Option<u32>) -> (Driver, Vec<(Incarnation, Run)>) {
     let mut driver = Driver::new(4, policy());
     let service = Step {
@@ -24,14 +24,14 @@
     driver.pass(200 * MS);
     let starts = driver.starts();
     for (id, run) in &starts {
-        let at_work = Active {
+        let running = Active {
             name: driver.name(*run),
             run: run.number,
             checkpoint: "".into(),
             percent: 100,
             figure: None,
         };
-        driver.at_work.push((id.clone(), at_work));
+        driver.running.push((id.clone(), running));
     }
     driver.pass(200 * MS);
     (driver, starts)
@@ -50,7 +50,7 @@
     assert_ne!(placed[2].0, id);
 }
 
-/// They may be cut off from the store only, and well.
+/// The workers may be cut off from the store only and otherwise healthy.
 #[test]
 fn services_leave_workers_without_entries_as_their_step_allows() {
     for (away_max, expected) in [(Some(0), 0), (Some(1), 1), (None, 2)] {
@@ -64,23 +64,23 @@
 }
 
 #[test]
-fn nothing_leaves_a_worker_whose_entry_lapsed_while_the_store_was_away() {
+fn nothing_leaves_a_worker_whose_entry_expired_while_the_store_was_unavailable() {
     let (mut driver, starts) = serving(None);
-    driver.store = false;
+    driver.store_available = false;
     driver.pass(Duration::from_secs(3));
     driver.core.unlist_worker(&starts[0].0, driver.now);
     driver.pass(200 * MS);
-    driver.come_back();
+    driver.restore_store();
     driver.pass(2000 * MS);
     assert_eq!(driver.stops().len(), 0, "it may be listed again");
     driver.pass(2000 * MS);
-    assert_eq!(driver.stops().len(), 1, "it is gone for good");
+    assert_eq!(driver.stops().len(), 1, "it does not come back");
 }
 
-/// Two lives of one worker are listed for a moment after a restart; the one that answers is
+/// Two incarnations of one worker are listed for a moment after a restart; the one that answers is
 /// the newer.
 #[test]
-fn the_newer_of_two_lives_stays() {
+fn the_newer_of_two_incarnations_stays() {
     let mut driver = Driver::new(1, policy());
     driver.crash(&"w0".into());
     let newer = ListedWorker {
@@ -89,6 +89,6 @@
     };
     driver.core.list_all(vec![listed(0), newer], driver.now);
     driver.pass(20 * MS);
-    let lives: Vec<Incarnation> = driver.core.workers().keys().cloned().collect();
-    assert_eq!(lives, ["a-newer-life".into()]);
+    let incarnations: Vec<Incarnation> = driver.core.workers().keys().cloned().collect();
+    assert_eq!(incarnations, ["a-newer-life".into()]);
 }
--- a/ashtiller/tests/owner/listing.rs
+++ b/ashtiller/tests/owner/listing.rs
@@ -1,4 +1,4 @@
-//! Lists of what stands in the store.
+//! Lists of the contents of the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,8 +49,8 @@
 #[tokio::test]
 async fn what_changed_last_is_listed_last() {
     let (sender, mut seen) = mpsc::channel(1);
-    let (_patience, patience) = watch::channel(follow::LONG_WAIT);
-    let follow = follow::follow(Arc::new(Pages), "workers/", patience, sender);
+    let (_wait, wait) = watch::channel(follow::LONG_WAIT);
+    let follow = follow::follow(Arc::new(Pages), "workers/", wait, sender);
     let following = tokio::spawn(follow);
     let Some(StoreUpdate::All { items, .. }) = seen.recv().await else {
         panic!("no list");
--- a/ashtiller/tests/owner/main.rs
+++ b/ashtiller/tests/owner/main.rs
@@ -1,4 +1,4 @@
-//! The owner of a log as a state machine: its single decisions, case by case.
+//! Tests of the owner of a log as a state machine: its single decisions, case by case.
 
 mod asleep;
 mod blame;
--- a/ashtiller/tests/owner/news.rs
+++ b/ashtiller/tests/owner/news.rs
@@ -1,4 +1,4 @@
-//! How old the news of workers may be when a run starts.
+//! How old the list of workers may be when a run starts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,32 +12,33 @@
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
 fn placed(driver: &Driver) -> usize {
-    let facts = driver.facts.iter();
-    facts
-        .filter(|fact| matches!(fact, LogRecord::Placed(..)))
+    let records = driver.records.iter();
+    records
+        .filter(|record| matches!(record, LogRecord::Placed(..)))
         .count()
 }
 
-/// A driver that has placed one run, whose record waits for the store, and its worker.
+/// Returns a driver that has placed one run, whose record waits for the store, and the worker of
+/// that run.
 fn recording(workers: u16) -> (Driver, Incarnation) {
     let mut driver = Driver::new(workers, policy());
-    driver.store = false;
+    driver.store_available = false;
     driver.submit(job("1", vec![step(1)]));
     driver.pass(100 * MS);
     let worker = placed_on(&driver);
     (driver, worker)
 }
 
-/// The worker of the first run that was placed.
+/// Returns the worker of the first run that was placed.
 fn placed_on(driver: &Driver) -> Incarnation {
-    let worker = driver.facts.iter().find_map(|fact| match fact {
+    let worker = driver.records.iter().find_map(|record| match record {
         LogRecord::Placed(_, worker, _) => Some(worker.clone()),
         _ => None,
     });
     worker.expect("a run was placed")
 }
 
-/// A worker's entry, by which it drains.
+/// Returns the entry of a worker that drains.
 fn drains(id: &Incarnation) -> ListedWorker {
     ListedWorker {
         draining: true,
@@ -51,17 +52,17 @@
     starts.iter().filter(|(worker, _)| worker == id).count()
 }
 
-/// A run starts on a worker that drains, over two seconds after the store knew. The run is
-/// placed, the channel of the watch goes silent, the worker drains, and the record of the
-/// run becomes durable. Nothing asked at the order how old the list of workers was. With
-/// the list of 2 s ago, and 0.35 s for the order, the start came 2.35 s after the word.
+/// A run started on a draining worker more than two seconds after the store held the notice. The
+/// run is placed, the connection of the watch goes silent, the worker drains, and the record of the
+/// run becomes durable. Orders did not check the age of the list of workers: with a list that was 2
+/// s old, and 0.35 s for the order, the start arrived 2.35 s after the notice.
 #[test]
 fn a_start_waits_while_the_list_of_workers_is_old() {
     for (age, started) in [(1600, 1), (1700, 0)] {
         let (mut driver, _) = recording(2);
         driver.news = false;
         driver.pass(age * MS);
-        driver.come_back();
+        driver.restore_store();
         driver.pass(20 * MS);
         assert_eq!(driver.starts().len(), started, "list of {age} ms ago");
         driver.pass(Duration::from_secs(1));
@@ -76,8 +77,8 @@
     }
 }
 
-/// Runs pile up on workers that may be leaving. The channel of the watch goes silent while
-/// jobs come in. Placing did not ask how old the list was: a run was placed 2 s after it.
+/// Runs accumulate on workers that may be leaving. The connection of the watch goes silent while
+/// jobs are submitted. Placement did not check the age of the list: a run was placed 2 s after it.
 #[test]
 fn nothing_is_placed_while_the_list_of_workers_is_old() {
     let mut driver = Driver::new(2, policy());
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn runs_go_on_and_are_stopped_while_the_list_of_workers_is_old() {
+fn runs_continue_and_can_be_stopped_while_the_list_of_workers_is_old() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1)]));
     driver.pass(200 * MS);
@@ -100,38 +101,38 @@
     driver.pass(Duration::from_secs(15));
     assert_eq!(driver.core.counts().lost, 0);
     assert_eq!(driver.stops().len(), 0);
-    driver.ticket += 1;
+    driver.last_token += 1;
     driver
         .core
-        .cancel("1", RequestToken(driver.ticket), driver.now);
+        .cancel("1", RequestToken(driver.last_token), driver.now);
     driver.pass(100 * MS);
     assert_eq!(driver.stops().len(), 1);
 }
 
-/// A run starts on a worker that said long ago that it leaves. The run's record becomes
-/// durable, or its retry is due, in the poll that takes the word, and what empties workers
-/// looks at them every 20 ms only. Orders did not ask whether their worker leaves: in three
-/// polls of four a start came after the word.
+/// A run started on a worker that had announced long before that it leaves. The run's record
+/// becomes durable, or its retry is due, in the same step of the core that processes the notice,
+/// while leaving workers are emptied only every 20 ms. Orders did not check whether their worker
+/// leaves: in three steps of four a start was sent after the notice.
 #[test]
 fn no_start_is_ordered_once_its_worker_drains() {
     for offset in 0..8 {
         let (mut driver, worker) = recording(2);
         driver.pass(offset * 5 * MS);
         driver.core.list_worker(drains(&worker), driver.now);
-        driver.come_back();
+        driver.restore_store();
         driver.pass(Duration::from_secs(1));
         assert_eq!(starts_at(&driver, &worker), 0, "recorded, {offset}");
         assert_eq!(driver.starts().len(), 1, "it starts elsewhere");
     }
     for offset in 0..16 {
         let mut driver = Driver::new(1, policy());
-        driver.deaf = Some("w0".into());
+        driver.drops_orders = Some("w0".into());
         driver.pass(offset * 5 * MS);
         driver.submit(job("1", vec![step(1)]));
         while driver.starts().is_empty() {
             driver.pass(5 * MS);
         }
-        // The start goes out again after 60 ms.
+        // The start is sent again after 60 ms.
         driver.pass(55 * MS);
         let before = driver.starts().len();
         assert!(before > 0, "a start went out, {offset}");
@@ -141,27 +142,27 @@
     }
 }
 
-/// A run starts on a worker whose entry went. The worker drains and leaves while history
-/// is dropped; the next list lacks it, and the word that it leaves is never seen. Orders
-/// did not ask whether their worker is listed, and a run that was never at work was kept
-/// on it for the sake of what its step may miss: one start went there.
+/// A run started on a worker whose entry had disappeared. The worker drains and leaves while the
+/// watch history is dropped; the next list lacks it, so the notice that it leaves is never read.
+/// Orders did not check whether their worker is listed, and a run that had never been active was
+/// kept on it because its step allows no missing tasks: one start was sent there.
 #[test]
 fn no_start_is_ordered_while_its_worker_is_not_listed() {
-    let lasting = Step {
+    let long_running = Step {
         long_running: true,
         away_max: Some(0),
         ..step(1)
     };
-    for wanted in [step(1), lasting] {
+    for wanted in [step(1), long_running] {
         let mut driver = Driver::new(2, policy());
-        driver.store = false;
+        driver.store_available = false;
         driver.submit(job("1", vec![wanted]));
         driver.pass(100 * MS);
         let rest: Vec<ListedWorker> = (0..2).map(listed).collect();
         let worker = placed_on(&driver);
         let rest = rest.into_iter().filter(|other| other.incarnation != worker);
         driver.core.list_all(rest.collect(), driver.now);
-        driver.come_back();
+        driver.restore_store();
         driver.pass(Duration::from_secs(2));
         assert_eq!(starts_at(&driver, &worker), 0);
         assert_eq!(driver.starts().len(), 1, "it starts elsewhere");
@@ -172,26 +173,26 @@
 fn a_start_goes_out_when_its_worker_is_listed_again() {
     let (mut driver, worker) = recording(1);
     driver.core.unlist_worker(&worker, driver.now);
-    driver.come_back();
+    driver.restore_store();
     driver.pass(200 * MS);
     driver.core.list_worker(listed(0), driver.now);
     driver.pass(20 * MS);
     assert_eq!(starts_at(&driver, &worker), 1);
 }
 
-/// Pages of a list are no snapshot: a watch from the first may tell what a later one had
-/// replaced.
+/// Pages of a list are no snapshot: a watch from the revision of the first page may report entries
+/// that a later page had already replaced.
 #[test]
-fn an_older_entry_does_not_take_the_word_back() {
+fn an_older_entry_does_not_undo_draining() {
     let (mut driver, worker) = recording(1);
     driver.core.list_all(vec![drains(&worker)], driver.now);
     driver.core.list_worker(listed(0), driver.now);
-    driver.come_back();
+    driver.restore_store();
     driver.pass(Duration::from_secs(1));
     assert!(driver.starts().is_empty());
 }
 
-/// The log has a run on a worker; whether the former owner started it is not known.
+/// The log has a run on a worker; whether the former owner started it is unknown.
 #[test]
 fn a_new_owner_starts_nothing_on_workers_that_drain_or_are_not_listed() {
     let task = Task {
@@ -200,12 +201,12 @@
         step: 0,
         index: 0,
     };
-    let facts = [
+    let records = [
         LogRecord::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
         LogRecord::Placed(Run { task, number: 1 }, "w0".into(), Arc::from("")),
     ];
     for offset in 0..8 {
-        let mut driver = Driver::replay(&facts, 0, policy());
+        let mut driver = Driver::replay(&records, 0, policy());
         driver.pass(offset * 5 * MS);
         driver.core.list_worker(listed(1), driver.now);
         driver.pass(offset * 5 * MS);
@@ -216,22 +217,22 @@
     }
 }
 
-/// The store was away, and entries lapsed meanwhile: a worker that is missing gets runs
-/// for 2.5 s. One that is not listed by then has gone.
+/// The store was unavailable, and entries expired meanwhile: a missing worker gets runs for 2.5 s.
+/// One that is not listed by then has left.
 #[test]
 fn no_start_is_ordered_when_a_missing_worker_has_not_come_back() {
     for offset in 0..8 {
         let mut driver = Driver::new(1, policy());
-        driver.store = false;
+        driver.store_available = false;
         driver.pass(Duration::from_secs(1));
         driver.core.unlist_worker(&"w0".into(), driver.now);
-        driver.come_back();
-        driver.deaf = Some("w0".into());
+        driver.restore_store();
+        driver.drops_orders = Some("w0".into());
         driver.pass((2400 + 5 * offset) * MS);
         driver.submit(job("1", vec![step(1)]));
         driver.pass((95 - 5 * offset) * MS);
         let before = driver.starts().len();
-        assert!(before > 0, "it may be back, {offset}");
+        assert!(before > 0, "it may come back, {offset}");
         driver.pass(Duration::from_secs(1));
         assert_eq!(driver.starts().len(), before, "{offset}");
     }
--- a/ashtiller/tests/owner/parts.rs
+++ b/ashtiller/tests/owner/parts.rs
@@ -1,4 +1,4 @@
-//! Jobs, books, leases and lessons, each by itself.
+//! Jobs, log states, leases and learned interference, each by itself.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::driver::{MS, job, policy, step};
 
 #[test]
-fn a_job_is_checked_before_it_is_taken() {
+fn a_job_is_checked_before_it_is_accepted() {
     let after = |steps: Vec<u16>| Step {
         depends_on: steps,
         ..step(1)
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn chains_are_the_longest_way_to_the_end() {
+fn chains_are_the_longest_paths_to_the_end() {
     let mut steps = vec![step(1), step(1), step(1)];
     steps[1].depends_on = vec![0];
     steps[1].estimate = 2000 * MS;
@@ -75,7 +75,7 @@
         Some(56_500)
     );
     assert_eq!(lease.bound(), start + lease::worst_case_elapsed(6500 * MS));
-    // An answer that is overtaken by a later one says nothing.
+    // A reply that a later one has overtaken is ignored.
     lease.hear(49_000, start + Duration::from_secs(1));
     assert_eq!(
         lease.grant(start + Duration::from_secs(1), Duration::ZERO),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn harm_is_learned_by_pair() {
+fn interference_is_learned_by_pair() {
     let mut known = Interference::default();
     let serves = known.number(&"serves".into());
     let (heavy, mild) = (known.number(&"heavy".into()), known.number(&"mild".into()));
@@ -92,7 +92,7 @@
         known.learn(serves, 2.5, None, &[]);
     }
     for round in 0..600u32 {
-        // Headrooms swing around the usual one.
+        // Headroom varies around its usual value.
         let own = 1.0 + f64::from(round % 7) * 0.1 - 0.3;
         let beside = |image| [NeighborFill { image, share: 0.3 }];
         known.learn(serves, 2.5 * (own - 0.3 * 1.7), None, &beside(heavy));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_book_is_the_same_from_a_snapshot() {
+fn a_log_state_is_the_same_from_a_snapshot() {
     let task = Task {
         job: 0,
         occurrence: 0,
@@ -124,7 +124,7 @@
         index: 0,
     };
     let run = Run { task, number: 1 };
-    let facts = [
+    let records = [
         LogRecord::Accepted(Box::new(job("1", vec![step(2)])), policy(), 7),
         LogRecord::Placed(run, "w0".into(), "".into()),
         LogRecord::Ended(run, End::Done, "".into()),
@@ -135,32 +135,32 @@
         LogRecord::Absolved(crash_of(2, 1).run.task),
     ];
     let mut whole = LogState::default();
-    for fact in &facts {
-        whole.apply(fact, MS);
+    for record in &records {
+        whole.apply(record, MS);
     }
-    for cut in 0..facts.len() {
+    for cut in 0..records.len() {
         let mut first = LogState::default();
-        for fact in &facts[..cut] {
-            first.apply(fact, MS);
+        for record in &records[..cut] {
+            first.apply(record, MS);
         }
         let bytes = snapshot::encode(&first).unwrap();
-        let mut book = snapshot::decode(&bytes).unwrap();
-        book.index(MS);
-        for fact in &facts[cut..] {
-            book.apply(fact, MS);
+        let mut state = snapshot::decode(&bytes).unwrap();
+        state.index(MS);
+        for record in &records[cut..] {
+            state.apply(record, MS);
         }
         assert_eq!(
-            snapshot::encode(&book).unwrap(),
+            snapshot::encode(&state).unwrap(),
             snapshot::encode(&whole).unwrap(),
             "cut {cut}"
         );
-        assert_eq!(book.open(), whole.open(), "cut {cut}");
+        assert_eq!(state.open(), whole.open(), "cut {cut}");
     }
     assert_eq!(whole.jobs[&1].outcome, Some(Outcome::Cancelled));
     assert_eq!(whole.suspects().len(), 1);
 }
 
-/// A worker crashed under the first run of a task.
+/// Returns the crash of a worker under the first run of a task.
 fn crash_of(job: u32, index: u16) -> LostRun {
     let task = Task {
         job,
@@ -177,13 +177,13 @@
 }
 
 #[test]
-fn a_snapshot_from_before_there_were_suspects_reads() {
-    let mut book = LogState::default();
-    book.apply(
+fn a_snapshot_without_suspects_is_readable() {
+    let mut state = LogState::default();
+    state.apply(
         &LogRecord::Accepted(Box::new(job("1", vec![step(2)])), policy(), 7),
         MS,
     );
-    let bytes = postcard::to_stdvec(&book).unwrap();
+    let bytes = postcard::to_stdvec(&state).unwrap();
     let read = snapshot::decode(&bytes).unwrap();
     assert_eq!(read.jobs.len(), 1);
     assert!(read.suspects().is_empty());
@@ -191,7 +191,7 @@
 
 /// The bytes are of an entry that was written before workers' crashes were recorded.
 #[test]
-fn facts_of_earlier_versions_read() {
+fn records_of_earlier_versions_are_readable() {
     const BYTES: [u8; 32] = [
         5, 2, 3, 0, 1, 17, 2, 2, 119, 48, 2, 99, 55, 3, 3, 0, 1, 17, 2, 3, 2, 99, 56, 4, 3, 6, 5,
         2, 109, 49, 9, 9,
@@ -203,7 +203,7 @@
         index: 17,
     };
     let run = Run { task, number: 2 };
-    let facts: Vec<LogRecord> = postcard::from_bytes(&BYTES).unwrap();
+    let records: Vec<LogRecord> = postcard::from_bytes(&BYTES).unwrap();
     let expected = [
         LogRecord::Placed(run, "w0".into(), "c7".into()),
         LogRecord::Ended(run, End::Lost, "c8".into()),
@@ -211,5 +211,5 @@
         LogRecord::Upkept(5, "m1".into()),
         LogRecord::Cleared(9),
     ];
-    assert_eq!(facts, expected);
+    assert_eq!(records, expected);
 }
--- a/ashtiller/tests/owner/placing.rs
+++ b/ashtiller/tests/owner/placing.rs
@@ -1,4 +1,4 @@
-//! Which worker gets which task.
+//! Placement of tasks on workers.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     let starts = driver.starts();
     assert_eq!(starts.len(), 6);
     assert!(starts.iter().all(|(_, run)| run.number == 1));
-    // Two workers of four processors make a rack.
+    // Two workers with four processors each form a rack.
     let racks: BTreeSet<u32> = starts
         .iter()
         .map(|(id, _)| id.id()[1..].parse::<u32>().unwrap() / 2)
@@ -91,8 +91,8 @@
     let mut driver = Driver::new(20, advised);
     driver.submit(job("1", vec![step(2)]));
     driver.pass(300 * MS);
-    assert_eq!(driver.asked.len(), 1);
-    let named = driver.asked[0].workers.len();
+    assert_eq!(driver.advice_requests.len(), 1);
+    let named = driver.advice_requests[0].workers.len();
     assert!(named <= 8, "{named}");
     let tickets: Vec<bool> = driver
         .orders
@@ -102,7 +102,7 @@
     assert_eq!(tickets, [true, true]);
 }
 
-/// What the advisor states, and the time that a policy with it gives.
+/// Decision times that the advisor states in the policy, for a request and for each worker in it.
 const DECIDE: Duration = Duration::from_millis(300);
 const EACH: Duration = Duration::from_millis(10);
 
@@ -117,50 +117,47 @@
     }
 }
 
-fn stated(question: &AdviceRequest) -> Duration {
-    DECIDE + EACH * u32::try_from(question.workers.len()).unwrap()
+fn stated_time(request: &AdviceRequest) -> Duration {
+    DECIDE + EACH * u32::try_from(request.workers.len()).unwrap()
 }
 
-/// Symptom: a step whose policy names an advisor was started more than 4 s after it was due.
-///
-/// Sequence: the connection to the advisor is silent; the question on it has no answer; it
-/// is asked again, on a new connection.
-///
-/// Cause: each answer might take 4 s, whatever the policy states.
-///
-/// Figure: of the 3 s in which a promise must hold again after a silence, 4 s were waited.
+/// A step whose policy names an advisor was started more than 4 s after it was due. The connection
+/// to the advisor goes silent, the request on it gets no reply and is repeated on a new connection.
+/// Every reply was allowed 4 s, whatever the policy states, although tasks must start again within
+/// 3 s after a silence.
 #[test]
-fn an_answer_of_the_advisor_may_take_what_the_policy_states() {
+fn a_reply_of_the_advisor_may_take_as_long_as_the_policy_states() {
     let mut driver = Driver::new(20, advised());
     driver.advisor = Advisor::LosesOne;
     driver.submit(job("1", vec![step(2)]));
     driver.pass(600 * MS);
-    let [first, again] = &driver.asked[..] else {
-        panic!("{:?}", driver.asked);
+    let [first, again] = &driver.advice_requests[..] else {
+        panic!("{:?}", driver.advice_requests);
     };
-    assert!(first.limit > stated(first), "{first:?}");
-    let answered = first.limit + 250 * MS + stated(again);
+    assert!(first.limit > stated_time(first), "{first:?}");
+    let answered = first.limit + 250 * MS + stated_time(again);
     assert!(answered < 3000 * MS, "{first:?}");
-    // The advisor may need longer than it states: what was not answered has more time.
+    // The advisor may need longer than it states, so a repeated request gets more time.
     assert!(again.limit >= 4000 * MS, "{again:?}");
 }
 
-/// The advisor takes one question at a time: one that waits for others has their time too.
+/// The advisor processes one request at a time, so the timeout of a queued request includes the
+/// time of those before it.
 #[test]
-fn a_question_to_the_advisor_waits_for_those_before_it() {
+fn a_request_to_the_advisor_waits_for_those_before_it() {
     let mut driver = Driver::new(20, advised());
     driver.advisor = Advisor::Works;
     driver.submit(job("1", vec![step(2)]));
     driver.submit(job("2", vec![step(2)]));
     driver.pass(600 * MS);
-    let [first, second] = &driver.asked[..] else {
-        panic!("{:?}", driver.asked);
+    let [first, second] = &driver.advice_requests[..] else {
+        panic!("{:?}", driver.advice_requests);
     };
-    assert_eq!(second.limit, first.limit + stated(second));
+    assert_eq!(second.limit, first.limit + stated_time(second));
 }
 
 #[test]
-fn a_copy_starts_where_the_step_allows_it_and_the_worker_says_nothing() {
+fn a_copy_starts_if_the_step_allows_it_and_the_worker_is_silent() {
     for (copies, starts) in [(true, 2), (false, 1)] {
         let mut driver = Driver::new(2, policy());
         driver.submit(job(
@@ -181,7 +178,7 @@
 }
 
 #[test]
-fn a_large_lasting_task_is_not_kept_waiting_by_short_ones() {
+fn a_large_long_running_task_is_not_delayed_by_short_ones() {
     let mut driver = Driver::new(1, policy());
     let large = Step {
         long_running: true,
@@ -191,7 +188,7 @@
         },
         ..step(1)
     };
-    // All come in one round; the worker has four processors.
+    // All jobs are submitted in one round; the worker has four processors.
     driver.submit(job("1", vec![step(4)]));
     driver.submit(job("2", vec![large]));
     driver.pass(200 * MS);
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -1,4 +1,4 @@
-//! What the owner of a log does while orders wait, or workers are silent.
+//! Behavior of the owner of a log while orders wait or workers are silent.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 
 use crate::driver::{Driver, MS, job, policy, step};
 
-/// Symptom: 0 jobs were said to wait while 6 had waited for 5 s. Sequence: placed, and the
-/// starts had to wait or got no answer. Cause: a job counted as begun once it was placed.
+/// The number of waiting jobs was reported as 0 while 6 had waited for 5 s. They were placed, but
+/// their starts had to wait or were not answered; a job counted as started once it was placed.
 #[test]
-fn a_job_whose_starts_have_not_come_through_is_said_to_wait() {
+fn a_job_whose_starts_are_unanswered_is_reported_as_waiting() {
     let mut driver = Driver::new(1, policy());
-    driver.deaf = Some("w0".into());
+    driver.drops_orders = Some("w0".into());
     driver.submit(job("1", vec![step(2)]));
     driver.pass(200 * MS);
-    assert!(!driver.starts().is_empty(), "a start is under way");
+    assert!(!driver.starts().is_empty(), "a start is in flight");
     assert_eq!(driver.core.count_pending("jobs/q/"), Reply::Pending(1));
-    driver.deaf = None;
+    driver.drops_orders = None;
     driver.pass(1000 * MS);
     assert_eq!(driver.core.count_pending("jobs/q/"), Reply::Pending(0));
 }
 
-/// Most workers of a fleet are silent: that says nothing of the way to the others.
+/// Most workers of a fleet are silent; that does not prove congestion on the way to the others.
 #[test]
-fn workers_that_are_silent_make_nobody_wait_longer_for_the_others() {
+fn silent_workers_do_not_extend_the_timeouts_of_others() {
     let mut driver = Driver::new(40, policy());
     driver.pass(500 * MS);
     let mut late: Vec<(Duration, Incarnation)> = Vec::new();
@@ -36,13 +36,13 @@
         driver.core.note_complete_listing(driver.now.at);
         for effect in driver.core.advance(driver.now) {
             match effect {
-                // Thirty of forty.
-                Effect::Poll(target, look)
+                // Drops the polls of about thirty of the forty workers.
+                Effect::Poll(target, poll)
                     if !target.incarnation.id().ends_with('0')
                         && target.incarnation.id().len() > 2 =>
                 {
                     late.push((
-                        driver.now.at + look.wait + target.timeout,
+                        driver.now.at + poll.wait + target.timeout,
                         target.incarnation,
                     ));
                 }
@@ -53,8 +53,8 @@
         late = rest;
         let due: Vec<(Duration, Incarnation)> = due;
         for (_, id) in due {
-            let nothing = Failure::unknown_effect("look", &id, "no answer");
-            driver.core.handle_poll_reply(&id, Err(nothing), driver.now);
+            let failure = Failure::unknown_effect("look", &id, "no answer");
+            driver.core.handle_poll_reply(&id, Err(failure), driver.now);
         }
     }
     let pressure = driver.core.congestion();
--- a/ashtiller/tests/owner/refill.rs
+++ b/ashtiller/tests/owner/refill.rs
@@ -1,9 +1,9 @@
-//! Lasting tasks that had been away for 10 s were counted as lost while there was room for them:
-//! a job of 27 had been cancelled, its runs ended between 28.3 and 28.7 s, and the tasks that
-//! waited for their room began 100 to 250 ms after it was free (8 to 35 tasks in seven of
-//! thirteen plays alike; those that are named began within 0.25 s). The owner made a round of
-//! placing at most once in 0.1 ms for each waiting step, so 10 times a second with 1,000 of them,
-//! and room that was left in between stood empty until the next one.
+//! Long-running tasks that had been stopped for 10 s counted as lost while there was capacity for
+//! them: a job of 27 tasks had been cancelled, its runs ended between 28.3 and 28.7 s, and the
+//! tasks waiting for that capacity started 100 to 250 ms after it was free (8 to 35 tasks in seven
+//! of thirteen comparable test runs; those that are named started within 0.25 s). The owner ran a
+//! placement round at most once every 0.1 ms per waiting step, so 10 times a second with 1,000
+//! waiting steps, and capacity that became free in between stayed unused until the next round.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 
 use crate::driver::{Driver, MS, job, policy, step};
 
-/// Two entries of the log at most: one under way, and the one that says where a task goes.
-const LIMIT: Duration = Duration::from_millis(60);
+/// Time of at most two log entries: one in flight, and the one that records the placement.
+const START_MAX: Duration = Duration::from_millis(60);
 
-fn lasting(count: u32) -> Step {
+fn long_running(count: u32) -> Step {
     Step {
         long_running: true,
         ..step(count)
@@ -23,31 +23,31 @@
 }
 
 #[test]
-fn a_lasting_task_gets_room_at_once_however_much_waits() {
+fn a_long_running_task_starts_immediately_however_much_waits() {
     let mut driver = Driver::new(2, policy());
-    driver.submit(job("old", vec![lasting(8)]));
+    driver.submit(job("old", vec![long_running(8)]));
     driver.pass(500 * MS);
     assert_eq!(driver.starts().len(), 8, "both workers are full");
-    driver.submit(job("new", vec![lasting(8)]));
+    driver.submit(job("new", vec![long_running(8)]));
     for number in 0..1500 {
         driver.submit(job(&format!("{number:016x}"), vec![step(2)]));
     }
-    // By then it goes before short ones.
+    // By now it is placed before short tasks.
     driver.pass(4500 * MS);
     assert_eq!(driver.starts().len(), 8);
-    // The next one follows the rounds as closely as that of others, at any moment of theirs.
+    // The start must follow as quickly at any moment within the rounds of placement.
     for (number, moment) in (1..=4u64).zip([0, 35, 70, 105]) {
         driver.pass(500 * MS + moment * MS);
-        let (life, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
-        driver.end(&life, run, EndReason::Stopped, number);
+        let (incarnation, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
+        driver.end(&incarnation, run, EndReason::Stopped, number);
         let ended = driver.now.at;
         let known = driver.starts().len();
         while driver.starts().len() == known {
             driver.pass(5 * MS);
             let waited = driver.now.at.saturating_sub(ended);
             assert!(
-                waited <= LIMIT,
-                "no start {waited:?} after the room was left"
+                waited <= START_MAX,
+                "no start {waited:?} after the capacity was freed"
             );
         }
         let lasts = |order: &Order| matches!(order, Order::Start(start) if !start.name.job.starts_with("00"));
@@ -56,21 +56,25 @@
     }
 }
 
-/// A lasting task began 70 ms after there was room for it. The end had waited up to 30 ms for the
-/// next entry of the log, so that others would share it.
+/// A long-running task started 70 ms after there was capacity for it. The end of the previous run
+/// had waited up to 30 ms for the next log entry, so that other records could share it.
 #[test]
-fn room_for_a_lasting_task_waits_for_no_shared_entry() {
+fn a_long_running_task_does_not_wait_for_a_shared_entry() {
     let mut driver = Driver::new(1, policy());
-    driver.submit(job("old", vec![lasting(4)]));
+    driver.submit(job("old", vec![long_running(4)]));
     driver.pass(500 * MS);
-    driver.submit(job("new", vec![lasting(4)]));
+    driver.submit(job("new", vec![long_running(4)]));
     driver.pass(4500 * MS);
     for (number, moment) in (1..=4u64).zip([0, 10, 20, 30]) {
         driver.pass(500 * MS + moment * MS);
-        let (life, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
-        driver.end(&life, run, EndReason::Stopped, number);
+        let (incarnation, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
+        driver.end(&incarnation, run, EndReason::Stopped, number);
         let known = driver.starts().len();
         driver.pass(15 * MS);
-        assert_eq!(driver.starts().len(), known + 1, "room left at {moment} ms");
+        assert_eq!(
+            driver.starts().len(),
+            known + 1,
+            "capacity freed at {moment} ms"
+        );
     }
 }
--- a/ashtiller/tests/owner/room.rs
+++ b/ashtiller/tests/owner/room.rs
@@ -1,4 +1,4 @@
-//! Who gets the room, among short and lasting steps.
+//! Distribution of capacity among short and long-running steps.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,14 +24,14 @@
     }
 }
 
-fn lasting() -> Step {
+fn long_running() -> Step {
     Step {
         long_running: true,
         ..whole_worker()
     }
 }
 
-/// The newest start, with the id of its job.
+/// Returns the newest start, with the id of its job.
 fn newest(driver: &Driver) -> (Incarnation, Run, Arc<str>) {
     let (id, run) = driver.starts().last().expect("a start").clone();
     let job = driver.core.log_state().jobs[&run.task.job].job.id.clone();
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn a_short_job_does_not_wait_behind_lasting_ones() {
+fn a_short_job_does_not_wait_behind_long_running_ones() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("first", vec![whole_worker()]));
     driver.pass(SECOND);
     let (id, run, _) = newest(&driver);
     for number in 0..5 {
-        driver.submit(job(&format!("lasts-{number}"), vec![lasting()]));
+        driver.submit(job(&format!("lasts-{number}"), vec![long_running()]));
     }
     driver.pass(100 * MS);
     driver.submit(job("short", vec![whole_worker()]));
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn a_short_job_that_is_late_still_ends_before_lasting_ones_begin() {
+fn a_late_short_job_still_runs_before_long_running_ones() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("first", vec![whole_worker()]));
     driver.pass(SECOND);
     let (id, run, _) = newest(&driver);
     driver.submit(job("short", vec![whole_worker()]));
-    driver.submit(job("lasts", vec![lasting()]));
-    // Three times its objective of 1.25 s has passed.
+    driver.submit(job("lasts", vec![long_running()]));
+    // Three times its target of 1.25 s has passed.
     driver.pass(3900 * MS);
     driver.end(&id, run, EndReason::Done, 1);
     driver.pass(300 * MS);
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn a_lasting_task_starts_in_time_beside_a_stream_of_short_jobs() {
+fn a_long_running_task_starts_in_time_beside_a_stream_of_short_jobs() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("short-0", vec![whole_worker()]));
     driver.submit(job("short-1", vec![whole_worker()]));
     driver.pass(SECOND);
-    driver.submit(job("lasts", vec![lasting()]));
+    driver.submit(job("lasts", vec![long_running()]));
     let began = driver.now.at;
     for number in 2..40 {
         let (id, run, running) = newest(&driver);
@@ -93,14 +93,14 @@
 }
 
 #[test]
-fn a_large_lasting_task_gets_room_beside_a_stream_of_small_short_jobs() {
+fn a_large_long_running_task_starts_beside_a_stream_of_small_short_jobs() {
     let mut driver = Driver::new(1, policy());
     let large = Step {
         needs: Resources {
             processors: 3000,
             ..step(1).needs
         },
-        ..lasting()
+        ..long_running()
     };
     driver.submit(job("small", vec![step(40)]));
     driver.pass(SECOND);
@@ -108,7 +108,7 @@
     let began = driver.now.at;
     let mut ended = 0;
     while driver.now.at < began + 8 * SECOND && &*newest(&driver).2 != "lasts" {
-        // One after the other ends, so that no more than one processor is free at a time.
+        // Tasks end one after the other, so that at most one processor is free at a time.
         let (id, run) = driver.starts()[ended].clone();
         ended += 1;
         driver.end(&id, run, EndReason::Done, ended as u64);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_wait_for_room_is_told_when_a_job_ends() {
+fn the_time_spent_waiting_is_reported_when_a_job_ends() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("first", vec![whole_worker()]));
     driver.pass(SECOND);
@@ -140,7 +140,7 @@
 
 #[test]
 fn no_job_starves_while_newer_ones_keep_coming() {
-    // Twice the work that the workers can do and more; sizes drawn by a rule.
+    // More than twice the work that the workers can do, with pseudo-random sizes.
     for seed in 1..=4_u64 {
         let mut driver = Driver::new(2, policy());
         let mut ended = 0;
@@ -166,8 +166,8 @@
             }
             ended = starts.len();
         }
-        let book = driver.core.log_state();
-        let oldest = book.open().iter().next().copied().unwrap_or(book.next);
-        assert!(oldest > 10, "seed {seed}: {oldest} of {} waits", book.next);
+        let state = driver.core.log_state();
+        let oldest = state.open().iter().next().copied().unwrap_or(state.next);
+        assert!(oldest > 10, "seed {seed}: {oldest} of {} waits", state.next);
     }
 }
--- a/ashtiller/tests/owner/sharing.rs
+++ b/ashtiller/tests/owner/sharing.rs
@@ -1,4 +1,4 @@
-//! What fills, beside what serves.
+//! Best-effort tasks that share workers with latency-sensitive services.
 
 use std::time::Duration;
 
@@ -41,9 +41,9 @@
     }
 }
 
-/// The services that run report this tail from now on.
-pub fn set_tails(driver: &mut Driver, services: &[(Incarnation, Run)], tail: u64) {
-    driver.at_work = services
+/// Makes the running services report this tail latency from now on.
+pub fn set_tail_latency(driver: &mut Driver, services: &[(Incarnation, Run)], tail: u64) {
+    driver.running = services
         .iter()
         .map(|(id, run)| {
             let row = Active {
@@ -59,15 +59,15 @@
 }
 
 #[test]
-fn fills_start_wherever_targets_lie_above_idle_tails() {
-    // Targets of 2.2, 3, 5 and 12 times the idle tail of 10 ms, all under usual load.
+fn fills_start_wherever_targets_exceed_idle_tail_latencies() {
+    // Targets of 2.2, 3, 5 and 12 times the idle tail latency of 10 ms, all under usual load.
     for (target, tail) in [(22, 16), (30, 18), (50, 18), (120, 24)] {
         let mut driver = Driver::new(2, policy());
         driver.submit(job("1", vec![service(4, target * MS)]));
         driver.pass(SECOND);
         let services = driver.starts();
         assert_eq!(services.len(), 4);
-        set_tails(&mut driver, &services, tail);
+        set_tail_latency(&mut driver, &services, tail);
         driver.pass(20 * SECOND);
         driver.submit(job("2", vec![fill(2, 400)]));
         driver.pass(SECOND);
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn a_fill_that_stands_still_moves_to_where_it_works() {
+fn a_paused_fill_moves_to_a_worker_where_it_can_run() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![service(1, 50 * MS)]));
     driver.pass(SECOND);
     let services = driver.starts();
-    set_tails(&mut driver, &services, 18);
-    // The other worker is taken, so the fill goes beside the service.
+    set_tail_latency(&mut driver, &services, 18);
+    // The other worker is full, so the best-effort task is placed beside the service.
     let whole = Step {
         needs: processors(3900),
         ..step(1)
@@ -95,8 +95,8 @@
     driver.submit(job("3", vec![fill(1, 1000)]));
     driver.pass(SECOND);
     assert_eq!(driver.starts()[2].0, services[0].0);
-    // The service is over its target, which the fill may be the cause of.
-    set_tails(&mut driver, &services, 55);
+    // The service exceeds its target, possibly because of the best-effort task.
+    set_tail_latency(&mut driver, &services, 55);
     driver.end(&other, taken, EndReason::Done, 1);
     driver.pass(5 * SECOND);
     let starts = driver.starts();
@@ -110,42 +110,42 @@
 }
 
 #[test]
-fn a_fill_that_stands_still_stays_when_no_place_is_better() {
+fn a_paused_fill_stays_when_no_worker_is_better() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![service(1, 50 * MS)]));
     driver.pass(SECOND);
     let services = driver.starts();
-    set_tails(&mut driver, &services, 18);
+    set_tail_latency(&mut driver, &services, 18);
     driver.pass(SECOND);
     driver.submit(job("2", vec![fill(1, 1000)]));
     driver.pass(SECOND);
-    set_tails(&mut driver, &services, 60);
+    set_tail_latency(&mut driver, &services, 60);
     driver.pass(5 * SECOND);
     assert_eq!(driver.starts().len(), 2);
     assert!(driver.stops().is_empty());
 }
 
 #[test]
-fn a_fill_stands_still_in_time_although_the_first_report_comes_late() {
-    // A look may have gone out just before, and wait for 2 s.
+fn a_fill_is_paused_in_time_although_the_first_report_is_late() {
+    // A poll may have been sent just before, and wait for 2 s.
     for offset in (0..2000).step_by(200) {
         let mut driver = Driver::new(1, policy());
         driver.submit(job("1", vec![service(1, 50 * MS)]));
         driver.pass(SECOND);
         let services = driver.starts();
-        set_tails(&mut driver, &services, 18);
-        driver.patient = true;
+        set_tail_latency(&mut driver, &services, 18);
+        driver.long_polls = true;
         driver.pass(10 * SECOND + offset * MS);
         driver.submit(job("2", vec![fill(1, 1000)]));
         driver.pass(100 * MS);
         assert_eq!(driver.starts().len(), 2);
         let began = driver.now.at;
-        set_tails(&mut driver, &services, 60);
-        let stands_still = |driver: &Driver| {
+        set_tail_latency(&mut driver, &services, 60);
+        let is_paused = |driver: &Driver| {
             let mut orders = driver.orders.iter();
             orders.any(|(_, _, order)| matches!(order, Order::Pace(_, _, 0)))
         };
-        while !stands_still(&driver) && driver.now.at < began + 10 * SECOND {
+        while !is_paused(&driver) && driver.now.at < began + 10 * SECOND {
             driver.pass(50 * MS);
         }
         let took = driver.now.at.saturating_sub(began);
@@ -153,20 +153,20 @@
     }
 }
 
-/// Part of the last half second in which a span lies that began at `from`.
+/// Returns the fraction of the last half second that a span starting at `from` covers.
 fn part_of_report(from: Duration, to: Duration, now: Duration) -> f64 {
     let start = from.max(now.saturating_sub(500 * MS));
     to.min(now).saturating_sub(start).as_secs_f64() / 0.5
 }
 
 #[test]
-fn fills_that_come_and_go_within_a_report_teach_what_they_do() {
+fn interference_is_learned_from_fills_shorter_than_a_report() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![service(1, 500 * MS)]));
     driver.pass(SECOND);
     let services = driver.starts();
-    // Alone it answers in 200 ms; a fill on the whole worker takes 0.8 of its headroom.
-    set_tails(&mut driver, &services, 200);
+    // Alone it answers in 200 ms; a best-effort task on the whole worker takes 0.8 of its headroom.
+    set_tail_latency(&mut driver, &services, 200);
     driver.pass(10 * SECOND);
     let mut spans: Vec<(Duration, Duration)> = Vec::new();
     let report = |driver: &mut Driver, spans: &[(Duration, Duration)]| {
@@ -182,7 +182,7 @@
             reason = "milliseconds of a tail"
         )]
         let tail = (200.0 / headroom).round() as u64;
-        set_tails(driver, &services, tail);
+        set_tail_latency(driver, &services, tail);
     };
     for number in 0..120_u64 {
         driver.submit(job(&format!("f{number}"), vec![fill(1, 2000)]));
@@ -204,7 +204,7 @@
         driver.end(&id, run, EndReason::Done, number + 1);
         driver.pass(300 * MS);
     }
-    let lessons = driver.facts.iter().rev().find_map(|fact| match fact {
+    let lessons = driver.records.iter().rev().find_map(|record| match record {
         LogRecord::Learned(lessons) => Some(lessons.clone()),
         _ => None,
     });
--- a/ashtiller/tests/owner/shrinking.rs
+++ b/ashtiller/tests/owner/shrinking.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks and grows while they run.
+//! Workers whose capacity shrinks and grows while they run.
 
 use std::time::Duration;
 
@@ -10,45 +10,45 @@
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-/// A worker with this many processors, of four that it had.
+/// Returns a worker with this many processors, of the four that it had.
 fn shrunk(number: u16, processors: u64) -> ListedWorker {
     let mut entry = listed(number);
     entry.capacity.processors = 1000 * processors;
     entry
 }
 
-/// Runs on one worker that were told to start and not to stop.
-fn kept(driver: &Driver, id: &Incarnation) -> Vec<Run> {
+/// Returns the runs on one worker that were ordered to start and not to stop.
+fn active_runs(driver: &Driver, id: &Incarnation) -> Vec<Run> {
     let stops = driver.stops();
     let starts = driver.starts().into_iter();
-    let kept = starts.filter(|(at, run)| at == id && !stops.contains(run));
-    kept.map(|(_, run)| run).collect()
+    let active = starts.filter(|(at, run)| at == id && !stops.contains(run));
+    active.map(|(_, run)| run).collect()
 }
 
 #[test]
 fn starts_that_do_not_fit_any_more_are_not_sent() {
     let mut driver = Driver::new(1, policy());
-    driver.store = false;
+    driver.store_available = false;
     driver.submit(job("1", vec![step(4)]));
     driver.pass(200 * MS);
     assert!(driver.starts().is_empty(), "nothing is durable");
     driver.core.list_worker(shrunk(0, 2), driver.now);
-    driver.come_back();
+    driver.restore_store();
     driver.pass(Duration::from_secs(1));
     assert_eq!(driver.starts().len(), 2);
     driver.core.list_worker(listed(0), driver.now);
     driver.pass(Duration::from_secs(1));
     assert_eq!(
-        kept(&driver, &"w0".into()).len(),
+        active_runs(&driver, &"w0".into()).len(),
         4,
-        "the room has grown again"
+        "the capacity has grown again"
     );
 }
 
 #[test]
 fn a_start_in_doubt_is_not_sent_again_where_it_does_not_fit() {
     let mut driver = Driver::new(1, policy());
-    driver.deaf = Some("w0".into());
+    driver.drops_orders = Some("w0".into());
     driver.submit(job("1", vec![step(1)]));
     driver.pass(60 * MS);
     let before = driver.starts().len();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_runs_is_not_stopped_for_a_smaller_room_and_counts_in_full() {
+fn active_runs_are_not_stopped_for_a_smaller_capacity_and_count_in_full() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![step(3)]));
     driver.pass(200 * MS);
@@ -72,22 +72,22 @@
     let (id, run) = starts[0].clone();
     driver.end(&id, run, EndReason::Done, 1);
     driver.pass(300 * MS);
-    assert_eq!(driver.starts().len(), 3, "two are left, and fill it");
+    assert_eq!(driver.starts().len(), 3, "two are left and use all of it");
     let (id, run) = starts[1].clone();
     driver.end(&id, run, EndReason::Done, 2);
     driver.pass(300 * MS);
     assert_eq!(driver.starts().len(), 4);
 }
 
-/// The next owner knows the room only as it is now.
+/// The next owner knows only the current capacity.
 #[test]
-fn runs_of_an_earlier_owner_count_in_a_room_that_is_too_small_for_them() {
+fn runs_of_an_earlier_owner_count_against_a_capacity_that_is_too_small_for_them() {
     let mut first = Driver::new(1, policy());
     first.submit(job("1", vec![step(4)]));
     first.pass(200 * MS);
     assert_eq!(first.starts().len(), 4);
-    let facts: Vec<LogRecord> = first.facts;
-    let mut driver = Driver::replay(&facts, 0, policy());
+    let records: Vec<LogRecord> = first.records;
+    let mut driver = Driver::replay(&records, 0, policy());
     driver.core.list_worker(shrunk(0, 2), driver.now);
     driver.submit(job("2", vec![step(1)]));
     driver.pass(Duration::from_secs(1));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn work_that_no_worker_holds_any_more_waits_until_one_does() {
+fn work_that_fits_on_no_worker_waits_until_one_grows() {
     let mut driver = Driver::new(2, policy());
     for number in 0..2 {
         driver.core.list_worker(shrunk(number, 0), driver.now);
--- a/ashtiller/tests/owner/stops.rs
+++ b/ashtiller/tests/owner/stops.rs
@@ -1,13 +1,12 @@
 //! Stops that are not answered.
 //!
-//! Symptom: for each run on a worker that is gone a stop goes out every 60 ms, and a line
-//! in the log with it, until its lease is over; and a run that was to be stopped keeps its
-//! room while its worker says in each report that it is not there.
-//! Sequence: a job is cancelled or a worker drains, the stop gets no answer, the worker is
-//! silent, or reports without the run.
-//! Cause: unanswered orders were sent again after a fixed pause, whatever looks said; an end
-//! that was never heard was taken from reports for runs that are to go on alone.
-//! Settled by: 158 lines `stop unanswered` in 3 s for four runs on one worker that was gone.
+//! For every run on a worker that was gone, a stop was sent and logged every 60 ms until the lease
+//! expired; and a run to be stopped kept its capacity although every report of its worker showed
+//! that it was not there. A job is cancelled or a worker drains, the stop is not answered, and the
+//! worker is silent or reports without the run. Unanswered orders were sent again after a fixed
+//! pause, whatever polls showed, and reports were used to detect a missed end only for runs that
+//! are to continue. In the log, `stop unanswered` appeared 158 times in 3 s for four runs on one
+//! worker that was gone.
 
 use std::time::Duration;
 
@@ -15,19 +14,19 @@
 use ashtiller::workflow::core::RequestToken;
 
 use crate::driver::{Driver, MS, job, policy};
-use crate::trial::{lasting, starts_of};
+use crate::trial::{long_running, starts_of};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A lasting task that fills the only worker is cancelled, and its stop gets no answer.
+/// Cancels a long-running task that fills the only worker, and drops its stop.
 fn cancel_unanswered() -> Driver {
     let mut driver = Driver::new(1, policy());
-    driver.submit(job("lasts", vec![lasting(4000)]));
+    driver.submit(job("lasts", vec![long_running(4000)]));
     driver.pass(SECOND);
-    driver.deaf = Some("w0".into());
+    driver.drops_orders = Some("w0".into());
     driver
         .core
-        .cancel("lasts", RequestToken(driver.ticket), driver.now);
+        .cancel("lasts", RequestToken(driver.last_token), driver.now);
     driver
 }
 
@@ -39,19 +38,19 @@
 }
 
 #[test]
-fn stops_to_a_worker_that_says_nothing_do_not_pile_up() {
+fn stops_to_a_silent_worker_do_not_accumulate() {
     let mut driver = cancel_unanswered();
     driver.silent = Some("w0".into());
     driver.pass(SECOND);
     let before = count_stops(&driver);
     driver.pass(3 * SECOND);
     let stops = count_stops(&driver) - before;
-    // Looks go out each 150 ms, and a stop has no better chance.
+    // Polls are sent every 150 ms, and a stop has no better chance of arriving.
     assert!(stops <= 20, "{stops} stops in 3 s");
     let (_, run) = starts_of(&driver, "lasts")[0].clone();
     assert!(
         driver.core.log_state().is_live(run),
-        "its lease is not over"
+        "its lease has not expired"
     );
     driver.silent = None;
     driver.pass(200 * MS);
@@ -62,9 +61,9 @@
 }
 
 #[test]
-fn a_run_that_is_to_be_stopped_and_is_not_there_gives_back_its_room() {
+fn a_run_to_be_stopped_that_is_not_there_releases_its_capacity() {
     let mut driver = cancel_unanswered();
-    driver.submit(job("next", vec![lasting(4000)]));
+    driver.submit(job("next", vec![long_running(4000)]));
     driver.pass(3 * SECOND);
     assert!(!starts_of(&driver, "next").is_empty());
 }
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner makes of the log that it finds.
+//! The start of a new owner from the log that it replays.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,25 +21,25 @@
 /// Epoch of the owner that was replaced.
 const FORMER: u64 = 4;
 
-/// A new owner that finds a lasting task on a worker that is gone.
+/// Returns a new owner that finds a long-running task on a worker that is gone.
 fn replace_owner(known: &[LogRecord]) -> Driver {
-    let lasting = Step {
+    let long_running = Step {
         long_running: true,
         ..step(1)
     };
-    let mut facts = known.to_vec();
-    facts.extend([
-        LogRecord::Accepted(Box::new(job("1", vec![lasting])), policy(), 1_000_000),
+    let mut records = known.to_vec();
+    records.extend([
+        LogRecord::Accepted(Box::new(job("1", vec![long_running])), policy(), 1_000_000),
         placed(1, "gone"),
     ]);
-    Driver::replay(&facts, 1, policy())
+    Driver::replay(&records, 1, policy())
 }
 
 fn placed(number: u32, worker: &str) -> LogRecord {
     LogRecord::Placed(run(number), worker.into(), Arc::from(""))
 }
 
-/// The former owner placed a copy that it never started, or started in vain, and then
+/// The former owner placed a copy that it never started, or whose start did not succeed, and then
 /// recorded that the first run was done.
 #[test]
 fn a_copy_of_a_task_that_is_done_is_not_started() {
@@ -47,13 +47,13 @@
         speculative: true,
         ..step(2)
     };
-    let facts = [
+    let records = [
         LogRecord::Accepted(Box::new(job("1", vec![copied])), policy(), 1_000_000),
         placed(1, "w0"),
         placed(2, "w1"),
         LogRecord::Ended(run(1), End::Done, Arc::from("")),
     ];
-    let mut driver = Driver::replay(&facts, 2, policy());
+    let mut driver = Driver::replay(&records, 2, policy());
     driver.pass(1000 * MS);
     let starts = driver.starts();
     assert!(
@@ -66,67 +66,73 @@
     );
 }
 
-/// A run that an owner took over is never started, though its worker answers and the store
-/// is back. The store went away as the owner began, for longer than ownership holds; the
-/// worker first answered then, and its start was held. Nothing looked at held starts again
-/// when ownership was proved: none came in the 10 s after it.
+/// A run that an owner had taken over was never started, although its worker answered and the store
+/// was back. The store became unavailable as the owner began, for longer than ownership holds; the
+/// worker first answered then, and its start was held. Held starts were not reconsidered when
+/// ownership was proved: none was sent in the 10 s after that.
 #[test]
 fn a_start_that_waits_for_proof_of_ownership_goes_out_with_it() {
-    let facts = [
+    let records = [
         LogRecord::Accepted(Box::new(job("1", vec![step(1)])), policy(), 1_000_000),
         placed(1, "w0"),
     ];
-    let mut driver = Driver::replay(&facts, 0, policy());
-    driver.store = false;
+    let mut driver = Driver::replay(&records, 0, policy());
+    driver.store_available = false;
     driver.silent = Some("w0".into());
     driver.core.list_worker(listed(0), driver.now);
     driver.pass(Duration::from_secs(12));
     driver.silent = None;
     driver.pass(Duration::from_secs(2));
     assert!(driver.starts().is_empty(), "ownership is in doubt");
-    driver.come_back();
+    driver.restore_store();
     driver.pass(Duration::from_secs(10));
     assert_eq!(driver.starts(), [("w0".into(), run(1))]);
 }
 
-/// A lasting task waits for 17 s after a change of owner. Its worker went dark and lost its
-/// entry; the store was away, so that the former owner could not record the end; a new owner
-/// took over and knows no worker of that id. Cause: of a worker that was never listed since,
-/// the new owner assumes the longest lease that a former owner without the store may have
-/// granted, though the former one has said that it ended. Settled by: `run ended … Lost` for
-/// all such runs 17.296 s after the new owner began, three lasting tasks away from 16.6 to
-/// 43.3 s, on the code before and after the mends of trials.
+/// A long-running task waited for 17 s after a change of owner. Its worker stopped answering and
+/// lost its entry; the store was unavailable, so the former owner could not record the end; a new
+/// owner took over and knows no worker of that id. For a worker that has not been listed since, the
+/// new owner assumed the longest lease that a former owner without the store may have granted,
+/// although the former owner had reported that it ended. In the log, `run ended … Lost` appeared
+/// for all such runs 17.296 s after the new owner began, and three long-running tasks were down
+/// from 16.6 to 43.3 s, both before and after the fixes to trials.
 ///
-/// The proof is that the former owner has ended, and that its log says the same of all
-/// owners before it: starting within 9 s without it would let a task run twice.
+/// The proof is that the former owner has ended, and that its log states the same of all owners
+/// before it: starting within 9 s without this proof would let a task run twice.
 #[test]
 fn a_task_on_a_worker_that_is_gone_starts_soon_after_a_change_of_owner() {
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER)]);
     driver.core.note_predecessor_ended(FORMER, driver.now);
-    // The longest lease, and what the platform leaves beyond it.
+    // The longest lease, and what the platform allows beyond it.
     driver.pass(9000 * MS);
     assert_eq!(driver.starts().len(), 1);
     assert!(
-        driver.facts.contains(&LogRecord::Cleared(5)),
+        driver.records.contains(&LogRecord::Cleared(5)),
         "for a later owner"
     );
 }
 
 #[test]
-fn without_word_of_the_former_owner_a_task_waits_for_all_that_it_may_have_granted() {
+fn a_task_waits_for_the_longest_lease_if_the_former_owner_may_be_active() {
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER)]);
     driver.pass(17_000 * MS);
-    assert!(driver.starts().is_empty(), "the former owner may go on");
+    assert!(
+        driver.starts().is_empty(),
+        "the former owner may still be active"
+    );
     driver.pass(1000 * MS);
     assert_eq!(driver.starts().len(), 1);
 }
 
 #[test]
-fn that_the_former_owner_has_ended_says_nothing_of_those_before_it() {
+fn the_end_of_the_former_owner_does_not_prove_the_end_of_those_before_it() {
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER - 1)]);
     driver.core.note_predecessor_ended(FORMER, driver.now);
     driver.pass(17_000 * MS);
-    assert!(driver.starts().is_empty(), "an earlier owner may go on");
+    assert!(
+        driver.starts().is_empty(),
+        "an earlier owner may still be active"
+    );
     driver.pass(1000 * MS);
     assert_eq!(driver.starts().len(), 1);
 }
--- a/ashtiller/tests/owner/watching.rs
+++ b/ashtiller/tests/owner/watching.rs
@@ -12,45 +12,46 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{self, Instant};
 
-/// Longest wait for anything that must happen; in virtual time it costs nothing.
-const CAP: Duration = Duration::from_mins(1);
+/// Timeout for every expected event; it costs nothing in virtual time.
+const TIMEOUT: Duration = Duration::from_mins(1);
 /// Wait of a watch in these tests.
 const WAIT: Duration = Duration::from_secs(1);
-/// Time beyond its wait after which a call for a watch is given up.
+/// Time beyond its wait after which a watch times out.
 const SLACK: Duration = Duration::from_millis(400);
 
-/// What becomes of a watch.
+/// Outcomes of a watch.
 #[derive(Clone, Copy)]
-enum Fate {
-    /// It gets no answer.
-    Silent,
+enum WatchOutcome {
+    /// It gets no reply.
+    NoReply,
     /// It is answered when its wait is over.
-    Quiet,
-    /// A change is answered after this time.
+    Unchanged,
+    /// A change is reported after this time.
     Changed(Duration),
 }
 
-/// A store whose lists are empty and whose watches end as told, the last fate for ever.
-struct Told {
-    fates: Mutex<Vec<Fate>>,
+/// A store whose lists are empty and whose watches have these outcomes in turn, the last one for
+/// ever.
+struct ScriptedStore {
+    outcomes: Mutex<Vec<WatchOutcome>>,
 }
 
-impl Told {
-    fn open(fates: &[Fate]) -> Arc<Self> {
-        let fates = Mutex::new(fates.iter().rev().copied().collect());
-        Arc::new(Self { fates })
+impl ScriptedStore {
+    fn open(outcomes: &[WatchOutcome]) -> Arc<Self> {
+        let outcomes = Mutex::new(outcomes.iter().rev().copied().collect());
+        Arc::new(Self { outcomes })
     }
 
-    fn next(&self) -> Fate {
-        let mut fates = self.fates.lock();
-        match fates.len() {
-            1 => fates[0],
-            _ => fates.pop().expect("a fate"),
+    fn next(&self) -> WatchOutcome {
+        let mut outcomes = self.outcomes.lock();
+        match outcomes.len() {
+            1 => outcomes[0],
+            _ => outcomes.pop().expect("an outcome"),
         }
     }
 }
 
-impl Store for Told {
+impl Store for ScriptedStore {
     fn get<'a>(&'a self, key: &'a str, _: bool) -> CallFuture<'a, Option<Item>> {
         Box::pin(async move { Err(Failure::no_effect("read", key, "not asked for")) })
     }
@@ -60,10 +61,10 @@
     }
 
     fn watch<'a>(&'a self, _: &'a str, at: u64, wait: Duration) -> CallFuture<'a, Watched> {
-        let fate = self.next();
+        let outcome = self.next();
         Box::pin(async move {
-            match fate {
-                Fate::Silent => {
+            match outcome {
+                WatchOutcome::NoReply => {
                     time::sleep(wait + SLACK).await;
                     Err(Failure::unknown_effect(
                         "watch",
@@ -71,11 +72,11 @@
                         "no answer in time",
                     ))
                 }
-                Fate::Quiet => {
+                WatchOutcome::Unchanged => {
                     time::sleep(wait).await;
                     Ok(Watched::Changes(Vec::new(), at))
                 }
-                Fate::Changed(after) => {
+                WatchOutcome::Changed(after) => {
                     time::sleep(after).await;
                     let gone = Change::Gone("workers/a".into());
                     Ok(Watched::Changes(vec![gone], at + 1))
@@ -90,22 +91,22 @@
 }
 
 struct Following {
-    patience: watch::Sender<Duration>,
+    wait: watch::Sender<Duration>,
     seen: mpsc::Receiver<StoreUpdate>,
 }
 
 impl Following {
-    fn open(store: Arc<Told>, wait: Duration) -> Self {
+    fn open(store: Arc<ScriptedStore>, wait: Duration) -> Self {
         let (sender, seen) = mpsc::channel(16);
-        let patience = watch::Sender::new(wait);
-        let told = patience.subscribe();
-        tokio::spawn(follow::follow(store, "workers/", told, sender));
-        Self { patience, seen }
+        let wait = watch::Sender::new(wait);
+        let receiver = wait.subscribe();
+        tokio::spawn(follow::follow(store, "workers/", receiver, sender));
+        Self { wait, seen }
     }
 
     async fn next(&mut self) -> StoreUpdate {
-        let seen = time::timeout(CAP, self.seen.recv()).await;
-        seen.expect("something seen").expect("a follower")
+        let seen = time::timeout(TIMEOUT, self.seen.recv()).await;
+        seen.expect("an update").expect("a follower")
     }
 
     async fn list(&mut self) {
@@ -116,60 +117,46 @@
     }
 }
 
-/// Symptom: a worker that said it leaves was given starts, since its word stood in the
-/// store while every watch waited on a connection that had gone silent.
-///
-/// Sequence: a list is read; every watch after it gets no answer, while lists can be read.
-///
-/// Cause: a watch that failed was tried again, and the list was read again only once a
-/// watch had answered.
-///
-/// Figure: no second list within a minute; now when the first watch is given up.
+/// A worker that had announced its leaving got starts, since the notice was in the store while
+/// every watch waited on a connection that had gone silent. Every watch after the first list gets
+/// no reply, while lists can be read. A failed watch was repeated, and the list was read again only
+/// after a watch had been answered: no second list came within a minute; now it comes when the
+/// first watch times out.
 #[tokio::test(start_paused = true)]
 async fn a_watch_without_an_answer_is_replaced_by_a_list() {
     let began = Instant::now();
-    let mut following = Following::open(Told::open(&[Fate::Silent]), WAIT);
+    let mut following = Following::open(ScriptedStore::open(&[WatchOutcome::NoReply]), WAIT);
     following.list().await;
     following.list().await;
     assert!(began.elapsed() < WAIT + SLACK + Duration::from_millis(10));
 }
 
-/// Symptom: an instance that had just begun to own the log did not know how old its
-/// configuration was.
-///
-/// Sequence: a watch with a long wait is under way; then news must be fresh.
-///
-/// Cause: the wait of a watch was fixed when it began, and an answer without a change
-/// was not passed on.
-///
-/// Figure: nothing was heard within a minute; now within one short wait.
+/// An instance that had just become the owner of the log did not know how old its configuration
+/// was. A watch with a long wait is in flight when updates must become recent. The wait of a watch
+/// was fixed when it began, and a reply without a change was not passed on, so nothing was received
+/// within a minute; now within one short wait.
 #[tokio::test(start_paused = true)]
-async fn a_long_watch_gives_way_when_news_must_be_fresh() {
-    let store = Told::open(&[Fate::Quiet]);
+async fn a_long_watch_is_replaced_when_updates_must_be_recent() {
+    let store = ScriptedStore::open(&[WatchOutcome::Unchanged]);
     let mut following = Following::open(store, follow::LONG_WAIT);
     following.list().await;
     time::sleep(Duration::from_secs(3)).await;
     let owned = Instant::now();
-    following.patience.send_replace(WAIT);
+    following.wait.send_replace(WAIT);
     following.next().await;
     assert!(owned.elapsed() <= WAIT, "{:?}", owned.elapsed());
 }
 
-/// Symptom: what was believed could be taken for fresher than it was.
-///
-/// Sequence: a watch is answered with a change half a second after it was asked for, and
-/// the next one says that nothing changed.
-///
-/// Cause: an answer tells what stood when the store sent it, which is only known to be
-/// after it was asked for, and after its wait if nothing changed.
-///
-/// Figure: with the whole wait for the second watch the proof was 1.5 s old when the next
-/// came; with what is left of the first wait, 1 s.
+/// The known state could be taken for more recent than it was. A watch is answered with a change
+/// half a second after it was sent, and the next one reports no change. A reply shows the state at
+/// the time when the store sent it, which is only known to be after the request, and after the wait
+/// if nothing changed. With the whole wait for the second watch the proof was 1.5 s old when the
+/// next one arrived; with what is left of the first wait, 1 s.
 #[tokio::test(start_paused = true)]
-async fn what_was_seen_is_proved_fresh_within_one_wait() {
-    let fates = [Fate::Changed(WAIT / 2), Fate::Quiet];
+async fn the_known_state_is_proved_recent_within_one_wait() {
+    let outcomes = [WatchOutcome::Changed(WAIT / 2), WatchOutcome::Unchanged];
     let began = Moment::now();
-    let mut following = Following::open(Told::open(&fates), WAIT);
+    let mut following = Following::open(ScriptedStore::open(&outcomes), WAIT);
     following.list().await;
     let StoreUpdate::Changes { changes, as_of } = following.next().await else {
         panic!("no change");
--- a/ashtiller/tests/owner/workers.rs
+++ b/ashtiller/tests/owner/workers.rs
@@ -1,4 +1,4 @@
-//! Workers that fail, go, or have their upkeep.
+//! Workers that fail, leave, or undergo upkeep.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
 #[test]
-fn a_lost_worker_gives_its_runs_back_after_its_lease() {
+fn runs_of_a_lost_worker_start_elsewhere_after_its_lease() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1)]));
     driver.pass(200 * MS);
     let (id, _) = driver.starts()[0].clone();
     let number: u16 = id.id()[1..].parse().unwrap();
-    // The same machine under another id: the former life is over.
+    // The same machine under another id: the former incarnation has ended.
     let back = ListedWorker {
         incarnation: "w9".into(),
         ..listed(number)
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn lasting_tasks_leave_a_draining_worker() {
+fn long_running_tasks_leave_a_draining_worker() {
     let mut driver = Driver::new(2, policy());
-    let lasting = Step {
+    let long_running = Step {
         long_running: true,
         sharing: Sharing::Serves(50 * MS),
         ..step(1)
     };
-    driver.submit(job("1", vec![lasting]));
+    driver.submit(job("1", vec![long_running]));
     driver.pass(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     let number: u16 = id.id()[1..].parse().unwrap();
@@ -75,10 +75,10 @@
         driver.now,
     );
     driver.pass(Duration::from_secs(10));
-    assert_eq!(driver.duties.len(), 1);
+    assert_eq!(driver.machine_orders.len(), 1);
     for round in 1..4u16 {
-        let (machine, duty) = driver.duties.last().unwrap().clone();
-        assert_eq!(duty, MachineOrder::Upkeep(3));
+        let (machine, order) = driver.machine_orders.last().unwrap().clone();
+        assert_eq!(order, MachineOrder::Upkeep(3));
         let number: u16 = machine[1..].parse().unwrap();
         let back = ListedWorker {
             incarnation: format!("w{}", 100 + round).into(),
@@ -86,13 +86,13 @@
         };
         driver.core.list_worker(back, driver.now);
         driver.pass(Duration::from_secs(3));
-        assert_eq!(driver.duties.len(), usize::from(round) + 1);
+        assert_eq!(driver.machine_orders.len(), usize::from(round) + 1);
     }
     assert_eq!(driver.core.wave_states().get(&3), Some(&true));
 }
 
 #[test]
-fn a_worker_on_trial_is_trusted_again_when_a_lasting_task_is_at_work() {
+fn probation_ends_when_a_long_running_task_is_active() {
     let once = Policy {
         attempts: 1,
         ..policy()
@@ -105,46 +105,50 @@
     for (number, (id, run)) in (1..).zip(starts) {
         driver.end(&id, run, EndReason::Failed, number);
     }
-    // The worker is put aside, then tried with one run.
-    let lasting = Step {
+    // The worker is quarantined, then gets one run on probation.
+    let long_running = Step {
         long_running: true,
         ..step(1)
     };
-    driver.submit(job("3", vec![lasting]));
+    driver.submit(job("3", vec![long_running]));
     driver.pass(Duration::from_secs(4));
     let tried: Vec<Run> = driver.starts()[2..].iter().map(|(_, run)| *run).collect();
-    assert_eq!(tried.len(), 1, "one run on trial");
+    assert_eq!(tried.len(), 1, "one run on probation");
     driver.submit(job("4", vec![step(1)]));
     driver.pass(Duration::from_secs(4));
-    assert_eq!(driver.starts().len(), 3, "nothing beside the trial");
-    let at_work = Active {
+    assert_eq!(
+        driver.starts().len(),
+        3,
+        "nothing beside the run on probation"
+    );
+    let running = Active {
         name: driver.name(tried[0]),
         run: tried[0].number,
         checkpoint: "".into(),
         percent: 100,
         figure: None,
     };
-    driver.at_work.push((driver.starts()[2].0.clone(), at_work));
+    driver.running.push((driver.starts()[2].0.clone(), running));
     driver.pass(Duration::from_secs(4));
     assert_eq!(driver.starts().len(), 4, "the others follow");
 }
 
-/// It would list the same end again at once, each time.
+/// It would list the same end again immediately, each time.
 #[test]
-fn a_worker_is_not_asked_again_and_again_while_its_end_is_not_in_the_log() {
+fn a_worker_is_not_polled_repeatedly_while_its_end_is_not_in_the_log() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![step(2)]));
     driver.pass(200 * MS);
     let (id, run) = driver.starts()[0].clone();
-    driver.store = false;
+    driver.store_available = false;
     let before = driver.core.counts().looks;
     driver.end(&id, run, EndReason::Done, 1);
-    driver.listed_ends = driver.ends(run, EndReason::Done, 1);
+    driver.reported_ends = driver.ends(run, EndReason::Done, 1);
     driver.pass(3000 * MS);
-    let looks = driver.core.counts().looks - before;
-    assert!((6..=14).contains(&looks), "{looks} looks in 3 s");
-    driver.come_back();
-    driver.listed_ends.clear();
+    let polls = driver.core.counts().looks - before;
+    assert!((6..=14).contains(&polls), "{polls} polls in 3 s");
+    driver.restore_store();
+    driver.reported_ends.clear();
     let before = driver.core.counts().looks;
     driver.pass(100 * MS);
     assert!(
