--- a/ashtiller/tests/owner/crashes.rs
+++ b/ashtiller/tests/owner/crashes.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_task_that_crashes_its_workers_is_given_up() {
+fn a_task_that_crashes_its_workers_fails() {
     let mut cluster = CrashingWorkers::new(6);
     cluster.driver.submit(crashing_job(vec![step(1)]));
     cluster.run_for(Duration::from_secs(30));
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Advances the core by 5 ms; while `news` is set, the list of workers is complete as of then.
+    /// Advances the core by 5 ms; while listings arrive, the list of workers is complete as of then.
     fn poll(&mut self) -> Vec<Effect> {
         self.now.at += 5 * MS;
         if self.news {
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -71,7 +71,7 @@
     (driver, target)
 }
 
-fn see_entry(driver: &mut Driver, number: u64) {
+fn note_entry(driver: &mut Driver, number: u64) {
     let revision = driver.core.epoch() + number;
     driver.core.note_revision(revision);
 }
@@ -79,7 +79,7 @@
 #[test]
 fn calls_after_a_failed_call_fence_out_an_earlier_acknowledgement() {
     let (mut driver, polled) = with_ack_in_flight(listed(0));
-    see_entry(&mut driver, 1);
+    note_entry(&mut driver, 1);
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
     assert_eq!(first.fence, polled.fence);
@@ -96,7 +96,7 @@
 #[test]
 fn a_later_owner_has_a_higher_fence_than_all_earlier_calls() {
     let (mut driver, polled) = with_ack_in_flight(listed(0));
-    see_entry(&mut driver, 9);
+    note_entry(&mut driver, 9);
     let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
@@ -117,7 +117,7 @@
     let (mut driver, polled) = with_ack_in_flight(listed(0));
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
-    see_entry(&mut driver, 1);
+    note_entry(&mut driver, 1);
     let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
@@ -140,7 +140,7 @@
     let (mut driver, polled) = with_ack_in_flight(listed(0));
     driver.submit(job("2", vec![step(1)]));
     let (first, run, order) = await_call(&mut driver, starts);
-    see_entry(&mut driver, 1);
+    note_entry(&mut driver, 1);
     let failure = Failure::unknown_effect("order", &first.incarnation, "no answer in time");
     let core = &mut driver.core;
     core.handle_order_reply(&first.incarnation, run, &order, Err(failure), driver.now);
@@ -159,7 +159,7 @@
         ..listed(0)
     };
     let (mut driver, polled) = with_ack_in_flight(started_at(1000));
-    see_entry(&mut driver, 1);
+    note_entry(&mut driver, 1);
     let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
@@ -189,7 +189,7 @@
         ..listed(0)
     };
     let (mut driver, polled) = with_ack_in_flight(started_at(1000));
-    see_entry(&mut driver, 1);
+    note_entry(&mut driver, 1);
     let failure = Failure::unknown_effect("look", &polled.incarnation, "no answer in time");
     driver
         .core
--- a/ashtiller/tests/owner/news.rs
+++ b/ashtiller/tests/owner/news.rs
@@ -11,7 +11,7 @@
 
 use crate::driver::{Driver, MS, job, listed, policy, step};
 
-fn placed(driver: &Driver) -> usize {
+fn count_placed(driver: &Driver) -> usize {
     let records = driver.records.iter();
     records
         .filter(|record| matches!(record, LogRecord::Placed(..)))
@@ -20,7 +20,7 @@
 
 /// Returns a driver that has placed one run, whose record waits for the store, and the worker of
 /// that run.
-fn recording(workers: u16) -> (Driver, Incarnation) {
+fn with_pending_record(workers: u16) -> (Driver, Incarnation) {
     let mut driver = Driver::new(workers, policy());
     driver.store_available = false;
     driver.submit(job("1", vec![step(1)]));
@@ -39,7 +39,7 @@
 }
 
 /// Returns the entry of a worker that drains.
-fn drains(id: &Incarnation) -> ListedWorker {
+fn draining_entry(id: &Incarnation) -> ListedWorker {
     ListedWorker {
         draining: true,
         remaining: Some(Duration::from_secs(3)),
@@ -54,12 +54,12 @@
 
 /// A run started on a draining worker more than two seconds after the store held the notice. The
 /// run is placed, the connection of the watch goes silent, the worker drains, and the record of the
-/// run becomes durable. Orders did not check the age of the list of workers: with a list that was 2
-/// s old, and 0.35 s for the order, the start arrived 2.35 s after the notice.
+/// run becomes durable. Orders did not check the age of the list of workers: with a list from 2 s
+/// before, and 0.35 s for the order, the start arrived 2.35 s after the notice.
 #[test]
 fn a_start_waits_while_the_list_of_workers_is_old() {
     for (age, started) in [(1600, 1), (1700, 0)] {
-        let (mut driver, _) = recording(2);
+        let (mut driver, _) = with_pending_record(2);
         driver.news = false;
         driver.pass(age * MS);
         driver.restore_store();
@@ -86,7 +86,7 @@
     driver.pass(Duration::from_secs(2));
     driver.submit(job("1", vec![step(1)]));
     driver.pass(Duration::from_secs(1));
-    assert_eq!(placed(&driver), 0);
+    assert_eq!(count_placed(&driver), 0);
     driver.news = true;
     driver.pass(100 * MS);
     assert_eq!(driver.starts().len(), 1);
@@ -116,9 +116,9 @@
 #[test]
 fn no_start_is_ordered_once_its_worker_drains() {
     for offset in 0..8 {
-        let (mut driver, worker) = recording(2);
+        let (mut driver, worker) = with_pending_record(2);
         driver.pass(offset * 5 * MS);
-        driver.core.list_worker(drains(&worker), driver.now);
+        driver.core.list_worker(draining_entry(&worker), driver.now);
         driver.restore_store();
         driver.pass(Duration::from_secs(1));
         assert_eq!(starts_at(&driver, &worker), 0, "recorded, {offset}");
@@ -136,7 +136,9 @@
         driver.pass(55 * MS);
         let before = driver.starts().len();
         assert!(before > 0, "a start went out, {offset}");
-        driver.core.list_worker(drains(&"w0".into()), driver.now);
+        driver
+            .core
+            .list_worker(draining_entry(&"w0".into()), driver.now);
         driver.pass(Duration::from_secs(1));
         assert_eq!(driver.starts().len(), before, "again, {offset}");
     }
@@ -171,7 +173,7 @@
 
 #[test]
 fn a_start_goes_out_when_its_worker_is_listed_again() {
-    let (mut driver, worker) = recording(1);
+    let (mut driver, worker) = with_pending_record(1);
     driver.core.unlist_worker(&worker, driver.now);
     driver.restore_store();
     driver.pass(200 * MS);
@@ -184,8 +186,10 @@
 /// that a later page had already replaced.
 #[test]
 fn an_older_entry_does_not_undo_draining() {
-    let (mut driver, worker) = recording(1);
-    driver.core.list_all(vec![drains(&worker)], driver.now);
+    let (mut driver, worker) = with_pending_record(1);
+    driver
+        .core
+        .list_all(vec![draining_entry(&worker)], driver.now);
     driver.core.list_worker(listed(0), driver.now);
     driver.restore_store();
     driver.pass(Duration::from_secs(1));
@@ -210,7 +214,9 @@
         driver.pass(offset * 5 * MS);
         driver.core.list_worker(listed(1), driver.now);
         driver.pass(offset * 5 * MS);
-        driver.core.list_worker(drains(&"w0".into()), driver.now);
+        driver
+            .core
+            .list_worker(draining_entry(&"w0".into()), driver.now);
         driver.pass(Duration::from_secs(1));
         assert_eq!(starts_at(&driver, &"w0".into()), 0, "{offset}");
         assert_eq!(starts_at(&driver, &"w1".into()), 1, "it starts elsewhere");
@@ -253,7 +259,9 @@
     driver.pass(200 * MS);
     let (first, _) = driver.starts()[0].clone();
     let other = if first.id() == "w0" { "w1" } else { "w0" };
-    driver.core.list_worker(drains(&other.into()), driver.now);
+    driver
+        .core
+        .list_worker(draining_entry(&other.into()), driver.now);
     driver.silent = Some(first);
     driver.submit(job("2", vec![gang]));
     driver.pass(Duration::from_secs(2));
--- a/ashtiller/tests/owner/slow.rs
+++ b/ashtiller/tests/owner/slow.rs
@@ -221,10 +221,10 @@
     }
 }
 
-/// A configuration could take effect 2.6 s after the store had accepted it; the platform allows 2
-/// s. The connection of a watch goes silent, and so does that of the list requested next; the one
-/// after that works. The list was waited for alone until its timeout of 1.2 s. The known state
-/// became 2.601 s old; now 1.801 s.
+/// A configuration could take effect 2.6 s after the store had accepted it, though the platform
+/// allows 2 s. The connection of a watch goes silent, and so does that of the list requested next;
+/// the one after that works. The list was waited for alone until its timeout of 1.2 s. The known
+/// state became 2.601 s old; now 1.801 s.
 #[tokio::test(start_paused = true)]
 async fn a_list_without_an_answer_is_not_waited_for_alone() {
     let (_wait, mut seen) = follow(UnchangingStore::open(Behavior::Lossy));
