--- a/ashtiller/tests/held.rs
+++ b/ashtiller/tests/held.rs
@@ -65,16 +65,16 @@
         .finish();
     tracing::subscriber::with_default(subscriber, || {
         let mut driver = Driver::new(2, policy());
-        driver.news = false;
-        driver.pass(Duration::from_secs(3));
+        driver.listing_fresh = false;
+        driver.run_for(Duration::from_secs(3));
         let lasting = Step {
             long_running: true,
             ..step(1)
         };
         driver.submit(job("lasts", vec![lasting]));
-        driver.pass(Duration::from_secs(12));
-        driver.news = true;
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(12));
+        driver.listing_fresh = true;
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(driver.starts().len(), 1);
     });
     assert_eq!(lines.containing("starts wait").len(), 3);
--- a/ashtiller/tests/owner/asleep.rs
+++ b/ashtiller/tests/owner/asleep.rs
@@ -32,7 +32,7 @@
             let mut driver = Driver::new(2, policy());
             driver.store_available = false;
             driver.submit(job("1", vec![step(1)]));
-            driver.pass(60 * MS);
+            driver.run_for(60 * MS);
             assert!(driver.starts().is_empty());
             if durable {
                 driver.restore_store();
@@ -54,9 +54,9 @@
     for span in SPANS.map(Duration::from_millis) {
         let mut driver = Driver::new(1, policy());
         driver.submit(job("1", vec![step(1)]));
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
         driver.store_available = false;
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         let effects = suspend(&mut driver, span);
         let mut polls = effects.iter().filter_map(|effect| match effect {
             Effect::Poll(_, poll) => poll.until,
@@ -75,7 +75,7 @@
 fn a_clock_that_is_processed_late_extends_no_lease_beyond_its_length() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let clock = driver.clock();
     driver.now.at += Duration::from_secs(5);
     let reply = PollReply::Report {
@@ -109,14 +109,14 @@
             ..step(2)
         };
         driver.submit(job("1", vec![long_running]));
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
         for span in spans {
             let effects = suspend(&mut driver, span * MS);
             assert!(!effects.iter().any(is_start));
             for effect in effects {
                 driver.carry_out(effect);
             }
-            driver.pass(500 * MS);
+            driver.run_for(500 * MS);
         }
         let starts = driver.starts();
         assert_eq!(starts.len(), 2, "the runs never left their workers");
--- a/ashtiller/tests/owner/crash_wave.rs
+++ b/ashtiller/tests/owner/crash_wave.rs
@@ -40,11 +40,11 @@
         .map(|number| started_at(number, 1000))
         .collect();
     driver.core.list_all(list, driver.now);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     for number in 0..workers / 20 {
         driver.submit(job(&format!("{number:016x}"), vec![step(40)]));
     }
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     for number in 0..workers {
         // Each worker reports its runs.
         driver.report(
@@ -54,7 +54,7 @@
         );
     }
     let began = processor_time();
-    driver.pass(500 * MS);
+    driver.run_for(500 * MS);
     let calm = processor_time().saturating_sub(began);
     let began = processor_time();
     for number in (0..workers).step_by(SPACING.into()) {
@@ -63,7 +63,7 @@
         let next = PollReply::OtherIncarnation(Some(started_at(number, 1001).incarnation));
         driver.core.handle_poll_reply(&former, Ok(next), driver.now);
     }
-    driver.pass(500 * MS);
+    driver.run_for(500 * MS);
     let took = processor_time().saturating_sub(began);
     let counts = driver.core.counts();
     assert!(counts.crashes >= u64::from(workers / SPACING), "{counts:?}");
--- a/ashtiller/tests/owner/crashes.rs
+++ b/ashtiller/tests/owner/crashes.rs
@@ -65,9 +65,9 @@
     pub fn run_for(&mut self, span: Duration) {
         let end = self.driver.now.at + span;
         while self.driver.now.at < end {
-            self.driver.pass(10 * MS);
+            self.driver.run_for(10 * MS);
             if let Some(id) = self.crash_next() {
-                self.driver.pass(RESTART_DELAY);
+                self.driver.run_for(RESTART_DELAY);
                 self.restart_worker(&id);
             }
         }
@@ -128,12 +128,12 @@
     let mut starts = 0;
     for _ in 0..8 {
         for _ in 0..3000 {
-            cluster.driver.pass(10 * MS);
+            cluster.driver.run_for(10 * MS);
             if let Some(id) = cluster.crash_next() {
                 starts += 1;
-                cluster.driver.pass(RESTART_DELAY);
+                cluster.driver.run_for(RESTART_DELAY);
                 cluster.restart_worker(&id);
-                cluster.driver.pass(after);
+                cluster.driver.run_for(after);
                 break;
             }
         }
@@ -171,7 +171,7 @@
             .driver
             .submit(job(&format!("{number}"), vec![long_running]));
     }
-    cluster.driver.pass(500 * MS);
+    cluster.driver.run_for(500 * MS);
     cluster.driver.submit(crashing_job(vec![step(1)]));
     cluster.run_for(Duration::from_secs(30));
     assert_eq!(cluster.state("bad"), failed());
@@ -222,11 +222,11 @@
     records.extend(runs.map(|run| LogRecord::Ended(run, End::Lost, "".into())));
     let mut driver = Driver::replay(&records, 1, policy());
     driver.submit(job("plain", vec![long_running(1)]));
-    driver.pass(Duration::from_secs(9));
+    driver.run_for(Duration::from_secs(9));
     let starts = driver.starts();
     let plain = starts.iter().filter(|(_, run)| run.task.job == 1).count();
     assert_eq!(plain, 1, "{starts:?}");
-    driver.pass(Duration::from_secs(12));
+    driver.run_for(Duration::from_secs(12));
     assert_eq!(
         driver.starts().len(),
         4,
@@ -245,7 +245,7 @@
     for (silence, certain) in [(Duration::ZERO, true), (400 * MS, false)] {
         let mut driver = Driver::new(2, policy());
         driver.submit(job("1", vec![step(1)]));
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         let (incarnation, run) = driver.starts()[0].clone();
         let row = Active {
             name: driver.name(run),
@@ -255,19 +255,19 @@
             figure: None,
         };
         driver.running.push((incarnation.clone(), row));
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         driver.timing_out = Some(incarnation.clone());
-        driver.pass(silence);
+        driver.run_for(silence);
         driver.timing_out = None;
         driver.crash(&incarnation);
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
         let machine = driver.core.workers()[&incarnation].listed.clone();
         let next = ListedWorker {
             incarnation: "next".into(),
             ..machine
         };
         driver.relist_as(&incarnation, next);
-        driver.pass(500 * MS);
+        driver.run_for(500 * MS);
         let lost_runs = driver.records.iter().filter_map(|record| match record {
             LogRecord::Crashed(of, lost_runs) if *of == incarnation => Some(lost_runs),
             _ => None,
--- a/ashtiller/tests/owner/driver.rs
+++ b/ashtiller/tests/owner/driver.rs
@@ -132,7 +132,7 @@
     /// Whether log entries become durable.
     pub store_available: bool,
     /// Whether the list of workers is kept up to date.
-    pub news: bool,
+    pub listing_fresh: bool,
     /// Availability zones under evacuation; `None` while no reading of them arrives.
     pub evacuated: Option<Zones>,
     /// A worker whose orders get no reply.
@@ -205,18 +205,18 @@
             long_polls: false,
             waiting_polls: Vec::new(),
             store_available: true,
-            news: true,
+            listing_fresh: true,
             evacuated: Some(Zones::new()),
             drops_orders: None,
             clock_start: Duration::ZERO,
             pending_append: None,
         };
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         driver
     }
 
     /// Advances time by `span`; workers accept every order and report what was started there.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn run_for(&mut self, span: Duration) {
         let end = self.now.at + span;
         while self.now.at < end {
             self.now.wall += 5;
@@ -230,7 +230,7 @@
     /// Advances the core by 5 ms; while listings arrive, the list of workers is complete as of then.
     fn poll(&mut self) -> Vec<Effect> {
         self.now.at += 5 * MS;
-        if self.news {
+        if self.listing_fresh {
             self.core.note_complete_listing(self.now.at);
         }
         if let Some(zones) = &self.evacuated {
--- a/ashtiller/tests/owner/evacuation.rs
+++ b/ashtiller/tests/owner/evacuation.rs
@@ -38,7 +38,7 @@
     let workers = (0..inner).map(inside);
     let workers = workers.chain((inner..inner + outer).map(listed));
     driver.core.list_all(workers.collect(), driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver
 }
 
@@ -68,14 +68,14 @@
 fn nothing_starts_in_an_evacuated_zone_until_the_evacuation_is_revoked() {
     let mut driver = open(2, 1);
     driver.evacuated = Some(olten());
-    driver.pass(20 * MS);
+    driver.run_for(20 * MS);
     driver.submit(job("1", vec![step(10)]));
-    driver.pass(Duration::from_secs(1));
+    driver.run_for(Duration::from_secs(1));
     assert_eq!(inner_starts(&driver, 2), 0);
     // One worker with four processors is left.
     assert_eq!(driver.starts().len(), 4);
     driver.evacuated = Some(Zones::new());
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert_eq!(driver.starts().len(), 10, "at once");
     assert_eq!(inner_starts(&driver, 2), 6);
 }
@@ -84,13 +84,13 @@
 fn a_job_waits_while_all_zones_are_evacuated() {
     let mut driver = open(1, 1);
     driver.evacuated = Some([(Arc::from("olten"), 17), (Arc::from("bern"), 18)].into());
-    driver.pass(20 * MS);
+    driver.run_for(20 * MS);
     driver.submit(job("1", vec![step(2)]));
-    driver.pass(Duration::from_secs(2));
+    driver.run_for(Duration::from_secs(2));
     assert!(driver.starts().is_empty());
     assert_eq!(driver.replies.len(), 1, "it is accepted");
     driver.evacuated = Some(olten());
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert_eq!(driver.starts().len(), 2);
     assert_eq!(inner_starts(&driver, 1), 0);
 }
@@ -107,13 +107,13 @@
         ..step(4)
     };
     driver.submit(job("1", vec![service, step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     for (id, run) in driver.starts() {
         show_running(&mut driver, &id, run, 100);
     }
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     driver.evacuated = Some(olten());
-    driver.pass(Duration::from_secs(8));
+    driver.run_for(Duration::from_secs(8));
     assert!(driver.stops().is_empty());
     assert_eq!(driver.starts().len(), 5);
     assert_eq!(driver.core.counts().lost, 0);
@@ -124,15 +124,15 @@
 fn a_run_that_has_not_started_starts_elsewhere() {
     for offset in 0..8 {
         let mut driver = open(1, 0);
-        driver.pass(offset * 5 * MS);
+        driver.run_for(offset * 5 * MS);
         driver.store_available = false;
         driver.submit(job("1", vec![step(1)]));
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         driver.core.list_worker(listed(1), driver.now);
         driver.evacuated = Some(olten());
-        driver.pass(offset * 5 * MS);
+        driver.run_for(offset * 5 * MS);
         driver.restore_store();
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(inner_starts(&driver, 1), 0, "{offset}");
         assert_eq!(driver.starts().len(), 1, "it starts elsewhere, {offset}");
     }
@@ -144,15 +144,15 @@
     for offset in 0..16 {
         let mut driver = open(1, 0);
         driver.drops_orders = Some("w0".into());
-        driver.pass(offset * 5 * MS);
+        driver.run_for(offset * 5 * MS);
         driver.submit(job("1", vec![step(1)]));
         while driver.starts().is_empty() {
-            driver.pass(5 * MS);
+            driver.run_for(5 * MS);
         }
-        driver.pass(55 * MS);
+        driver.run_for(55 * MS);
         let before = driver.starts().len();
         driver.evacuated = Some(olten());
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(driver.starts().len(), before, "{offset}");
         assert_eq!(driver.stops().len(), 1, "it is withdrawn, {offset}");
     }
@@ -165,12 +165,12 @@
     for (age, started) in [(3100, 1), (3300, 0)] {
         let mut driver = open(1, 0);
         driver.evacuated = None;
-        driver.pass(age * MS);
+        driver.run_for(age * MS);
         driver.submit(job("1", vec![step(1)]));
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         assert_eq!(driver.starts().len(), started, "reading of {age} ms ago");
         driver.evacuated = Some(Zones::new());
-        driver.pass(40 * MS);
+        driver.run_for(40 * MS);
         assert_eq!(driver.starts().len(), 1, "with a new reading");
     }
 }
@@ -187,11 +187,11 @@
         .core
         .note_evacuations(&Zones::new(), long_ago, driver.now);
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(Duration::from_secs(2));
+    driver.run_for(Duration::from_secs(2));
     assert!(driver.starts().is_empty());
     let age = driver.now.at.saturating_sub(now.at);
     driver.core.note_evacuations(&olten(), age, driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert_eq!(driver.starts().len(), 1);
     assert_eq!(inner_starts(&driver, 1), 0);
 }
@@ -200,9 +200,9 @@
 fn starts_do_not_wait_for_evacuations_where_there_are_none() {
     let mut driver = Driver::new(1, policy());
     driver.evacuated = None;
-    driver.pass(Duration::from_secs(20));
+    driver.run_for(Duration::from_secs(20));
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert_eq!(driver.starts().len(), 1);
 }
 
@@ -227,7 +227,7 @@
             show_running(&mut driver, &"w0".into(), run, 40);
         }
         driver.core.list_all(vec![inside(0), listed(1)], driver.now);
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(inner_starts(&driver, 1), 0);
         assert_eq!(driver.starts().len(), usize::from(!begun));
         assert_eq!(driver.stops().len(), usize::from(!begun));
@@ -244,7 +244,7 @@
         ..step(6)
     };
     driver.submit(job("1", vec![gang]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     let more = ListedWorker {
         incarnation: "w2".into(),
         ..listed(2)
@@ -252,7 +252,7 @@
     driver.core.list_worker(more, driver.now);
     driver.evacuated = Some(olten());
     driver.restore_store();
-    driver.pass(Duration::from_secs(2));
+    driver.run_for(Duration::from_secs(2));
     assert_eq!(inner_starts(&driver, 1), 0);
     let numbers = driver.starts().into_iter().map(|(_, run)| run.number);
     let newest = numbers.clone().max();
--- a/ashtiller/tests/owner/fences.rs
+++ b/ashtiller/tests/owner/fences.rs
@@ -62,9 +62,9 @@
 fn with_ack_in_flight(listed: ListedWorker) -> (Driver, Target) {
     let mut driver = Driver::new(0, policy());
     driver.core.list_all(vec![listed], driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (incarnation, run) = driver.starts()[0].clone();
     driver.end(&incarnation, run, EndReason::Done, 6);
     let (target, _) = await_call(&mut driver, acknowledges);
@@ -128,7 +128,7 @@
     assert!(!driver.core.is_superseded());
     let (again, of, _) = await_call(&mut driver, starts);
     assert_eq!((again.fence > first.fence, of), (true, run));
-    driver.pass(4000 * MS);
+    driver.run_for(4000 * MS);
     let fenced = Ok(OrderReply::Refused(Refusal::Fenced));
     let core = &mut driver.core;
     core.handle_order_reply(&again.incarnation, run, &order, fenced, driver.now);
@@ -170,7 +170,7 @@
         .insert(polled.incarnation, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
     driver.submit(job("2", vec![step(1)]));
-    driver.pass(Duration::from_secs(1));
+    driver.run_for(Duration::from_secs(1));
     assert!(
         driver
             .starts()
--- a/ashtiller/tests/owner/jobs.rs
+++ b/ashtiller/tests/owner/jobs.rs
@@ -14,12 +14,12 @@
     let mut driver = Driver::new(2, policy());
     let token = driver.submit(job("1", vec![step(2)]));
     assert!(driver.replies.is_empty());
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert_eq!(driver.replies, [(token, Reply::Accepted)]);
     assert_eq!(driver.starts().len(), 2);
     // Submitting the same id again refers to the same job.
     let again = driver.submit(job("1", vec![step(2)]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert_eq!(driver.replies[1], (again, Reply::Accepted));
     assert_eq!(driver.starts().len(), 2);
 }
@@ -29,7 +29,7 @@
     let mut driver = Driver::new(2, policy());
     driver.store_available = false;
     driver.submit(job("1", vec![step(2)]));
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     assert!(driver.starts().is_empty());
     assert!(driver.replies.is_empty());
 }
@@ -38,9 +38,9 @@
 fn jobs_are_refused_immediately_while_the_store_is_unavailable() {
     let mut driver = Driver::new(2, policy());
     driver.store_available = false;
-    driver.pass(Duration::from_secs(2));
+    driver.run_for(Duration::from_secs(2));
     let token = driver.submit(job("1", vec![step(1)]));
-    driver.pass(10 * MS);
+    driver.run_for(10 * MS);
     assert_eq!(driver.replies, [(token, Reply::Refused(1000))]);
     let known = driver
         .records
@@ -58,12 +58,12 @@
     let mut driver = Driver::new(2, policy());
     driver.store_available = false;
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     let first = driver.submit(job("2", vec![step(1)]));
     driver.now.at += 400 * MS;
     let again = driver.submit(job("2", vec![step(1)]));
     driver.restore_store();
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     for token in [first, again] {
         let answer = (token, Reply::Accepted);
         assert!(driver.replies.contains(&answer), "{:?}", driver.replies);
@@ -78,18 +78,18 @@
         ..step(1)
     };
     driver.submit(job("1", vec![step(1), second]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 1);
     let (id, run) = starts[0].clone();
     driver.end(&id, run, EndReason::Done, 1);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 2);
     assert_eq!(starts[1].1.task.step, 1);
     let (id, run) = starts[1].clone();
     driver.end(&id, run, EndReason::Done, 2);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert_eq!(
         driver.core.state("1"),
         Reply::State(State::Over(Outcome::Complete))
@@ -101,12 +101,12 @@
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1)]));
     for attempt in 1..=2 {
-        driver.pass(300 * MS);
+        driver.run_for(300 * MS);
         let (id, run) = driver.starts().last().unwrap().clone();
         assert_eq!(run.number, attempt);
         driver.end(&id, run, EndReason::Failed, u64::from(attempt));
     }
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert_eq!(
         driver.core.state("1"),
         Reply::State(State::Over(Outcome::Failed))
@@ -124,11 +124,11 @@
         times: 2,
     });
     driver.submit(repeated);
-    driver.pass(900 * MS);
+    driver.run_for(900 * MS);
     assert!(driver.starts().is_empty());
-    driver.pass(400 * MS);
+    driver.run_for(400 * MS);
     assert_eq!(driver.starts().len(), 1);
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     let times: Vec<u32> = driver
         .starts()
         .iter()
--- a/ashtiller/tests/owner/kept.rs
+++ b/ashtiller/tests/owner/kept.rs
@@ -31,7 +31,7 @@
         }
         let (worker, run) = starts_of(driver, "small")[number].clone();
         driver.end(&worker, run, EndReason::Done, number as u64 + 1);
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
     }
 }
 
@@ -45,7 +45,7 @@
         ..short(1000)
     };
     driver.submit(job("small", vec![Step { count: 60, ..small }]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("lasts", vec![wanted]));
     end_small_tasks(&mut driver, "lasts", 1);
     driver
@@ -98,7 +98,7 @@
         ..short(1000)
     };
     driver.submit(job("small", vec![Step { count: 60, ..small }]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("lasts", vec![wanted]));
     end_small_tasks(&mut driver, "lasts", 2);
     assert_eq!(starts_of(&driver, "lasts").len(), 2);
@@ -123,7 +123,7 @@
             ..short(1000)
         }],
     ));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.core.list_worker(listed(7), driver.now);
     driver.advised_worker = Some("w0".into());
     driver.submit(job("lasts", vec![long_running(3000)]));
@@ -135,7 +135,7 @@
 fn a_step_that_no_worker_can_free_capacity_for_does_not_block_others() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("stays", vec![long_running(1000)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     // Beside the running long-running task there is never capacity for this one.
     driver.submit(job("whole", vec![long_running(4000)]));
     driver.submit(job(
@@ -145,7 +145,7 @@
             ..short(1000)
         }],
     ));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("lasts", vec![long_running(3000)]));
     end_small_tasks(&mut driver, "lasts", 1);
     assert_eq!(starts_of(&driver, "lasts").len(), 1);
--- a/ashtiller/tests/owner/late_ends.rs
+++ b/ashtiller/tests/owner/late_ends.rs
@@ -23,10 +23,10 @@
 fn lose_run() -> (Driver, Run) {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     driver.silent = Some(id);
-    driver.pass(SILENCE);
+    driver.run_for(SILENCE);
     assert!(
         !driver.core.log_state().is_live(run),
         "its lease has expired"
@@ -38,7 +38,7 @@
 fn answer_with(driver: &mut Driver, run: Run, how: EndReason) {
     driver.reported_ends = driver.ends(run, how, 1);
     driver.silent = None;
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
 }
 
 #[test]
@@ -54,10 +54,10 @@
 fn a_late_completion_stops_the_next_run() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1), step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     driver.silent = Some(id);
-    driver.pass(SILENCE);
+    driver.run_for(SILENCE);
     let again = driver.starts();
     let again = again
         .iter()
@@ -78,12 +78,12 @@
         task.failures()
     };
     assert_eq!(failures(&driver), 1);
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     assert_eq!(failures(&driver), 1, "it is reported repeatedly");
     let (id, last) = starts[1].clone();
     driver.reported_ends.clear();
     driver.end(&id, last, EndReason::Failed, 2);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let state = driver.core.state("1");
     assert_eq!(state, Reply::State(State::Over(Outcome::Failed)));
 }
@@ -93,12 +93,12 @@
 fn a_long_running_task_restarts_however_its_lost_run_ended() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![long_running(1000)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     driver.silent = Some(id);
-    driver.pass(SILENCE);
+    driver.run_for(SILENCE);
     answer_with(&mut driver, run, EndReason::Done);
     driver.reported_ends.clear();
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     assert_eq!(driver.starts().len(), 2);
 }
--- a/ashtiller/tests/owner/leaving.rs
+++ b/ashtiller/tests/owner/leaving.rs
@@ -21,7 +21,7 @@
         ..step(2)
     };
     driver.submit(job("1", vec![service]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let starts = driver.starts();
     for (id, run) in &starts {
         let running = Active {
@@ -33,7 +33,7 @@
         };
         driver.running.push((id.clone(), running));
     }
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     (driver, starts)
 }
 
@@ -42,7 +42,7 @@
     let (mut driver, starts) = serving(None);
     let (id, run) = starts[0].clone();
     driver.core.unlist_worker(&id, driver.now);
-    driver.pass(1500 * MS);
+    driver.run_for(1500 * MS);
     assert_eq!(driver.stops().len(), 1);
     assert!(driver.stops().contains(&run));
     let placed = driver.starts();
@@ -58,7 +58,7 @@
         for (id, _) in &starts {
             driver.core.unlist_worker(id, driver.now);
         }
-        driver.pass(1500 * MS);
+        driver.run_for(1500 * MS);
         assert_eq!(driver.stops().len(), expected, "may miss {away_max:?}");
     }
 }
@@ -67,13 +67,13 @@
 fn nothing_leaves_a_worker_whose_entry_expired_while_the_store_was_unavailable() {
     let (mut driver, starts) = serving(None);
     driver.store_available = false;
-    driver.pass(Duration::from_secs(3));
+    driver.run_for(Duration::from_secs(3));
     driver.core.unlist_worker(&starts[0].0, driver.now);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     driver.restore_store();
-    driver.pass(2000 * MS);
+    driver.run_for(2000 * MS);
     assert_eq!(driver.stops().len(), 0, "it may be listed again");
-    driver.pass(2000 * MS);
+    driver.run_for(2000 * MS);
     assert_eq!(driver.stops().len(), 1, "it does not come back");
 }
 
@@ -88,7 +88,7 @@
         ..listed(0)
     };
     driver.core.list_all(vec![listed(0), newer], driver.now);
-    driver.pass(20 * MS);
+    driver.run_for(20 * MS);
     let incarnations: Vec<Incarnation> = driver.core.workers().keys().cloned().collect();
     assert_eq!(incarnations, ["a-newer-life".into()]);
 }
--- a/ashtiller/tests/owner/lives.rs
+++ b/ashtiller/tests/owner/lives.rs
@@ -25,14 +25,14 @@
 fn two_workers() -> (Driver, Incarnation, Run) {
     let mut driver = Driver::new(0, policy());
     driver.core.list_all(vec![started_at(0, 1000)], driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (incarnation, run) = driver.starts()[0].clone();
     assert_eq!(incarnation, Incarnation::new("w0", Some(1000)));
     let both = vec![started_at(0, 1000), started_at(1, 1000)];
     driver.core.list_all(both, driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     (driver, incarnation, run)
 }
 
@@ -67,7 +67,7 @@
     let (mut driver, incarnation, run) = two_workers();
     let next = Incarnation::new("w0", Some(900));
     driver.restarted.insert(incarnation.clone(), next.clone());
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert!(
         !driver.core.log_state().is_live(run),
         "none of its runs is active"
@@ -97,9 +97,9 @@
         .restarted
         .insert(incarnation, next.incarnation.clone());
     driver.core.list_all(vec![next.clone()], driver.now);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     driver.submit(job("2", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert!(
         driver
             .starts()
@@ -118,11 +118,11 @@
         .restarted
         .insert(incarnation.clone(), next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let polls = driver.poll_counts[&incarnation];
     for _ in 0..40 {
         driver.core.list_worker(started_at(0, 1000), driver.now);
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
     }
     assert!(
         driver.poll_counts[&incarnation] - polls <= 2,
@@ -138,10 +138,10 @@
 fn an_unanswered_start_is_stopped_at_the_next_incarnation_before_its_task_starts_elsewhere() {
     let mut driver = Driver::new(0, policy());
     driver.core.list_all(vec![started_at(0, 1000)], driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver.drops_orders = Some(Incarnation::new("w0", Some(1000)));
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     let run = driver.starts()[0].1;
     let next = started_at(0, 2000);
     driver
@@ -150,7 +150,7 @@
     driver
         .core
         .list_all(vec![next.clone(), started_at(1, 1000)], driver.now);
-    driver.pass(Duration::from_secs(1));
+    driver.run_for(Duration::from_secs(1));
     let orders = driver.orders.iter();
     let orders = orders.filter(|(at, ..)| at.id() == "w1" || *at == next.incarnation);
     let mut kinds = orders.map(|(at, of, order)| (at.id(), *of == run, order.kind()));
@@ -165,7 +165,7 @@
     let (mut driver, incarnation, run) = two_workers();
     driver.end(&incarnation, run, EndReason::Done, 7);
     driver.acknowledged.clear();
-    driver.pass(Duration::from_secs(2));
+    driver.run_for(Duration::from_secs(2));
     let acknowledged_ends = driver
         .acknowledged
         .iter()
@@ -186,7 +186,7 @@
     driver
         .core
         .list_all(vec![listed(0), started_at(1, 1000)], driver.now);
-    driver.pass(Duration::from_secs(3));
+    driver.run_for(Duration::from_secs(3));
     assert!(driver.core.log_state().is_live(run));
     assert!(driver.core.workers()[&incarnation].unlisted_since.is_none());
     assert!(driver.core.workers().keys().all(|it| it.born().is_some()));
@@ -202,7 +202,7 @@
         .restarted
         .insert(incarnation, next.incarnation.clone());
     successor.core.list_all(vec![next.clone()], successor.now);
-    successor.pass(Duration::from_secs(1));
+    successor.run_for(Duration::from_secs(1));
     assert!(!successor.core.log_state().is_live(run));
     let first = successor
         .orders
@@ -263,23 +263,23 @@
         .restarted
         .insert(incarnation, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let old = ListedWorker {
         draining: true,
         ..started_at(0, 1000)
     };
     driver.core.list_worker(old, driver.now);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     driver.core.list_worker(next.clone(), driver.now);
     driver.submit(job("2", vec![step(1)]));
-    driver.pass(Duration::from_secs(11));
+    driver.run_for(Duration::from_secs(11));
     assert!(
         !driver
             .starts()
             .iter()
             .any(|(at, _)| *at == next.incarnation)
     );
-    driver.pass(Duration::from_secs(3));
+    driver.run_for(Duration::from_secs(3));
     assert!(
         driver
             .starts()
@@ -296,9 +296,9 @@
 fn a_lease_lasts_longer_by_a_clock_that_lags() {
     let mut driver = Driver::new(2, policy());
     driver.long_polls = true;
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let heard = driver.clock();
-    driver.pass(1500 * MS);
+    driver.run_for(1500 * MS);
     driver.submit(job("1", vec![step(1)]));
     let mut started: Option<(Incarnation, Duration)> = None;
     for _ in 0..2000 {
@@ -349,14 +349,14 @@
     driver.clock_start = driver.now.at;
     let both = vec![listed(0), listed(1)];
     driver.core.list_all(both, driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     let (incarnation, _) = driver.starts()[0].clone();
     driver.silent = Some(incarnation);
-    driver.pass(tuning.hold.saturating_sub(200 * MS));
+    driver.run_for(tuning.hold.saturating_sub(200 * MS));
     assert_eq!(driver.starts().len(), 1, "it may still run");
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     assert_eq!(driver.starts().len(), 2);
 }
 
@@ -378,10 +378,10 @@
         .core
         .list_all(vec![next, started_at(1, 1000)], successor.now);
     successor.core.note_predecessor_ended(0, successor.now);
-    successor.pass(LATE_MAX + tuning.hold.saturating_sub(200 * MS));
+    successor.run_for(LATE_MAX + tuning.hold.saturating_sub(200 * MS));
     assert!(successor.starts().is_empty(), "it may still run");
     assert!(successor.core.log_state().is_live(run));
-    successor.pass(1500 * MS);
+    successor.run_for(1500 * MS);
     assert_eq!(successor.starts().len(), 1);
 }
 
@@ -418,7 +418,7 @@
         .restarted
         .insert(incarnation, next.incarnation.clone());
     driver.core.list_worker(next.clone(), driver.now);
-    driver.pass(500 * MS);
+    driver.run_for(500 * MS);
     let bound = driver.core.workers()[&next.incarnation].lease.bound();
     let tuning = Tuning::default();
     assert!(bound >= sent + LATE_MAX + tuning.hold, "{bound:?}");
--- a/ashtiller/tests/owner/news.rs
+++ b/ashtiller/tests/owner/news.rs
@@ -24,7 +24,7 @@
     let mut driver = Driver::new(workers, policy());
     driver.store_available = false;
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     let worker = placed_on(&driver);
     (driver, worker)
 }
@@ -60,19 +60,19 @@
 fn a_start_waits_while_the_list_of_workers_is_old() {
     for (age, started) in [(1600, 1), (1700, 0)] {
         let (mut driver, _) = with_pending_record(2);
-        driver.news = false;
-        driver.pass(age * MS);
+        driver.listing_fresh = false;
+        driver.run_for(age * MS);
         driver.restore_store();
-        driver.pass(20 * MS);
+        driver.run_for(20 * MS);
         assert_eq!(driver.starts().len(), started, "list of {age} ms ago");
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(
             driver.starts().len(),
             started,
             "list of {age} ms ago, and 1 s"
         );
-        driver.news = true;
-        driver.pass(20 * MS);
+        driver.listing_fresh = true;
+        driver.run_for(20 * MS);
         assert_eq!(driver.starts().len(), 1, "with a new list");
     }
 }
@@ -82,13 +82,13 @@
 #[test]
 fn nothing_is_placed_while_the_list_of_workers_is_old() {
     let mut driver = Driver::new(2, policy());
-    driver.news = false;
-    driver.pass(Duration::from_secs(2));
+    driver.listing_fresh = false;
+    driver.run_for(Duration::from_secs(2));
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(Duration::from_secs(1));
+    driver.run_for(Duration::from_secs(1));
     assert_eq!(count_placed(&driver), 0);
-    driver.news = true;
-    driver.pass(100 * MS);
+    driver.listing_fresh = true;
+    driver.run_for(100 * MS);
     assert_eq!(driver.starts().len(), 1);
 }
 
@@ -96,16 +96,16 @@
 fn runs_continue_and_can_be_stopped_while_the_list_of_workers_is_old() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
-    driver.news = false;
-    driver.pass(Duration::from_secs(15));
+    driver.run_for(200 * MS);
+    driver.listing_fresh = false;
+    driver.run_for(Duration::from_secs(15));
     assert_eq!(driver.core.counts().lost, 0);
     assert_eq!(driver.stops().len(), 0);
     driver.last_token += 1;
     driver
         .core
         .cancel("1", RequestToken(driver.last_token), driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert_eq!(driver.stops().len(), 1);
 }
 
@@ -117,29 +117,29 @@
 fn no_start_is_ordered_once_its_worker_drains() {
     for offset in 0..8 {
         let (mut driver, worker) = with_pending_record(2);
-        driver.pass(offset * 5 * MS);
+        driver.run_for(offset * 5 * MS);
         driver.core.list_worker(draining_entry(&worker), driver.now);
         driver.restore_store();
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(starts_at(&driver, &worker), 0, "recorded, {offset}");
         assert_eq!(driver.starts().len(), 1, "it starts elsewhere");
     }
     for offset in 0..16 {
         let mut driver = Driver::new(1, policy());
         driver.drops_orders = Some("w0".into());
-        driver.pass(offset * 5 * MS);
+        driver.run_for(offset * 5 * MS);
         driver.submit(job("1", vec![step(1)]));
         while driver.starts().is_empty() {
-            driver.pass(5 * MS);
+            driver.run_for(5 * MS);
         }
         // The start is sent again after 60 ms.
-        driver.pass(55 * MS);
+        driver.run_for(55 * MS);
         let before = driver.starts().len();
         assert!(before > 0, "a start went out, {offset}");
         driver
             .core
             .list_worker(draining_entry(&"w0".into()), driver.now);
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(driver.starts().len(), before, "again, {offset}");
     }
 }
@@ -159,13 +159,13 @@
         let mut driver = Driver::new(2, policy());
         driver.store_available = false;
         driver.submit(job("1", vec![wanted]));
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         let rest: Vec<ListedWorker> = (0..2).map(listed).collect();
         let worker = placed_on(&driver);
         let rest = rest.into_iter().filter(|other| other.incarnation != worker);
         driver.core.list_all(rest.collect(), driver.now);
         driver.restore_store();
-        driver.pass(Duration::from_secs(2));
+        driver.run_for(Duration::from_secs(2));
         assert_eq!(starts_at(&driver, &worker), 0);
         assert_eq!(driver.starts().len(), 1, "it starts elsewhere");
     }
@@ -176,9 +176,9 @@
     let (mut driver, worker) = with_pending_record(1);
     driver.core.unlist_worker(&worker, driver.now);
     driver.restore_store();
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     driver.core.list_worker(listed(0), driver.now);
-    driver.pass(20 * MS);
+    driver.run_for(20 * MS);
     assert_eq!(starts_at(&driver, &worker), 1);
 }
 
@@ -192,7 +192,7 @@
         .list_all(vec![draining_entry(&worker)], driver.now);
     driver.core.list_worker(listed(0), driver.now);
     driver.restore_store();
-    driver.pass(Duration::from_secs(1));
+    driver.run_for(Duration::from_secs(1));
     assert!(driver.starts().is_empty());
 }
 
@@ -211,13 +211,13 @@
     ];
     for offset in 0..8 {
         let mut driver = Driver::replay(&records, 0, policy());
-        driver.pass(offset * 5 * MS);
+        driver.run_for(offset * 5 * MS);
         driver.core.list_worker(listed(1), driver.now);
-        driver.pass(offset * 5 * MS);
+        driver.run_for(offset * 5 * MS);
         driver
             .core
             .list_worker(draining_entry(&"w0".into()), driver.now);
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(starts_at(&driver, &"w0".into()), 0, "{offset}");
         assert_eq!(starts_at(&driver, &"w1".into()), 1, "it starts elsewhere");
     }
@@ -230,16 +230,16 @@
     for offset in 0..8 {
         let mut driver = Driver::new(1, policy());
         driver.store_available = false;
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         driver.core.unlist_worker(&"w0".into(), driver.now);
         driver.restore_store();
         driver.drops_orders = Some("w0".into());
-        driver.pass((2400 + 5 * offset) * MS);
+        driver.run_for((2400 + 5 * offset) * MS);
         driver.submit(job("1", vec![step(1)]));
-        driver.pass((95 - 5 * offset) * MS);
+        driver.run_for((95 - 5 * offset) * MS);
         let before = driver.starts().len();
         assert!(before > 0, "it may come back, {offset}");
-        driver.pass(Duration::from_secs(1));
+        driver.run_for(Duration::from_secs(1));
         assert_eq!(driver.starts().len(), before, "{offset}");
     }
 }
@@ -256,7 +256,7 @@
     };
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![copied]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (first, _) = driver.starts()[0].clone();
     let other = if first.id() == "w0" { "w1" } else { "w0" };
     driver
@@ -264,6 +264,6 @@
         .list_worker(draining_entry(&other.into()), driver.now);
     driver.silent = Some(first);
     driver.submit(job("2", vec![gang]));
-    driver.pass(Duration::from_secs(2));
+    driver.run_for(Duration::from_secs(2));
     assert_eq!(driver.starts().len(), 1);
 }
--- a/ashtiller/tests/owner/placing.rs
+++ b/ashtiller/tests/owner/placing.rs
@@ -15,10 +15,10 @@
 fn a_retry_avoids_the_worker_on_which_it_failed() {
     let mut driver = Driver::new(3, policy());
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (first, run) = driver.starts()[0].clone();
     driver.end(&first, run, EndReason::Failed, 1);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert_ne!(driver.starts()[1].0, first);
 }
 
@@ -31,7 +31,7 @@
         ..step(6)
     };
     driver.submit(job("1", vec![gang]));
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 6);
     assert!(starts.iter().all(|(_, run)| run.number == 1));
@@ -51,7 +51,7 @@
         ..step(9)
     };
     driver.submit(job("1", vec![gang]));
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     assert!(driver.starts().is_empty());
 }
 
@@ -63,7 +63,7 @@
         ..step(4)
     };
     driver.submit(job("1", vec![spread]));
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let workers: BTreeSet<Incarnation> = driver.starts().into_iter().map(|(id, _)| id).collect();
     assert_eq!(workers.len(), 4);
     let labelled = Step {
@@ -71,7 +71,7 @@
         ..step(2)
     };
     driver.submit(job("2", vec![labelled]));
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let starts = driver.starts();
     let late = &starts[4..];
     assert_eq!(late.len(), 2);
@@ -90,7 +90,7 @@
     };
     let mut driver = Driver::new(20, advised);
     driver.submit(job("1", vec![step(2)]));
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     assert_eq!(driver.advice_requests.len(), 1);
     let named = driver.advice_requests[0].workers.len();
     assert!(named <= 8, "{named}");
@@ -130,7 +130,7 @@
     let mut driver = Driver::new(20, advised());
     driver.advisor = Advisor::LosesOne;
     driver.submit(job("1", vec![step(2)]));
-    driver.pass(600 * MS);
+    driver.run_for(600 * MS);
     let [first, again] = &driver.advice_requests[..] else {
         panic!("{:?}", driver.advice_requests);
     };
@@ -149,7 +149,7 @@
     driver.advisor = Advisor::Works;
     driver.submit(job("1", vec![step(2)]));
     driver.submit(job("2", vec![step(2)]));
-    driver.pass(600 * MS);
+    driver.run_for(600 * MS);
     let [first, second] = &driver.advice_requests[..] else {
         panic!("{:?}", driver.advice_requests);
     };
@@ -167,10 +167,10 @@
                 ..step(1)
             }],
         ));
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
         let (id, _) = driver.starts()[0].clone();
         driver.silent = Some(id.clone());
-        driver.pass(Duration::from_secs(4));
+        driver.run_for(Duration::from_secs(4));
         let placed = driver.starts();
         assert_eq!(placed.len(), starts, "copies {copies}");
         assert!(placed.iter().skip(1).all(|(other, _)| *other != id));
@@ -191,7 +191,7 @@
     // All jobs are submitted in one round; the worker has four processors.
     driver.submit(job("1", vec![step(4)]));
     driver.submit(job("2", vec![large]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let jobs: Vec<u32> = driver
         .starts()
         .iter()
@@ -216,10 +216,10 @@
         let mut driver = Driver::new(1, policy());
         if beside > 0 {
             driver.submit(job("1", vec![step(beside)]));
-            driver.pass(200 * MS);
+            driver.run_for(200 * MS);
         }
         driver.submit(job("2", vec![fill(8, asked)]));
-        driver.pass(500 * MS);
+        driver.run_for(500 * MS);
         let starts = driver.starts().len();
         let beside = usize::try_from(beside).unwrap();
         assert_eq!(starts - beside, started, "of 4 processors, {beside} taken");
--- a/ashtiller/tests/owner/pressure.rs
+++ b/ashtiller/tests/owner/pressure.rs
@@ -17,11 +17,11 @@
     let mut driver = Driver::new(1, policy());
     driver.drops_orders = Some("w0".into());
     driver.submit(job("1", vec![step(2)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert!(!driver.starts().is_empty(), "a start is in flight");
     assert_eq!(driver.core.count_pending("jobs/q/"), Reply::Pending(1));
     driver.drops_orders = None;
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     assert_eq!(driver.core.count_pending("jobs/q/"), Reply::Pending(0));
 }
 
@@ -29,7 +29,7 @@
 #[test]
 fn silent_workers_do_not_extend_the_timeouts_of_others() {
     let mut driver = Driver::new(40, policy());
-    driver.pass(500 * MS);
+    driver.run_for(500 * MS);
     let mut late: Vec<(Duration, Incarnation)> = Vec::new();
     for _ in 0..2000 {
         driver.now.at += 5 * MS;
--- a/ashtiller/tests/owner/refill.rs
+++ b/ashtiller/tests/owner/refill.rs
@@ -26,24 +26,24 @@
 fn a_long_running_task_starts_immediately_however_much_waits() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("old", vec![long_running(8)]));
-    driver.pass(500 * MS);
+    driver.run_for(500 * MS);
     assert_eq!(driver.starts().len(), 8, "both workers are full");
     driver.submit(job("new", vec![long_running(8)]));
     for number in 0..1500 {
         driver.submit(job(&format!("{number:016x}"), vec![step(2)]));
     }
     // By now it is placed before short tasks.
-    driver.pass(4500 * MS);
+    driver.run_for(4500 * MS);
     assert_eq!(driver.starts().len(), 8);
     // The start must follow as quickly at any moment within the rounds of placement.
     for (number, moment) in (1..=4u64).zip([0, 35, 70, 105]) {
-        driver.pass(500 * MS + moment * MS);
+        driver.run_for(500 * MS + moment * MS);
         let (incarnation, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
         driver.end(&incarnation, run, EndReason::Stopped, number);
         let ended = driver.now.at;
         let known = driver.starts().len();
         while driver.starts().len() == known {
-            driver.pass(5 * MS);
+            driver.run_for(5 * MS);
             let waited = driver.now.at.saturating_sub(ended);
             assert!(
                 waited <= START_MAX,
@@ -62,15 +62,15 @@
 fn a_long_running_task_does_not_wait_for_a_shared_entry() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("old", vec![long_running(4)]));
-    driver.pass(500 * MS);
+    driver.run_for(500 * MS);
     driver.submit(job("new", vec![long_running(4)]));
-    driver.pass(4500 * MS);
+    driver.run_for(4500 * MS);
     for (number, moment) in (1..=4u64).zip([0, 10, 20, 30]) {
-        driver.pass(500 * MS + moment * MS);
+        driver.run_for(500 * MS + moment * MS);
         let (incarnation, run) = driver.starts()[usize::try_from(number).unwrap() - 1].clone();
         driver.end(&incarnation, run, EndReason::Stopped, number);
         let known = driver.starts().len();
-        driver.pass(15 * MS);
+        driver.run_for(15 * MS);
         assert_eq!(
             driver.starts().len(),
             known + 1,
--- a/ashtiller/tests/owner/refusals.rs
+++ b/ashtiller/tests/owner/refusals.rs
@@ -22,7 +22,7 @@
         let mut driver = Driver::new(2, policy());
         driver.refusing_worker = Some(("w0".into(), refusal));
         driver.submit(job("lasts", vec![long_running(1000)]));
-        driver.pass(3 * SECOND);
+        driver.run_for(3 * SECOND);
         assert!(!driver.refused.is_empty(), "{refusal:?}");
         assert_eq!(starts_of(&driver, "lasts").len(), 1, "{refusal:?}");
     }
--- a/ashtiller/tests/owner/room.rs
+++ b/ashtiller/tests/owner/room.rs
@@ -42,16 +42,16 @@
 fn a_short_job_does_not_wait_behind_long_running_ones() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("first", vec![whole_worker()]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let (id, run, _) = newest(&driver);
     for number in 0..5 {
         driver.submit(job(&format!("lasts-{number}"), vec![long_running()]));
     }
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver.submit(job("short", vec![whole_worker()]));
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver.end(&id, run, EndReason::Done, 1);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     assert_eq!(&*newest(&driver).2, "short");
 }
 
@@ -59,14 +59,14 @@
 fn a_late_short_job_still_runs_before_long_running_ones() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("first", vec![whole_worker()]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let (id, run, _) = newest(&driver);
     driver.submit(job("short", vec![whole_worker()]));
     driver.submit(job("lasts", vec![long_running()]));
     // Three times its target of 1.25 s has passed.
-    driver.pass(3900 * MS);
+    driver.run_for(3900 * MS);
     driver.end(&id, run, EndReason::Done, 1);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     assert_eq!(&*newest(&driver).2, "short");
 }
 
@@ -75,7 +75,7 @@
     let mut driver = Driver::new(1, policy());
     driver.submit(job("short-0", vec![whole_worker()]));
     driver.submit(job("short-1", vec![whole_worker()]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("lasts", vec![long_running()]));
     let began = driver.now.at;
     for number in 2..40 {
@@ -85,7 +85,7 @@
         }
         driver.submit(job(&format!("short-{number}"), vec![whole_worker()]));
         driver.end(&id, run, EndReason::Done, number);
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
     }
     assert_eq!(&*newest(&driver).2, "lasts");
     let waited = driver.now.at.saturating_sub(began);
@@ -103,7 +103,7 @@
         ..long_running()
     };
     driver.submit(job("small", vec![step(40)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("lasts", vec![large]));
     let began = driver.now.at;
     let mut ended = 0;
@@ -112,7 +112,7 @@
         let (id, run) = driver.starts()[ended].clone();
         ended += 1;
         driver.end(&id, run, EndReason::Done, ended as u64);
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
     }
     assert_eq!(&*newest(&driver).2, "lasts");
 }
@@ -121,15 +121,15 @@
 fn the_time_spent_waiting_is_reported_when_a_job_ends() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("first", vec![whole_worker()]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let (id, run, _) = newest(&driver);
     driver.submit(job("second", vec![whole_worker()]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.end(&id, run, EndReason::Done, 1);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let (id, run, _) = newest(&driver);
     driver.end(&id, run, EndReason::Done, 2);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let times = driver.core.drain_job_times();
     assert_eq!(times.len(), 2);
     assert!(times[0].waiting < 100 * MS, "{times:?}");
@@ -159,7 +159,7 @@
                     vec![Step { needs, ..step(1) }],
                 ));
             }
-            driver.pass(150 * MS);
+            driver.run_for(150 * MS);
             let starts = driver.starts();
             for (id, run) in &starts[ended..] {
                 driver.end(id, *run, EndReason::Done, run.task.job.into());
--- a/ashtiller/tests/owner/selective.rs
+++ b/ashtiller/tests/owner/selective.rs
@@ -26,12 +26,12 @@
 fn serving(tail: u64) -> Driver {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![service(1, 50 * MS)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let services = driver.starts();
     set_tail_latency(&mut driver, &services, 18);
-    driver.pass(20 * SECOND);
+    driver.run_for(20 * SECOND);
     set_tail_latency(&mut driver, &services, tail);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver
 }
 
@@ -39,7 +39,7 @@
 fn wait_start(driver: &mut Driver) -> Duration {
     let (known, since) = (driver.starts().len(), driver.now.at);
     while driver.starts().len() == known && driver.now.at < since + 10 * SECOND {
-        driver.pass(5 * MS);
+        driver.run_for(5 * MS);
     }
     driver.now.at.saturating_sub(since)
 }
@@ -63,25 +63,25 @@
 fn a_step_that_waits_takes_the_better_worker_when_there_is_one() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![service(1, 50 * MS)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let services = driver.starts();
     set_tail_latency(&mut driver, &services, 18);
-    driver.pass(20 * SECOND);
+    driver.run_for(20 * SECOND);
     let whole = Step {
         needs: processors(3900),
         ..step(1)
     };
     driver.submit(job("2", vec![whole]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let (other, taken) = driver.starts()[1].clone();
     assert_ne!(other, services[0].0);
     set_tail_latency(&mut driver, &services, 30);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     driver.submit(job("3", vec![short(1000)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert_eq!(driver.starts().len(), 2, "it waits");
     driver.end(&other, taken, EndReason::Done, 1);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 3);
     assert_eq!(starts[2].0, other);
--- a/ashtiller/tests/owner/sharing.rs
+++ b/ashtiller/tests/owner/sharing.rs
@@ -64,13 +64,13 @@
     for (target, tail) in [(22, 16), (30, 18), (50, 18), (120, 24)] {
         let mut driver = Driver::new(2, policy());
         driver.submit(job("1", vec![service(4, target * MS)]));
-        driver.pass(SECOND);
+        driver.run_for(SECOND);
         let services = driver.starts();
         assert_eq!(services.len(), 4);
         set_tail_latency(&mut driver, &services, tail);
-        driver.pass(20 * SECOND);
+        driver.run_for(20 * SECOND);
         driver.submit(job("2", vec![fill(2, 400)]));
-        driver.pass(SECOND);
+        driver.run_for(SECOND);
         let fills = driver.starts().len() - services.len();
         assert_eq!(fills, 2, "target {target} ms, tail {tail} ms");
     }
@@ -80,7 +80,7 @@
 fn a_paused_fill_moves_to_a_worker_where_it_can_run() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![service(1, 50 * MS)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let services = driver.starts();
     set_tail_latency(&mut driver, &services, 18);
     // The other worker is full, so the best-effort task is placed beside the service.
@@ -89,16 +89,16 @@
         ..step(1)
     };
     driver.submit(job("2", vec![whole]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let (other, taken) = driver.starts()[1].clone();
     assert_ne!(other, services[0].0);
     driver.submit(job("3", vec![fill(1, 1000)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     assert_eq!(driver.starts()[2].0, services[0].0);
     // The service exceeds its target, possibly because of the best-effort task.
     set_tail_latency(&mut driver, &services, 55);
     driver.end(&other, taken, EndReason::Done, 1);
-    driver.pass(5 * SECOND);
+    driver.run_for(5 * SECOND);
     let starts = driver.starts();
     assert_eq!(starts.len(), 4, "{starts:?}");
     assert_eq!(starts[3].0, other);
@@ -113,14 +113,14 @@
 fn a_paused_fill_stays_when_no_worker_is_better() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![service(1, 50 * MS)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let services = driver.starts();
     set_tail_latency(&mut driver, &services, 18);
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("2", vec![fill(1, 1000)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     set_tail_latency(&mut driver, &services, 60);
-    driver.pass(5 * SECOND);
+    driver.run_for(5 * SECOND);
     assert_eq!(driver.starts().len(), 2);
     assert!(driver.stops().is_empty());
 }
@@ -131,13 +131,13 @@
     for offset in (0..2000).step_by(200) {
         let mut driver = Driver::new(1, policy());
         driver.submit(job("1", vec![service(1, 50 * MS)]));
-        driver.pass(SECOND);
+        driver.run_for(SECOND);
         let services = driver.starts();
         set_tail_latency(&mut driver, &services, 18);
         driver.long_polls = true;
-        driver.pass(10 * SECOND + offset * MS);
+        driver.run_for(10 * SECOND + offset * MS);
         driver.submit(job("2", vec![fill(1, 1000)]));
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
         assert_eq!(driver.starts().len(), 2);
         let began = driver.now.at;
         set_tail_latency(&mut driver, &services, 60);
@@ -146,7 +146,7 @@
             orders.any(|(_, _, order)| matches!(order, Order::Pace(_, _, 0)))
         };
         while !is_paused(&driver) && driver.now.at < began + 10 * SECOND {
-            driver.pass(50 * MS);
+            driver.run_for(50 * MS);
         }
         let took = driver.now.at.saturating_sub(began);
         assert!(took < 3 * SECOND, "offset {offset}: {took:?}");
@@ -163,11 +163,11 @@
 fn interference_is_learned_from_fills_shorter_than_a_report() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![service(1, 500 * MS)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let services = driver.starts();
     // Alone it answers in 200 ms; a best-effort task on the whole worker takes 0.8 of its headroom.
     set_tail_latency(&mut driver, &services, 200);
-    driver.pass(10 * SECOND);
+    driver.run_for(10 * SECOND);
     let mut spans: Vec<(Duration, Duration)> = Vec::new();
     let report = |driver: &mut Driver, spans: &[(Duration, Duration)]| {
         let now = driver.now.at;
@@ -190,7 +190,7 @@
         // It may wait for more headroom.
         while driver.starts().len() == known {
             report(&mut driver, &spans);
-            driver.pass(5 * MS);
+            driver.run_for(5 * MS);
             assert!(driver.now.at < asked + 2 * SECOND, "fill {number} waits");
         }
         let began = driver.now.at;
@@ -198,11 +198,11 @@
         spans.push((began, ends));
         while driver.now.at < ends {
             report(&mut driver, &spans);
-            driver.pass(20 * MS);
+            driver.run_for(20 * MS);
         }
         let (id, run) = driver.starts().last().expect("a start").clone();
         driver.end(&id, run, EndReason::Done, number + 1);
-        driver.pass(300 * MS);
+        driver.run_for(300 * MS);
     }
     let lessons = driver.records.iter().rev().find_map(|record| match record {
         LogRecord::Learned(lessons) => Some(lessons.clone()),
--- a/ashtiller/tests/owner/stops.rs
+++ b/ashtiller/tests/owner/stops.rs
@@ -22,7 +22,7 @@
 fn cancel_unanswered() -> Driver {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("lasts", vec![long_running(4000)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.drops_orders = Some("w0".into());
     driver
         .core
@@ -41,9 +41,9 @@
 fn stops_to_a_silent_worker_do_not_accumulate() {
     let mut driver = cancel_unanswered();
     driver.silent = Some("w0".into());
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let before = count_stops(&driver);
-    driver.pass(3 * SECOND);
+    driver.run_for(3 * SECOND);
     let stops = count_stops(&driver) - before;
     // Polls are sent every 150 ms, and a stop has no better chance of arriving.
     assert!(stops <= 20, "{stops} stops in 3 s");
@@ -53,7 +53,7 @@
         "its lease has not expired"
     );
     driver.silent = None;
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     assert!(
         !driver.core.log_state().is_live(run),
         "the first report ends it"
@@ -64,6 +64,6 @@
 fn a_run_to_be_stopped_that_is_not_there_releases_its_capacity() {
     let mut driver = cancel_unanswered();
     driver.submit(job("next", vec![long_running(4000)]));
-    driver.pass(3 * SECOND);
+    driver.run_for(3 * SECOND);
     assert!(!starts_of(&driver, "next").is_empty());
 }
--- a/ashtiller/tests/owner/strangers.rs
+++ b/ashtiller/tests/owner/strangers.rs
@@ -20,7 +20,7 @@
 fn with_run() -> (Driver, Incarnation, Run, u16) {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     let number = id.id()[1..].parse().unwrap();
     (driver, id, run, number)
@@ -32,7 +32,7 @@
     driver.silent = Some(id);
     driver.crashed.insert("stranger".into());
     driver.core.list_worker(foreign_entry(number), driver.now);
-    driver.pass(Duration::from_secs(4));
+    driver.run_for(Duration::from_secs(4));
     assert!(
         driver.core.log_state().is_live(run),
         "its lease has not expired"
@@ -48,7 +48,7 @@
     for _ in 0..100 {
         let all = vec![listed(0), listed(1), foreign_entry(number)];
         driver.core.list_all(all, driver.now);
-        driver.pass(100 * MS);
+        driver.run_for(100 * MS);
     }
     assert!(driver.core.log_state().is_live(run));
     let polls = driver.poll_counts["stranger"];
@@ -60,7 +60,7 @@
     let (mut driver, id, run, number) = with_run();
     driver.crash(&id);
     driver.core.list_worker(foreign_entry(number), driver.now);
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert!(!driver.core.log_state().is_live(run));
     assert_eq!(driver.starts().len(), 2);
 }
@@ -72,7 +72,7 @@
     driver
         .core
         .list_all_except_unreadable(vec![other], &[id.id().into()], driver.now);
-    driver.pass(Duration::from_secs(12));
+    driver.run_for(Duration::from_secs(12));
     assert!(driver.core.log_state().is_live(run));
     assert!(driver.stops().is_empty());
 }
--- a/ashtiller/tests/owner/takeover.rs
+++ b/ashtiller/tests/owner/takeover.rs
@@ -54,7 +54,7 @@
         LogRecord::Ended(run(1), End::Done, Arc::from("")),
     ];
     let mut driver = Driver::replay(&records, 2, policy());
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     let starts = driver.starts();
     assert!(
         starts.iter().all(|(_, it)| it.task.index != 0),
@@ -80,12 +80,12 @@
     driver.store_available = false;
     driver.silent = Some("w0".into());
     driver.core.list_worker(listed(0), driver.now);
-    driver.pass(Duration::from_secs(12));
+    driver.run_for(Duration::from_secs(12));
     driver.silent = None;
-    driver.pass(Duration::from_secs(2));
+    driver.run_for(Duration::from_secs(2));
     assert!(driver.starts().is_empty(), "ownership is in doubt");
     driver.restore_store();
-    driver.pass(Duration::from_secs(10));
+    driver.run_for(Duration::from_secs(10));
     assert_eq!(driver.starts(), [("w0".into(), run(1))]);
 }
 
@@ -104,7 +104,7 @@
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER)]);
     driver.core.note_predecessor_ended(FORMER, driver.now);
     // The longest lease, and what the platform allows beyond it.
-    driver.pass(9000 * MS);
+    driver.run_for(9000 * MS);
     assert_eq!(driver.starts().len(), 1);
     assert!(
         driver.records.contains(&LogRecord::Cleared(5)),
@@ -115,12 +115,12 @@
 #[test]
 fn a_task_waits_for_the_longest_lease_if_the_former_owner_may_be_active() {
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER)]);
-    driver.pass(17_000 * MS);
+    driver.run_for(17_000 * MS);
     assert!(
         driver.starts().is_empty(),
         "the former owner may still be active"
     );
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     assert_eq!(driver.starts().len(), 1);
 }
 
@@ -128,11 +128,11 @@
 fn the_end_of_the_former_owner_does_not_prove_the_end_of_those_before_it() {
     let mut driver = replace_owner(&[LogRecord::Cleared(FORMER - 1)]);
     driver.core.note_predecessor_ended(FORMER, driver.now);
-    driver.pass(17_000 * MS);
+    driver.run_for(17_000 * MS);
     assert!(
         driver.starts().is_empty(),
         "an earlier owner may still be active"
     );
-    driver.pass(1000 * MS);
+    driver.run_for(1000 * MS);
     assert_eq!(driver.starts().len(), 1);
 }
--- a/ashtiller/tests/owner/trial.rs
+++ b/ashtiller/tests/owner/trial.rs
@@ -72,7 +72,7 @@
 /// Makes the next polls report that a run ended, beside everything that still runs there.
 fn end(driver: &mut Driver, run: Run, how: EndReason, number: u64) {
     driver.reported_ends = driver.ends(run, how, number);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     driver.reported_ends.clear();
 }
 
@@ -84,18 +84,18 @@
     };
     let mut driver = Driver::new(1, once);
     driver.submit(job("lasts", vec![long_running(1000)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     show_running(&mut driver, "lasts");
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     for number in 1..=2 {
         let id = format!("fails-{number}");
         driver.submit(job(&id, vec![short(1000)]));
-        driver.pass(200 * MS);
+        driver.run_for(200 * MS);
         let run = starts_of(&driver, &id)[0].1;
         end(&mut driver, run, EndReason::Failed, number);
     }
     // The first quarantine lasts 1.5 s.
-    driver.pass(2 * SECOND);
+    driver.run_for(2 * SECOND);
     driver
 }
 
@@ -103,7 +103,7 @@
 fn a_worker_with_long_running_tasks_gets_its_run_on_probation() {
     let mut driver = quarantined_beside_long_running_task();
     driver.submit(job("next", vec![long_running(1000)]));
-    driver.pass(START);
+    driver.run_for(START);
     assert_eq!(starts_of(&driver, "next").len(), 1);
 }
 
@@ -112,14 +112,14 @@
     let mut driver = quarantined_beside_long_running_task();
     driver.submit(job("trial", vec![short(1000)]));
     driver.submit(job("behind", vec![short(1000)]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     let run = starts_of(&driver, "trial")[0].1;
     assert!(
         starts_of(&driver, "behind").is_empty(),
         "beside the run on probation"
     );
     end(&mut driver, run, EndReason::Done, 3);
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     assert_eq!(starts_of(&driver, "behind").len(), 1);
 }
 
@@ -131,8 +131,8 @@
         ..short(1000)
     };
     driver.submit(job("long", vec![long]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("next", vec![long_running(1000)]));
-    driver.pass(2 * START);
+    driver.run_for(2 * START);
     assert_eq!(starts_of(&driver, "next").len(), 1);
 }
--- a/ashtiller/tests/owner/upkeep.rs
+++ b/ashtiller/tests/owner/upkeep.rs
@@ -60,11 +60,11 @@
     let mut driver = Driver::new(1, policy());
     driver.machine_reply = Some(Done::Never);
     request_wave(&mut driver, 1);
-    driver.pass(FIRST_ORDER);
+    driver.run_for(FIRST_ORDER);
     assert_eq!(driver.machine_orders.len(), 1);
     assert!(is_over(&driver));
     driver.submit(job("lasts", vec![long_running(1000)]));
-    driver.pass(START);
+    driver.run_for(START);
     assert_eq!(starts_of(&driver, "lasts").len(), 1);
 }
 
@@ -73,7 +73,7 @@
 fn an_upkeep_that_was_done_before_does_not_end_its_worker() {
     let mut driver = Driver::new(2, policy());
     request_wave(&mut driver, 2);
-    driver.pass(30 * SECOND);
+    driver.run_for(30 * SECOND);
     assert_eq!(driver.machine_orders.len(), 2, "the wave goes on");
     assert!(is_over(&driver));
     let alone = Step {
@@ -82,7 +82,7 @@
         ..long_running(1000)
     };
     driver.submit(job("lasts", vec![alone]));
-    driver.pass(START);
+    driver.run_for(START);
     assert_eq!(starts_of(&driver, "lasts").len(), 2, "on both workers");
 }
 
@@ -93,7 +93,7 @@
     let mut driver = Driver::new(2, policy());
     driver.machine_reply = None;
     request_wave(&mut driver, 2);
-    driver.pass(FIRST_ORDER);
+    driver.run_for(FIRST_ORDER);
     assert!(!driver.machine_orders.is_empty());
     let fresh: Incarnation = "w9".into();
     let back = ListedWorker {
@@ -107,10 +107,10 @@
         ..long_running(1000)
     };
     driver.submit(job("lasts", vec![alone]));
-    driver.pass(START);
+    driver.run_for(START);
     let early = starts_of(&driver, "lasts");
     driver.machine_reply = Some(Done::Yes);
-    driver.pass(30 * SECOND);
+    driver.run_for(30 * SECOND);
     assert_eq!(
         driver.core.counts().lost,
         0,
@@ -129,19 +129,19 @@
     let mut driver = Driver::new(2, policy());
     driver.long_polls = true;
     request_wave(&mut driver, 2);
-    driver.pass(FIRST_ORDER);
+    driver.run_for(FIRST_ORDER);
     assert_eq!(driver.machine_orders.len(), 1);
     driver.silent = Some("w0".into());
-    driver.pass(10 * SECOND);
+    driver.run_for(10 * SECOND);
     driver.core.list_worker(listed(0), driver.now);
-    driver.pass(10 * SECOND);
+    driver.run_for(10 * SECOND);
     assert_eq!(driver.machine_orders.len(), 1, "no more than one at once");
     let back = ListedWorker {
         incarnation: "w9".into(),
         ..listed(0)
     };
     driver.core.list_worker(back, driver.now);
-    driver.pass(START);
+    driver.run_for(START);
     assert_eq!(driver.machine_orders.len(), 2);
 }
 
@@ -153,11 +153,11 @@
         ..long_running(processors)
     };
     driver.submit(job("pair", vec![pair]));
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     for started in starts_of(driver, "pair") {
         show_running(driver, started);
     }
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
 }
 
 fn show_running(driver: &mut Driver, started: (Incarnation, Run)) {
@@ -179,17 +179,17 @@
     start_pair(&mut driver, 2500);
     assert_eq!(starts_of(&driver, "pair").len(), 2);
     driver.silent = Some("w1".into());
-    driver.pass(FIRST_ORDER);
+    driver.run_for(FIRST_ORDER);
     request_wave(&mut driver, 2);
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     driver.submit(job("other", vec![long_running(1000)]));
-    driver.pass(START);
+    driver.run_for(START);
     assert_eq!(
         starts_of(&driver, "other").len(),
         1,
         "there is capacity for it on w0"
     );
-    driver.pass(10 * SECOND);
+    driver.run_for(10 * SECOND);
     assert!(driver.stops().is_empty(), "one is down already");
     let ordered: Vec<&str> = driver
         .machine_orders
@@ -206,19 +206,19 @@
     let mut driver = Driver::new(1, policy());
     start_pair(&mut driver, 1500);
     request_wave(&mut driver, 1);
-    driver.pass(FIRST_ORDER);
+    driver.run_for(FIRST_ORDER);
     let stops = driver.stops().len();
     assert_eq!(stops, 1, "one may be down");
     // The platform requires a long-running task to run within 9 s of its last run.
-    driver.pass(4 * SECOND);
+    driver.run_for(4 * SECOND);
     assert_eq!(starts_of(&driver, "pair").len(), 3);
     assert_eq!(driver.stops().len(), 1);
     assert!(driver.machine_orders.is_empty());
     let back = starts_of(&driver, "pair")[2].clone();
     show_running(&mut driver, back);
-    driver.pass(5 * SECOND);
+    driver.run_for(5 * SECOND);
     assert_eq!(driver.stops().len(), 1, "left alone for a while");
-    driver.pass(10 * SECOND);
+    driver.run_for(10 * SECOND);
     assert_eq!(driver.stops().len(), 2, "tried again");
 }
 
@@ -236,13 +236,13 @@
         most: 1,
     };
     driver.core.set_wave(wave, driver.now);
-    driver.pass(FIRST_ORDER);
+    driver.run_for(FIRST_ORDER);
     assert_eq!(driver.stops().len(), 1);
     assert!(driver.machine_orders.is_empty());
     let moved = starts_of(&driver, "pair")[2].clone();
     assert_ne!(moved.0, home);
     show_running(&mut driver, moved);
-    driver.pass(SECOND);
+    driver.run_for(SECOND);
     assert_eq!(driver.stops().len(), 2);
     assert_ne!(starts_of(&driver, "pair")[3].0, home);
     assert_eq!(driver.machine_orders.len(), 1);
--- a/ashtiller/tests/owner/workers.rs
+++ b/ashtiller/tests/owner/workers.rs
@@ -14,7 +14,7 @@
 fn runs_of_a_lost_worker_start_elsewhere_after_its_lease() {
     let mut driver = Driver::new(2, policy());
     driver.submit(job("1", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (id, _) = driver.starts()[0].clone();
     let number: u16 = id.id()[1..].parse().unwrap();
     // The same machine under another id: the former incarnation has ended.
@@ -23,7 +23,7 @@
         ..listed(number)
     };
     driver.core.list_worker(back, driver.now);
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 2);
     assert_eq!(starts[1].1.number, 2);
@@ -38,7 +38,7 @@
         ..step(1)
     };
     driver.submit(job("1", vec![long_running]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     let number: u16 = id.id()[1..].parse().unwrap();
     driver.core.list_worker(
@@ -49,14 +49,14 @@
         },
         driver.now,
     );
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     let stopped = driver
         .orders
         .iter()
         .any(|(_, at, order)| *at == run && matches!(order, Order::Stop(..)));
     assert!(stopped);
     driver.end(&id, run, EndReason::Stopped, 1);
-    driver.pass(300 * MS);
+    driver.run_for(300 * MS);
     let starts = driver.starts();
     assert_eq!(starts.len(), 2);
     assert_ne!(starts[1].0, id);
@@ -74,7 +74,7 @@
         },
         driver.now,
     );
-    driver.pass(Duration::from_secs(10));
+    driver.run_for(Duration::from_secs(10));
     assert_eq!(driver.machine_orders.len(), 1);
     for round in 1..4u16 {
         let (machine, order) = driver.machine_orders.last().unwrap().clone();
@@ -85,7 +85,7 @@
             ..listed(number)
         };
         driver.core.list_worker(back, driver.now);
-        driver.pass(Duration::from_secs(3));
+        driver.run_for(Duration::from_secs(3));
         assert_eq!(driver.machine_orders.len(), usize::from(round) + 1);
     }
     assert_eq!(driver.core.wave_states().get(&3), Some(&true));
@@ -100,7 +100,7 @@
     let mut driver = Driver::new(1, once);
     driver.submit(job("1", vec![step(1)]));
     driver.submit(job("2", vec![step(1)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let starts = driver.starts();
     for (number, (id, run)) in (1..).zip(starts) {
         driver.end(&id, run, EndReason::Failed, number);
@@ -111,11 +111,11 @@
         ..step(1)
     };
     driver.submit(job("3", vec![long_running]));
-    driver.pass(Duration::from_secs(4));
+    driver.run_for(Duration::from_secs(4));
     let tried: Vec<Run> = driver.starts()[2..].iter().map(|(_, run)| *run).collect();
     assert_eq!(tried.len(), 1, "one run on probation");
     driver.submit(job("4", vec![step(1)]));
-    driver.pass(Duration::from_secs(4));
+    driver.run_for(Duration::from_secs(4));
     assert_eq!(
         driver.starts().len(),
         3,
@@ -129,7 +129,7 @@
         figure: None,
     };
     driver.running.push((driver.starts()[2].0.clone(), running));
-    driver.pass(Duration::from_secs(4));
+    driver.run_for(Duration::from_secs(4));
     assert_eq!(driver.starts().len(), 4, "the others follow");
 }
 
@@ -138,19 +138,19 @@
 fn a_worker_is_not_polled_repeatedly_while_its_end_is_not_in_the_log() {
     let mut driver = Driver::new(1, policy());
     driver.submit(job("1", vec![step(2)]));
-    driver.pass(200 * MS);
+    driver.run_for(200 * MS);
     let (id, run) = driver.starts()[0].clone();
     driver.store_available = false;
     let before = driver.core.counts().looks;
     driver.end(&id, run, EndReason::Done, 1);
     driver.reported_ends = driver.ends(run, EndReason::Done, 1);
-    driver.pass(3000 * MS);
+    driver.run_for(3000 * MS);
     let polls = driver.core.counts().looks - before;
     assert!((6..=14).contains(&polls), "{polls} polls in 3 s");
     driver.restore_store();
     driver.reported_ends.clear();
     let before = driver.core.counts().looks;
-    driver.pass(100 * MS);
+    driver.run_for(100 * MS);
     assert!(
         driver.core.counts().looks > before,
         "it is acknowledged at once"
