--- a/ashtiller/tests/fleet/mod.rs
+++ b/ashtiller/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A cell's owners, log and workers for tests with injected time.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Simulates the owners, log and workers of one cell in virtual time.
+#![allow(dead_code, reason = "each test program uses a part of this module")]
 
 mod node;
 mod worker;
@@ -17,18 +17,18 @@
 pub use node::{Node, Write};
 pub use worker::Worker;
 
-/// Workers in the cell.
+/// Number of workers in the cell.
 const WORKERS: usize = 4;
-/// Longest step of time.
-const LEAP: u64 = 60;
-/// Messages that may be under way between one owner and one worker.
-const CALLS_MAX: usize = 2;
+/// Longest step of virtual time.
+const STEP_MAX_MS: u64 = 60;
+/// Limit of messages in flight between one owner and one worker.
+const IN_FLIGHT_MAX: usize = 2;
 
 pub fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub enum Message {
     ToWorker {
@@ -43,24 +43,23 @@
     },
 }
 
-/// Everything, with the time.
+/// The simulated cell and its virtual clock.
 pub struct Fleet {
     pub now: Duration,
     pub log: Vec<Entry>,
     pub nodes: Vec<Node>,
     pub workers: BTreeMap<Arc<str>, Worker>,
     pub flight: Vec<Message>,
-    /// Owners and workers that cannot reach each other.
-    cuts: BTreeSet<(usize, Arc<str>)>,
-    /// Whether the store is down.
-    down: bool,
+    /// Pairs of owner and worker that cannot reach each other.
+    partitions: BTreeSet<(usize, Arc<str>)>,
+    store_down: bool,
     started: BTreeSet<(Arc<str>, u32)>,
     finished: BTreeSet<Arc<str>>,
     checkpoints: BTreeMap<Arc<str>, u64>,
     jobs: u32,
 }
 
-/// What happened in an interleaving, to see that it reaches what it should.
+/// Counts of events in an interleaving, which show whether the runs reach the cases of interest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Coverage {
     pub starts: usize,
@@ -76,7 +75,7 @@
     pub fn open() -> Self {
         let workers = (0..WORKERS).map(|number| {
             let name: Arc<str> = format!("w{number}").into();
-            // Clocks drift by up to 1 % either way.
+            // Clocks drift by up to 1 % in either direction.
             let rate = 0.99 + 0.02 * f64::from(u8::try_from(number).unwrap_or(0)) / 3.0;
             (name, Worker::new(rate))
         });
@@ -86,8 +85,8 @@
             nodes: Vec::new(),
             workers: workers.collect(),
             flight: Vec::new(),
-            cuts: BTreeSet::new(),
-            down: false,
+            partitions: BTreeSet::new(),
+            store_down: false,
             started: BTreeSet::new(),
             finished: BTreeSet::new(),
             checkpoints: BTreeMap::new(),
@@ -97,36 +96,36 @@
         fleet
     }
 
-    /// One step of an interleaving.
-    pub fn step(&mut self, kind: u8, one: u16, other: u16) -> Result<(), String> {
+    /// Performs one random step of an interleaving and checks the invariants.
+    pub fn step(&mut self, kind: u8, pick: u16, choice: u16) -> Result<(), String> {
         match kind {
-            0..15 => self.advance(1 + u64::from(one) % LEAP)?,
-            15..45 => self.tick(one),
-            45..60 => self.write(one, other),
-            60..75 => self.deliver_most(one, other.is_multiple_of(8))?,
-            75..78 => self.drop_message(one),
-            78..84 => self.submit(one),
-            84..86 => self.cancel(one),
-            86..91 => self.work(one, other),
-            91 if other.is_multiple_of(3) => self.restart(one)?,
-            92 if !self.down && other.is_multiple_of(3) => self.take_over(),
-            93 if !self.down && other.is_multiple_of(3) => self.kill_owner(one),
-            94..96 => self.leave(one, other),
-            // A pause of an owner longer than a lease: time passes, others go on.
-            96 if other.is_multiple_of(2) => self.advance(2500)?,
-            97 => self.cut(one, other),
-            98 => self.down = !self.down && other.is_multiple_of(4),
+            0..15 => self.advance(1 + u64::from(pick) % STEP_MAX_MS)?,
+            15..45 => self.tick(pick),
+            45..60 => self.write(pick, choice),
+            60..75 => self.deliver_most(pick, choice.is_multiple_of(8))?,
+            75..78 => self.drop_message(pick),
+            78..84 => self.submit(pick),
+            84..86 => self.cancel(pick),
+            86..91 => self.work(pick, choice),
+            91 if choice.is_multiple_of(3) => self.restart(pick)?,
+            92 if !self.store_down && choice.is_multiple_of(3) => self.take_over(),
+            93 if !self.store_down && choice.is_multiple_of(3) => self.kill_owner(pick),
+            94..96 => self.set_leaving(pick, choice),
+            // Longer than a lease, as when an owner's process is paused.
+            96 if choice.is_multiple_of(2) => self.advance(2500)?,
+            97 => self.toggle_partition(pick, choice),
+            98 => self.store_down = !self.store_down && choice.is_multiple_of(4),
             _ => self.tick_all(),
         }
         self.check()
     }
 
-    /// Lets everything that can go on go on, then checks that nothing is lost.
+    /// Clears all faults, runs the cell for a while and checks that every task ended.
     pub fn settle(&mut self) -> Result<(), String> {
         self.nodes.clear();
         self.flight.clear();
-        self.cuts.clear();
-        self.down = false;
+        self.partitions.clear();
+        self.store_down = false;
         for worker in self.workers.values_mut() {
             worker.leaving = false;
         }
@@ -145,7 +144,7 @@
             self.check()?;
         }
         for task in &self.finished {
-            let id = ashtiller::reconcile::parse_task_name(task).ok_or("a task without number")?;
+            let id = ashtiller::reconcile::parse_task_name(task).ok_or("malformed task name")?;
             if self
                 .ends_in_log(id)
                 .filter(|end| *end == End::Finished)
@@ -155,14 +154,14 @@
                 return Err(format!("{task} finished twice in the log"));
             }
         }
-        let node = self.nodes.last().ok_or("no owner")?;
+        let node = self.nodes.last().ok_or("the cell has no owner")?;
         let jobs = node.cell.durable_state().jobs.values();
-        let left: usize = jobs
+        let unfinished: usize = jobs
             .flat_map(|job| &job.tasks)
             .filter(|task| !task.phase.is_over())
             .count();
-        if left > 0 {
-            return Err(format!("{left} tasks never ended"));
+        if unfinished > 0 {
+            return Err(format!("{unfinished} tasks never ended"));
         }
         Ok(())
     }
@@ -196,7 +195,7 @@
     }
 
     pub fn advance(&mut self, by: u64) -> Result<(), String> {
-        // In small steps, so that a lease that ends in between ends on time.
+        // Small steps let a lease that expires within the span expire on time.
         let mut left = by;
         while left > 0 {
             let step = left.min(20);
@@ -209,15 +208,16 @@
         self.check()
     }
 
-    fn alive(&self, pick: u16) -> Option<usize> {
-        let alive: Vec<usize> = (0..self.nodes.len())
+    /// Returns the index of a live owner, selected by `pick`.
+    fn live_owner(&self, pick: u16) -> Option<usize> {
+        let live: Vec<usize> = (0..self.nodes.len())
             .filter(|index| self.nodes[*index].alive)
             .collect();
-        alive.get(usize::from(pick) % alive.len().max(1)).copied()
+        live.get(usize::from(pick) % live.len().max(1)).copied()
     }
 
     pub fn tick(&mut self, pick: u16) {
-        let Some(owner) = self.alive(pick) else {
+        let Some(owner) = self.live_owner(pick) else {
             return;
         };
         let listed = self
@@ -226,10 +226,10 @@
             .map(|(name, worker)| (name.clone(), worker.leaving));
         let listed: Vec<(Arc<str>, bool)> = listed.collect();
         let node = &mut self.nodes[owner];
-        node.list(&listed, worker::WHOLE, self.now);
+        node.list_workers(&listed, worker::CAPACITY, self.now);
         let calls = node.tick(self.now);
         for (worker, sync) in calls {
-            if self.under_way(owner, &worker) < CALLS_MAX {
+            if self.in_flight_count(owner, &worker) < IN_FLIGHT_MAX {
                 self.flight.push(Message::ToWorker {
                     owner,
                     worker,
@@ -239,20 +239,20 @@
         }
     }
 
-    fn under_way(&self, owner: usize, worker: &Arc<str>) -> usize {
-        let same = |message: &&Message| match message {
+    fn in_flight_count(&self, owner: usize, worker: &Arc<str>) -> usize {
+        let between_both = |message: &&Message| match message {
             Message::ToWorker {
-                owner: one,
+                owner: from,
                 worker: to,
                 ..
             }
             | Message::ToOwner {
-                owner: one,
+                owner: from,
                 worker: to,
                 ..
-            } => *one == owner && to == worker,
+            } => *from == owner && to == worker,
         };
-        self.flight.iter().filter(same).count()
+        self.flight.iter().filter(between_both).count()
     }
 
     fn tick_all(&mut self) {
@@ -262,32 +262,31 @@
         }
     }
 
-    /// Carries out an owner's write to the log; its answer may be lost, or the
-    /// store be down.
-    pub fn write(&mut self, pick: u16, luck: u16) {
-        let Some(owner) = self.alive(pick) else {
+    /// Performs an owner's write to the log. The reply may get lost, or the store may be down.
+    pub fn write(&mut self, pick: u16, choice: u16) {
+        let Some(owner) = self.live_owner(pick) else {
             return;
         };
         let node = &mut self.nodes[owner];
         let Some((position, entry)) = node.outgoing() else {
             return;
         };
-        if self.down || luck.is_multiple_of(8) {
+        if self.store_down || choice.is_multiple_of(8) {
             return;
         }
         let index = usize::try_from(position - 1).unwrap_or(usize::MAX);
         if self.log.len() == index {
             self.log.push(entry.clone());
         }
-        if luck % 8 == 1 {
-            return; // Written, and the answer is lost; it will be read back.
+        if choice % 8 == 1 {
+            return; // The entry is written, but the reply is lost: the owner will read it back.
         }
         let written = if self.log[index] == entry {
             Write::Durable
         } else {
             Write::Superseded
         };
-        node.wrote(written, self.now);
+        node.handle_write(written, self.now);
     }
 
     pub fn take_over(&mut self) {
@@ -295,8 +294,8 @@
         let writer = u64::try_from(self.nodes.len()).unwrap_or(0) + 1;
         let seal = Body::Seal {
             owner: format!("owner-{writer}").into(),
-            lease: node::LEASE + node::MARGIN,
-            horizon: node::HORIZON,
+            lease: node::LEASE_MS + node::MARGIN_MS,
+            horizon: node::HORIZON_MS,
             at: 0,
         };
         self.log.push(Entry {
@@ -309,37 +308,37 @@
     }
 
     fn kill_owner(&mut self, pick: u16) {
-        if let Some(owner) = self.alive(pick) {
+        if let Some(owner) = self.live_owner(pick) {
             self.nodes[owner].alive = false;
         }
-        if self.alive(0).is_none() {
+        if self.live_owner(0).is_none() {
             self.take_over();
         }
     }
 
-    /// Most messages arrive soon, some late.
-    fn deliver_most(&mut self, pick: u16, twice: bool) -> Result<(), String> {
+    /// Delivers four messages, mostly the newest ones; others arrive late.
+    fn deliver_most(&mut self, pick: u16, duplicate: bool) -> Result<(), String> {
         let count = u16::try_from(self.flight.len()).unwrap_or(u16::MAX);
         for _ in 0..4 {
             let newest = !pick.is_multiple_of(4) && count > 0;
-            self.deliver(if newest { count - 1 } else { pick }, twice)?;
+            self.deliver(if newest { count - 1 } else { pick }, duplicate)?;
         }
         Ok(())
     }
 
-    pub fn deliver(&mut self, pick: u16, twice: bool) -> Result<(), String> {
+    pub fn deliver(&mut self, pick: u16, duplicate: bool) -> Result<(), String> {
         if self.flight.is_empty() {
             return Ok(());
         }
         let index = usize::from(pick) % self.flight.len();
-        let message = if twice {
+        let message = if duplicate {
             self.flight[index].clone()
         } else {
             self.flight.remove(index)
         };
         let (Message::ToWorker { owner, worker, .. } | Message::ToOwner { owner, worker, .. }) =
             &message;
-        if self.cuts.contains(&(*owner, worker.clone())) {
+        if self.partitions.contains(&(*owner, worker.clone())) {
             return Ok(());
         }
         match message {
@@ -354,7 +353,7 @@
                 let started = found.sync(&sync, self.now);
                 let report = found.report(self.now);
                 for (task, attempt, progress) in started {
-                    self.note_start(&task, attempt, progress)?;
+                    self.record_start(&task, attempt, progress)?;
                 }
                 self.flight.push(Message::ToOwner {
                     owner,
@@ -369,40 +368,42 @@
             } => {
                 let node = &mut self.nodes[owner];
                 if node.alive {
-                    node.take(&worker, &report, self.now);
+                    node.handle_report(&worker, &report, self.now);
                 }
             }
         }
         self.check()
     }
 
-    fn note_start(&mut self, task: &Arc<str>, attempt: u32, progress: u64) -> Result<(), String> {
+    fn record_start(&mut self, task: &Arc<str>, attempt: u32, progress: u64) -> Result<(), String> {
         if !self.started.insert((task.clone(), attempt)) {
             return Err(format!("{task} attempt {attempt} started twice"));
         }
-        let id = ashtiller::reconcile::parse_task_name(task).ok_or("a task without number")?;
+        let id = ashtiller::reconcile::parse_task_name(task).ok_or("malformed task name")?;
         if self.ends_in_log(id).any(|end| end == End::Finished) {
-            return Err(format!("{task} started after the log had it finished"));
+            return Err(format!(
+                "{task} started after its end was recorded as finished"
+            ));
         }
         let checkpoint = self.checkpoints.get(task).copied().unwrap_or(0);
         if progress > checkpoint {
             return Err(format!(
-                "{task} resumed at {progress}, its checkpoint is {checkpoint}"
+                "{task} resumed at {progress}, past its checkpoint at {checkpoint}"
             ));
         }
         Ok(())
     }
 
-    /// Cuts an owner off from a worker, or mends the cut.
-    fn cut(&mut self, pick: u16, worker: u16) {
-        let Some(owner) = self.alive(pick) else {
+    /// Partitions an owner from a worker, or heals all partitions.
+    fn toggle_partition(&mut self, pick: u16, worker: u16) {
+        let Some(owner) = self.live_owner(pick) else {
             return;
         };
-        if self.cuts.is_empty() {
+        if self.partitions.is_empty() {
             let worker = format!("w{}", usize::from(worker) % WORKERS);
-            self.cuts.insert((owner, worker.into()));
+            self.partitions.insert((owner, worker.into()));
         } else {
-            self.cuts.clear();
+            self.partitions.clear();
         }
     }
 
@@ -412,20 +413,20 @@
         }
     }
 
-    pub fn submit(&mut self, luck: u16) {
-        if let Some(owner) = self.alive(luck) {
-            self.submit_to(owner, luck);
+    pub fn submit(&mut self, choice: u16) {
+        if let Some(owner) = self.live_owner(choice) {
+            self.submit_to(owner, choice);
         }
     }
 
-    pub fn submit_to_newest(&mut self, luck: u16) {
-        self.submit_to(self.nodes.len() - 1, luck);
+    pub fn submit_to_newest(&mut self, choice: u16) {
+        self.submit_to(self.nodes.len() - 1, choice);
     }
 
-    fn submit_to(&mut self, owner: usize, luck: u16) {
-        let urgent = luck.is_multiple_of(5);
+    fn submit_to(&mut self, owner: usize, choice: u16) {
+        let urgent = choice.is_multiple_of(5);
         let submission = Submission {
-            account: format!("account-{}", luck % 3).into(),
+            account: format!("account-{}", choice % 3).into(),
             job: format!("job-{}", self.jobs).into(),
             kind: "test".into(),
             class: if urgent {
@@ -434,9 +435,9 @@
                 Class::Batch
             },
             urgent,
-            tasks: 1 + u32::from(luck % 3),
+            tasks: 1 + u32::from(choice % 3),
             needs: Resources {
-                processors: 1000 + 1000 * u64::from(luck % 3),
+                processors: 1000 + 1000 * u64::from(choice % 3),
                 memory: 1,
                 accelerators: 0,
             },
@@ -454,23 +455,24 @@
         self.nodes[owner].submit(submission, self.now);
     }
 
-    fn cancel(&mut self, luck: u16) {
-        let Some(owner) = self.alive(luck) else {
+    fn cancel(&mut self, choice: u16) {
+        let Some(owner) = self.live_owner(choice) else {
             return;
         };
-        let job = format!("job-{}", u32::from(luck) % self.jobs.max(1)).into();
+        let job = format!("job-{}", u32::from(choice) % self.jobs.max(1)).into();
         for number in 0..3 {
             self.nodes[owner].cancel(&format!("account-{number}").into(), &job, self.now);
         }
     }
 
-    /// A running attempt finishes, fails or makes progress.
-    pub fn work(&mut self, pick: u16, luck: u16) {
+    /// Lets an attempt on one worker finish, fail or make progress.
+    pub fn work(&mut self, pick: u16, choice: u16) {
         let worker = self.workers.values_mut().nth(usize::from(pick) % WORKERS);
         let Some(worker) = worker else { return };
-        // A worker that restarts, or cannot be reached before its lease ends, takes an
-        // unreported end with it; so a task may finish twice, but not in the log.
-        self.finished.extend(worker.work(luck, self.now));
+        // An unreported end is lost with a worker that restarts or stays unreachable until its
+        // lease expires, so a task may finish twice, but only once in the log.
+        self.finished
+            .extend(worker.advance_attempt(choice, self.now));
     }
 
     pub fn restart(&mut self, pick: u16) -> Result<(), String> {
@@ -480,13 +482,14 @@
         self.check()
     }
 
-    fn leave(&mut self, pick: u16, luck: u16) {
+    fn set_leaving(&mut self, pick: u16, choice: u16) {
         if let Some(worker) = self.workers.values_mut().nth(usize::from(pick) % WORKERS) {
-            worker.leaving = luck.is_multiple_of(3);
+            worker.leaving = choice.is_multiple_of(3);
         }
     }
 
-    /// The oracle: what really runs, whatever anybody believes.
+    /// Checks what the workers really run, whatever the owners believe: no task runs twice, no
+    /// worker exceeds its capacity.
     fn check(&mut self) -> Result<(), String> {
         let mut running: BTreeMap<Arc<str>, Arc<str>> = BTreeMap::new();
         for (name, worker) in &self.workers {
@@ -498,16 +501,15 @@
                     ));
                 }
             }
-            let mut taken = 0;
+            let mut used = 0;
             for task in worker.running() {
                 let needs = self.needs_of(&task);
-                taken +=
-                    needs.ok_or_else(|| format!("{task} runs, and the log has no such job"))?;
+                used += needs.ok_or_else(|| format!("{task} runs, but the log has no such job"))?;
             }
-            if taken > worker::WHOLE.processors {
+            if used > worker::CAPACITY.processors {
                 return Err(format!(
-                    "{name} runs {taken} of {}",
-                    worker::WHOLE.processors
+                    "{name} runs tasks of {used} on a capacity of {}",
+                    worker::CAPACITY.processors
                 ));
             }
             for (task, progress) in worker.checkpoints() {
@@ -529,7 +531,8 @@
         })
     }
 
-    /// Needs of a task by the log, which records every job before it can start.
+    /// Returns the processors that a task needs, by the log, which records every job before any of
+    /// its tasks can start.
     fn needs_of(&self, task: &str) -> Option<u64> {
         let id = ashtiller::reconcile::parse_task_name(task)?;
         let entries = self.log.iter().filter_map(|entry| match &entry.body {
--- a/ashtiller/tests/fleet/node.rs
+++ b/ashtiller/tests/fleet/node.rs
@@ -1,4 +1,4 @@
-//! An owner around the state machines, without sockets or clock.
+//! Drives the state machines of an owner without sockets or a clock.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 
 use super::millis;
 
-pub const LEASE: u64 = 1200;
-pub const MARGIN: u64 = 100;
-pub const HORIZON: u64 = 2000;
-const RENEW: u64 = 300;
+pub const LEASE_MS: u64 = 1200;
+pub const MARGIN_MS: u64 = 100;
+pub const HORIZON_MS: u64 = 2000;
+const RENEW_MS: u64 = 300;
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Write {
@@ -35,21 +35,21 @@
     terms: LeaseTerms,
     epoch: u64,
     writer: u64,
-    bound: Duration,
-    confirmed: Duration,
-    began: Duration,
+    old_leases_end: Duration,
+    last_confirmed: Duration,
+    write_began: Duration,
     position: u64,
     durable: u64,
     pending: Vec<LogRecord>,
-    writing: Option<Entry>,
+    in_flight: Option<Entry>,
 }
 
 impl Node {
-    /// Replays the log, whose last entry is this owner's seal.
+    /// Replays the log, whose last entry must be this owner's seal.
     pub fn open(log: &[Entry], epoch: u64, writer: u64, now: Duration) -> Self {
         let terms = LeaseTerms {
-            lease: millis(LEASE),
-            margin: millis(MARGIN),
+            lease: millis(LEASE_MS),
+            margin: millis(MARGIN_MS),
         };
         let mut cell = Cell::default();
         for (position, entry) in (1..).zip(log) {
@@ -59,8 +59,8 @@
                 }
             }
         }
-        let bound = now + millis(LEASE + MARGIN + HORIZON);
-        cell.reset_sessions(bound);
+        let old_leases_end = now + millis(LEASE_MS + MARGIN_MS + HORIZON_MS);
+        cell.reset_sessions(old_leases_end);
         let position = u64::try_from(log.len()).unwrap_or(u64::MAX) + 1;
         Self {
             alive: true,
@@ -70,25 +70,25 @@
             terms,
             epoch,
             writer,
-            bound,
-            confirmed: now,
-            began: now,
+            old_leases_end,
+            last_confirmed: now,
+            write_began: now,
             position,
             durable: position - 1,
             pending: Vec::new(),
-            writing: None,
+            in_flight: None,
         }
     }
 
-    pub fn list(&mut self, workers: &[(Arc<str>, bool)], whole: Resources, _: Duration) {
+    pub fn list_workers(&mut self, workers: &[(Arc<str>, bool)], capacity: Resources, _: Duration) {
         for (name, leaving) in workers {
-            self.cell.resize_worker(name, whole);
-            let bound = self.bound;
+            self.cell.resize_worker(name, capacity);
+            let old_leases_end = self.old_leases_end;
             let Some(host) = self.cell.workers.get_mut(name) else {
                 continue;
             };
             if host.address.is_none() {
-                host.session = Session::new(bound);
+                host.session = Session::new(old_leases_end);
             }
             host.address = Some(([127, 0, 0, 1], 1).into());
             host.listed_phase = if *leaving {
@@ -99,7 +99,7 @@
         }
     }
 
-    fn moment(&self, now: Duration) -> StepContext {
+    fn context(&self, now: Duration) -> StepContext {
         StepContext {
             epoch: self.epoch,
             position: self.position,
@@ -108,71 +108,73 @@
         }
     }
 
-    /// Decides and returns calls to workers.
+    /// Runs one round of planning and returns the calls to workers that are due.
     pub fn tick(&mut self, now: Duration) -> Vec<(Arc<str>, SyncRequest)> {
         let facts = self.planner.plan_round(&mut self.cell, self.position, now);
         self.pending.extend(facts);
         self.flush(now);
-        let renewing = now < self.confirmed + millis(HORIZON);
+        let renewing = now < self.last_confirmed + millis(HORIZON_MS);
         let due: Vec<Arc<str>> = self
             .cell
             .workers
             .iter()
             .filter(|(name, host)| {
-                let old = host
+                let overdue = host
                     .last_called
-                    .is_none_or(|called| now >= called + millis(RENEW));
-                old || reconcile::has_pending_updates(&self.cell, name, self.durable)
+                    .is_none_or(|called| now >= called + millis(RENEW_MS));
+                overdue || reconcile::has_pending_updates(&self.cell, name, self.durable)
             })
             .map(|(name, _)| name.clone())
             .collect();
-        let moment = self.moment(now);
+        let context = self.context(now);
         let mut calls = Vec::new();
         for name in due {
             if let Some(host) = self.cell.workers.get_mut(&name) {
                 host.last_called = Some(now);
             }
             let sync =
-                reconcile::prepare_sync(&mut self.cell, &name, &self.terms, renewing, moment);
+                reconcile::prepare_sync(&mut self.cell, &name, &self.terms, renewing, context);
             calls.extend(sync.map(|sync| (name, sync)));
         }
         calls
     }
 
     fn flush(&mut self, now: Duration) {
-        if self.writing.is_none() && !self.pending.is_empty() {
+        if self.in_flight.is_none() && !self.pending.is_empty() {
             let body = Body::Facts(std::mem::take(&mut self.pending));
-            self.writing = Some(Entry {
+            self.in_flight = Some(Entry {
                 epoch: self.epoch,
                 writer: self.writer,
                 body,
             });
-            self.began = now;
+            self.write_began = now;
             self.position += 1;
         }
     }
 
-    /// The entry that is being written, and its position.
+    /// Returns the entry that is being written, with its position.
     pub fn outgoing(&self) -> Option<(u64, Entry)> {
-        self.writing.clone().map(|entry| (self.position - 1, entry))
+        self.in_flight
+            .clone()
+            .map(|entry| (self.position - 1, entry))
     }
 
-    pub fn wrote(&mut self, write: Write, now: Duration) {
+    pub fn handle_write(&mut self, write: Write, now: Duration) {
         if write == Write::Superseded {
             self.alive = false;
             self.superseded = true;
             return;
         }
         self.durable = self.position - 1;
-        self.writing = None;
-        self.confirmed = self.confirmed.max(self.began);
+        self.in_flight = None;
+        self.last_confirmed = self.last_confirmed.max(self.write_began);
         self.flush(now);
     }
 
-    pub fn take(&mut self, worker: &Arc<str>, report: &Report, now: Duration) {
-        let (moment, terms) = (self.moment(now), self.terms);
+    pub fn handle_report(&mut self, worker: &Arc<str>, report: &Report, now: Duration) {
+        let (context, terms) = (self.context(now), self.terms);
         let (change, facts) =
-            reconcile::apply_report(&mut self.cell, worker, report, &terms, moment);
+            reconcile::apply_report(&mut self.cell, worker, report, &terms, context);
         self.pending.extend(facts);
         if change == Change::Superseded {
             self.alive = false;
--- a/ashtiller/tests/fleet/worker.rs
+++ b/ashtiller/tests/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the protocol describes it, with a clock that drifts.
+//! A worker that follows the protocol, with a clock that drifts.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,8 +8,8 @@
 use ashtiller::agent::{Command, Ended, Report, ReportedEnd, Running, SyncRequest};
 use ashtiller::resources::Resources;
 
-/// What every worker has.
-pub const WHOLE: Resources = Resources {
+/// Capacity of each worker.
+pub const CAPACITY: Resources = Resources {
     processors: 4000,
     memory: 50,
     accelerators: 0,
@@ -24,14 +24,14 @@
     pub leaving: bool,
     rate: f64,
     boot: u64,
-    born: Duration,
+    started_at: Duration,
     epoch: u64,
     seq: u64,
-    until: u64,
+    lease_end: u64,
     running: BTreeMap<Arc<str>, Attempt>,
     ended: BTreeMap<(Arc<str>, u32), Ended>,
     saved: Vec<(Arc<str>, u64)>,
-    known: u64,
+    known_digest: u64,
 }
 
 impl Worker {
@@ -40,19 +40,19 @@
             leaving: false,
             rate,
             boot: 1,
-            born: Duration::ZERO,
+            started_at: Duration::ZERO,
             epoch: 0,
             seq: 0,
-            until: 0,
+            lease_end: 0,
             running: BTreeMap::new(),
             ended: BTreeMap::new(),
             saved: Vec::new(),
-            known: 0,
+            known_digest: 0,
         }
     }
 
     fn clock(&self, now: Duration) -> u64 {
-        let age = now.saturating_sub(self.born).mul_f64(self.rate);
+        let age = now.saturating_sub(self.started_at).mul_f64(self.rate);
         u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
     }
 
@@ -60,13 +60,13 @@
         self.running.keys().cloned()
     }
 
-    /// Checkpoints written so far.
+    /// Returns the checkpoints written so far.
     pub fn checkpoints(&self) -> impl Iterator<Item = (Arc<str>, u64)> {
         self.saved.iter().cloned()
     }
 
     pub fn advance(&mut self, now: Duration) {
-        if self.clock(now) >= self.until {
+        if self.clock(now) >= self.lease_end {
             let tasks: Vec<Arc<str>> = self.running.keys().cloned().collect();
             for task in tasks {
                 self.end(&task, ReportedEnd::Lapsed);
@@ -79,7 +79,7 @@
         let (rate, boot, leaving) = (self.rate, self.boot + 1, self.leaving);
         *self = Self {
             boot,
-            born: now,
+            started_at: now,
             saved,
             leaving,
             ..Self::new(rate)
@@ -103,16 +103,17 @@
         self.ended.insert((task.clone(), number), ended);
     }
 
-    /// Obeys a call; returns the attempts that it started.
+    /// Handles a call of an owner; returns the attempts started and the progress that each resumed
+    /// at.
     pub fn sync(&mut self, sync: &SyncRequest, now: Duration) -> Vec<(Arc<str>, u32, u64)> {
         self.advance(now);
-        let other_life = sync.boot != 0 && sync.boot != self.boot;
-        if other_life || (sync.epoch, sync.seq) <= (self.epoch, self.seq) {
+        let other_incarnation = sync.boot != 0 && sync.boot != self.boot;
+        if other_incarnation || (sync.epoch, sync.seq) <= (self.epoch, self.seq) {
             return Vec::new();
         }
         (self.epoch, self.seq) = (sync.epoch, sync.seq);
-        self.until = self.until.max(sync.until);
-        self.known = sync.known;
+        self.lease_end = self.lease_end.max(sync.until);
+        self.known_digest = sync.known;
         for (task, attempt) in &sync.acks {
             self.ended.remove(&(task.clone(), *attempt));
         }
@@ -125,9 +126,9 @@
                     progress,
                     ..
                 } => {
-                    let over = self.ended.contains_key(&(task.clone(), *attempt));
-                    let valid = self.clock(now) < self.until;
-                    if valid && !over && !self.running.contains_key(task) {
+                    let already_ended = self.ended.contains_key(&(task.clone(), *attempt));
+                    let leased = self.clock(now) < self.lease_end;
+                    if leased && !already_ended && !self.running.contains_key(task) {
                         let running = Attempt {
                             number: *attempt,
                             progress: *progress,
@@ -153,13 +154,15 @@
             self.end(task, end);
             return;
         }
-        let never = Ended {
+        let not_started = Ended {
             task: task.clone(),
             attempt: number,
             end: ReportedEnd::Stopped,
             progress: 0,
         };
-        self.ended.entry((task.clone(), number)).or_insert(never);
+        self.ended
+            .entry((task.clone(), number))
+            .or_insert(not_started);
     }
 
     fn digest(&self) -> u64 {
@@ -172,7 +175,7 @@
 
     pub fn report(&self, now: Duration) -> Report {
         let digest = self.digest();
-        let unchanged = digest == self.known;
+        let unchanged = digest == self.known_digest;
         let running = self
             .running
             .iter()
@@ -196,15 +199,15 @@
         }
     }
 
-    /// The first running attempt makes progress, finishes or fails; returns the
-    /// task when it finished.
-    pub fn work(&mut self, luck: u16, now: Duration) -> Option<Arc<str>> {
+    /// Lets the first running attempt make progress, finish or fail; returns the task if it
+    /// finished.
+    pub fn advance_attempt(&mut self, choice: u16, now: Duration) -> Option<Arc<str>> {
         self.advance(now);
         let task = self.running.keys().next().cloned()?;
         if let Some(attempt) = self.running.get_mut(&task) {
             attempt.progress += 100;
         }
-        match luck % 4 {
+        match choice % 4 {
             1 => {
                 self.end(&task, ReportedEnd::Finished);
                 Some(task)
--- a/ashtiller/tests/links/clients.rs
+++ b/ashtiller/tests/links/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections that go silent.
+//! Client and load balancer connections that go silent.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 use crate::net::Net;
 use crate::peer::Peer;
 
-/// Longest wait for anything that must happen; reached only when it never does.
-const CAP: Duration = Duration::from_secs(30);
-/// A submission whose body never comes whole, from a client that waits 300 ms.
-const HALF: &str = "POST /q/00000000000000a1 HTTP/1.1\r\nhost: jobs\r\nx-deadline-ms: 300\r\n\
-     content-length: 100\r\n\r\n{";
+/// Time limit of each wait in these tests; reached only if a test fails.
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// A submission with an incomplete body, from a client that waits 300 ms.
+const INCOMPLETE_SUBMISSION: &str = "POST /q/00000000000000a1 HTTP/1.1\r\nhost: jobs\r\n\
+     x-deadline-ms: 300\r\ncontent-length: 100\r\n\r\n{";
 
-/// A question of a client that waits longer than the test.
-const WHOLE: &str = "GET /q/00000000000000a1 HTTP/1.1\r\nhost: jobs\r\n\
+/// A query from a client that waits longer than the test.
+const QUERY: &str = "GET /q/00000000000000a1 HTTP/1.1\r\nhost: jobs\r\n\
      x-deadline-ms: 100000\r\n\r\n";
 
 fn config() -> Config {
@@ -50,82 +50,106 @@
 async fn read_to_end(mut stream: TcpStream) -> String {
     let mut answer = String::new();
     let read = stream.read_to_string(&mut answer);
-    time::timeout(CAP, read)
+    time::timeout(WAIT_LIMIT, read)
         .await
-        .expect("the connection ends")
-        .expect("text");
+        .expect("the server should close the connection")
+        .expect("the answer should be text");
     answer
 }
 
-async fn until(mut check: impl FnMut() -> bool) {
-    let happened = async {
-        while !check() {
+async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let condition_met = async {
+        while !condition() {
             time::sleep(Duration::from_millis(1)).await;
         }
     };
-    time::timeout(CAP, happened).await.expect("it happens");
+    time::timeout(WAIT_LIMIT, condition_met)
+        .await
+        .expect("the condition should be met in time");
 }
 
-/// A client's connection goes silent in the middle of a body. The call was under way for
-/// good (30 s and on), since the time that its client waits bounded only what came after
-/// the body; a planned stop waits for calls under way.
+/// Guards against requests that stay in flight for good (more than 30 s) when a client's
+/// connection goes silent within the body. The client's deadline bounded only the time after
+/// the body, and a planned stop waits for requests in flight.
 #[tokio::test]
-async fn a_body_that_stays_away_ends_its_call() {
-    let played = async {
+async fn a_request_body_that_never_arrives_times_out() {
+    let scenario = async {
         let (net, peer) = (Rc::new(Net::default()), Rc::new(Peer::default()));
         let (node, _store) = follower::open(&net, &peer).await;
         node.adopt_config(&Arc::new(config()));
-        let front = ClientApi::new(node);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
-        let address = listener.local_addr().expect("address");
+        let front = Front::new(node);
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port should be free");
+        let address = listener
+            .local_addr()
+            .expect("the listener should have an address");
         task::spawn_local(front.clone().serve(listener));
-        let mut client = TcpStream::connect(address).await.expect("connection");
+        let mut client = TcpStream::connect(address)
+            .await
+            .expect("the connection should open");
         client
-            .write_all(HALF.as_bytes())
+            .write_all(INCOMPLETE_SUBMISSION.as_bytes())
             .await
-            .expect("half a call");
+            .expect("an incomplete request should be sent");
         let answer = read_to_end(client).await;
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
         assert_eq!(front.in_flight(), 0);
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// The balancer's connection goes silent before its question. It was kept for good (30 s
-/// and on), one more for each time that it happens: nothing bounded the wait for a head.
+/// Guards against a leak of connections: when a load balancer's connection went silent before
+/// its request, it was kept for good (more than 30 s), since nothing bounded the wait for a
+/// request head.
 #[tokio::test]
-async fn a_silent_question_for_readiness_is_not_kept() {
-    let played = async {
+async fn a_silent_readiness_connection_is_closed() {
+    let scenario = async {
         let (net, peer) = (Rc::new(Net::default()), Rc::new(Peer::default()));
         let (node, _store) = follower::open(&net, &peer).await;
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
-        let address = listener.local_addr().expect("address");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port should be free");
+        let address = listener
+            .local_addr()
+            .expect("the listener should have an address");
         task::spawn_local(client_api::serve_readiness(node, listener));
-        let balancer = TcpStream::connect(address).await.expect("connection");
+        let balancer = TcpStream::connect(address)
+            .await
+            .expect("the connection should open");
         read_to_end(balancer).await;
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// A client gives up and closes its connection while its call is under way. The call was
-/// counted as under way for good (30 s and on): it is dropped with its connection, and only
-/// its end took it off the count. A planned stop waited for it until its last moment.
+/// Guards against requests that are counted as in flight for good (more than 30 s) after their
+/// client closed its connection. The request was dropped with its connection, but only its
+/// completion decreased the count, and a planned stop waited for it wait_until its time was up.
 #[tokio::test]
-async fn a_call_ends_with_its_connection() {
-    let played = async {
+async fn a_request_ends_when_its_connection_closes() {
+    let scenario = async {
         let (net, peer) = (Rc::new(Net::default()), Rc::new(Peer::default()));
         let (node, _store) = follower::open(&net, &peer).await;
         node.adopt_config(&Arc::new(config()));
-        peer.takes.set(CAP * 2);
-        let front = ClientApi::new(node);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
-        let address = listener.local_addr().expect("address");
+        peer.request_duration.set(WAIT_LIMIT * 2);
+        let front = Front::new(node);
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a port should be free");
+        let address = listener
+            .local_addr()
+            .expect("the listener should have an address");
         task::spawn_local(front.clone().serve(listener));
-        let mut client = TcpStream::connect(address).await.expect("connection");
-        client.write_all(WHOLE.as_bytes()).await.expect("a call");
-        until(|| front.in_flight() == 1).await;
+        let mut client = TcpStream::connect(address)
+            .await
+            .expect("the connection should open");
+        client
+            .write_all(QUERY.as_bytes())
+            .await
+            .expect("a request should be sent");
+        wait_until(|| front.in_flight() == 1).await;
         drop(client);
-        until(|| front.in_flight() == 0).await;
+        wait_until(|| front.in_flight() == 0).await;
     };
-    LocalSet::new().run_until(played).await;
+    LocalSet::new().run_until(scenario).await;
 }
--- a/ashtiller/tests/links/entries.rs
+++ b/ashtiller/tests/links/entries.rs
@@ -1,5 +1,5 @@
-//! Entries of the store and jobs of clients, as anyone may have written them: what cannot be
-//! read is an error, and never costs the process.
+//! Parsing of store entries and submitted jobs, which may hold anything: malformed input must be
+//! an error and never panic.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 use crate::{codec, job};
 
-/// What the platform's workers write.
+/// Entry written by a worker of the platform.
 const WORKER: &str = r#"{"service":"fleet","address":"10.0.0.1:8080","zone":"bern","version":"v1","slots":8,"state":"ready","cold_remaining_ms":0,"capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},"labels":["a","r1-3"],"machine":"m1","clock_ms":482113,"sequence":4}"#;
-/// What operators write.
+/// Entry written by operators.
 const CONFIG: &str = r#"{"version":7,"routes":[{"name":"r","host":"jobs.example","prefix":"/q/","kind":"non_idempotent","timeout_ms":3000,"target_latency_ms":250,"priority":0,"service":"fleet","max_attempts":3,"extension":1.5}],"services":[{"name":"fleet","enforces_capacity":true,"headroom":false}],"limits":{"max_body_bytes":262144}}"#;
 const WAVE: &str = r#"{"wave":3,"machines":["m1","m2"],"duration_s":12.5,"max_count":2}"#;
-/// What clients write.
+/// Job submitted by a client.
 const JOB: &str = r#"{"spec":"sweep","steps":[{"count":4,"cpu":500,"mem_mb":256,"estimate_ms":900},{"count":2,"cpu":500,"mem_mb":1,"depends_on":[0],"long_running":true}]}"#;
-/// Entries that were once taken the wrong way, one a line.
+/// Entries that were parsed wrongly in the past, one per line.
 const CORPUS: &str = include_str!("../cases/entries.txt");
 
 fn key() -> String {
@@ -26,45 +26,49 @@
     codec::open().worker(&key(), text.as_bytes()).is_ok()
 }
 
-fn with(from: &str, to: &str) -> String {
+/// Returns [`WORKER`] with `from` replaced by `to`.
+fn replace(from: &str, to: &str) -> String {
     let text = WORKER.replace(from, to);
     assert_ne!(text, WORKER, "{from}");
     text
 }
 
 #[test]
-fn a_birth_tells_lives_of_one_worker_apart() {
-    let read = |born: &str| {
-        let text = with(r#""ready""#, &format!(r#""ready","born":{born}"#));
+fn the_born_field_distinguishes_incarnations_of_one_worker() {
+    let parse = |born: &str| {
+        let text = replace(r#""ready""#, &format!(r#""ready","born":{born}"#));
         codec::open().worker(&key(), text.as_bytes())
     };
-    let life = read("1767225600123").unwrap().incarnation;
-    assert_eq!((life.id(), life.born()), ("i-1", Some(1_767_225_600_123)));
-    assert_ne!(life, read("1767225600124").unwrap().incarnation);
-    assert_eq!(read("null").unwrap().incarnation.born(), None);
-    for strange in ["1.5", "-4", r#""now""#, "[1]", "{}"] {
-        assert!(read(strange).is_err(), "{strange}");
+    let incarnation = parse("1767225600123").unwrap().incarnation;
+    assert_eq!(
+        (incarnation.id(), incarnation.born()),
+        ("i-1", Some(1_767_225_600_123))
+    );
+    assert_ne!(incarnation, parse("1767225600124").unwrap().incarnation);
+    assert_eq!(parse("null").unwrap().incarnation.born(), None);
+    for malformed in ["1.5", "-4", r#""now""#, "[1]", "{}"] {
+        assert!(parse(malformed).is_err(), "{malformed}");
     }
 }
 
 #[test]
-fn a_worker_reads_as_it_says() {
+fn a_valid_worker_entry_is_parsed() {
     let listed = codec::open().worker(&key(), WORKER.as_bytes()).unwrap();
     assert_eq!(listed.incarnation, "i-1".into());
     assert_eq!(listed.machine.as_deref(), Some("m1"));
     assert_eq!(listed.capacity.processors, 16_000);
     assert!(!listed.draining);
-    let leaves = with(r#""ready""#, r#""draining","remaining_ms":2500"#);
-    let listed = codec::open().worker(&key(), leaves.as_bytes()).unwrap();
+    let draining = replace(r#""ready""#, r#""draining","remaining_ms":2500"#);
+    let listed = codec::open().worker(&key(), draining.as_bytes()).unwrap();
     assert!(listed.draining);
     assert_eq!(listed.remaining, Some(Duration::from_millis(2500)));
 }
 
 #[test]
-fn fields_that_are_missing_or_of_another_type_name_no_worker() {
+fn missing_and_mistyped_fields_are_errors() {
     for field in ["service", "address", "zone", "state", "capacity"] {
-        let gone = with(&format!("\"{field}\":"), &format!("\"no-{field}\":"));
-        assert!(!is_worker(&gone), "without {field}");
+        let missing = replace(&format!("\"{field}\":"), &format!("\"no-{field}\":"));
+        assert!(!is_worker(&missing), "without {field}");
     }
     for (from, to) in [
         (r#""fleet""#, "7"),
@@ -75,47 +79,47 @@
         ("16000", "-1"),
         (r#""m1""#, "[]"),
     ] {
-        assert!(!is_worker(&with(from, to)), "{to}");
+        assert!(!is_worker(&replace(from, to)), "{to}");
     }
 }
 
 #[test]
-fn a_state_that_no_page_names_is_none_to_use() {
+fn unknown_worker_states_are_errors() {
     for state in ["", "READY", "ready ", "stopped", "warming"] {
-        let other = with(r#""ready""#, &format!("\"{state}\""));
+        let other = replace(r#""ready""#, &format!("\"{state}\""));
         assert!(!is_worker(&other), "{state:?}");
     }
 }
 
 #[test]
-fn sizes_that_no_worker_has_name_none() {
+fn oversized_values_are_errors() {
     for (from, to) in [
         ("16000", "18446744073709551615"),
         ("32768", "18446744073709551615"),
         (r#""gpu":0"#, r#""gpu":4294967295"#),
     ] {
-        assert!(!is_worker(&with(from, to)), "{to}");
+        assert!(!is_worker(&replace(from, to)), "{to}");
     }
     let long = format!("\"{}\"", "x".repeat(100_000));
-    assert!(!is_worker(&with(r#""fleet""#, &long)));
+    assert!(!is_worker(&replace(r#""fleet""#, &long)));
     let labels = format!("[{}]", vec!["\"a\""; 1000].join(","));
-    assert!(!is_worker(&with(r#"["a","r1-3"]"#, &labels)));
+    assert!(!is_worker(&replace(r#"["a","r1-3"]"#, &labels)));
 }
 
 #[test]
-fn a_key_that_names_no_worker_is_none() {
+fn keys_without_a_worker_id_are_errors() {
     let prefix = codec::open().worker_prefix();
     for key in [prefix.to_owned(), format!("{prefix}a/b")] {
         assert!(codec::open().worker(&key, WORKER.as_bytes()).is_err());
     }
 }
 
-/// All readers, on any bytes.
-fn read_all(bytes: &[u8]) {
+/// Runs all parsers on any bytes.
+fn parse_all(bytes: &[u8]) {
     let dialect = codec::open();
     let operators = dialect.operator_prefix();
     if let Ok(listed) = dialect.worker(&key(), bytes) {
-        // What is read can be reckoned with: a hundred such workers do not overflow.
+        // The capacities of a hundred such workers add up without overflow.
         let sum = (0..100).fold(listed.capacity, |sum, _| sum.plus(&listed.capacity));
         assert!(listed.capacity.fits_within(&sum));
     }
@@ -125,9 +129,9 @@
     let _ = job::read("00000000000000a1", &"jobs.example/q/".into(), bytes);
 }
 
-/// The key says it all: an entry whose value cannot be read evacuates its zone, too.
+/// An evacuation depends on the key alone: an entry with a malformed value evacuates its zone, too.
 #[test]
-fn a_key_names_the_zone_that_is_evacuated() {
+fn the_key_names_the_evacuated_zone() {
     let dialect = codec::open();
     let key = |rest: &str| format!("{}{rest}", dialect.operator_prefix());
     let zone = dialect.evacuated(&key("evacuate/halle-bern"));
@@ -136,22 +140,22 @@
         assert_eq!(dialect.evacuated(&key(rest)), None, "{rest}");
     }
     for value in ["{}", "", "\u{0}not json", "[]"] {
-        let read = dialect.operated(&key("evacuate/halle-bern"), value.as_bytes());
-        assert!(read.is_ok(), "{value}");
+        let parsed = dialect.operated(&key("evacuate/halle-bern"), value.as_bytes());
+        assert!(parsed.is_ok(), "{value}");
     }
 }
 
 #[test]
-fn entries_that_were_once_taken_the_wrong_way_are_errors() {
+fn entries_that_were_parsed_wrongly_are_errors() {
     for line in CORPUS.lines() {
         assert!(!is_worker(line), "{line}");
-        read_all(line.as_bytes());
+        parse_all(line.as_bytes());
     }
 }
 
-/// A valid text with some bytes changed, taken out or put in.
-fn mutated() -> impl Strategy<Value = Vec<u8>> {
-    let whole = prop_oneof![Just(WORKER), Just(CONFIG), Just(WAVE), Just(JOB)];
+/// Generates valid entries with some bytes changed, removed or inserted.
+fn mutated_entries() -> impl Strategy<Value = Vec<u8>> {
+    let valid = prop_oneof![Just(WORKER), Just(CONFIG), Just(WAVE), Just(JOB)];
     let edits = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0..3u8), 0..6);
     let tokens = prop::collection::vec(
         (
@@ -168,8 +172,8 @@
         ),
         0..2,
     );
-    (whole, edits, tokens).prop_map(|(whole, edits, tokens)| {
-        let mut text = whole.to_owned();
+    (valid, edits, tokens).prop_map(|(valid, edits, tokens)| {
+        let mut text = valid.to_owned();
         for (place, token) in tokens {
             let colons: Vec<usize> = text.match_indices(':').map(|(at, _)| at).collect();
             let from = colons[place.index(colons.len())] + 1;
@@ -179,9 +183,9 @@
             text.replace_range(from..rest, token);
         }
         let mut bytes = text.into_bytes();
-        for (place, byte, how) in edits {
+        for (place, byte, edit) in edits {
             let at = place.index(bytes.len().max(1));
-            match how {
+            match edit {
                 _ if bytes.is_empty() => {}
                 0 => bytes[at] = byte,
                 1 => drop(bytes.remove(at)),
@@ -192,26 +196,27 @@
     })
 }
 
-/// `PROPTEST_CASES` asks for more by hand; what fails is kept beside this file.
-fn cases() -> ProptestConfig {
-    let kept = FileFailurePersistence::WithSource("regressions");
+/// Returns the settings of the property tests. `PROPTEST_CASES` sets the number of cases; failing
+/// cases are stored next to this file.
+fn proptest_config() -> ProptestConfig {
+    let persistence = FileFailurePersistence::WithSource("regressions");
     ProptestConfig {
-        failure_persistence: Some(Box::new(kept)),
+        failure_persistence: Some(Box::new(persistence)),
         rng_seed: proptest::test_runner::RngSeed::Fixed(7),
         ..ProptestConfig::default()
     }
 }
 
 proptest! {
-    #![proptest_config(cases())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn no_reader_panics_on_changed_entries(bytes in mutated()) {
-        read_all(&bytes);
+    fn no_reader_panics_on_changed_entries(bytes in mutated_entries()) {
+        parse_all(&bytes);
     }
 
     #[test]
     fn no_reader_panics_on_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        read_all(&bytes);
+        parse_all(&bytes);
     }
 }
--- a/ashtiller/tests/links/follower.rs
+++ b/ashtiller/tests/links/follower.rs
@@ -1,4 +1,4 @@
-//! A real instance that follows an owner, with a store in memory.
+//! A real instance that follows an owner, with an in-memory store.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,23 +20,23 @@
 use crate::net::Net;
 use crate::peer::Peer;
 
-/// Time of one call to the store.
-const CALL: Duration = Duration::from_millis(3);
+/// Latency of one call to the store.
+const STORE_LATENCY: Duration = Duration::from_millis(3);
 const SETTINGS: &str = "[instance]\nname = follower\navailability_zone = bern\n\
      [entry]\nhost = 127.0.0.1\nports = 7720,7735\nclients = 127.0.0.1:7721\n\
      readiness = 127.0.0.1:7722\n[platform]\nstore = 127.0.0.1:7723\n";
 
-/// A key-value service in memory.
+/// An in-memory key-value store.
 #[derive(Default)]
-pub struct Memory {
+pub struct MemoryStore {
     items: Mutex<BTreeMap<String, (Bytes, u64)>>,
-    /// Reads that must not be stale; of a follower, each is a look for another owner.
-    pub reads: AtomicUsize,
+    /// Count of consistent reads. A follower makes them only to look for another owner.
+    pub consistent_reads: AtomicUsize,
 }
 
-impl Memory {
+impl MemoryStore {
     fn item(&self, key: &str) -> Option<Item> {
-        let items = self.items.lock().expect("items");
+        let items = self.items.lock().expect("the lock should not be poisoned");
         let (value, revision) = items.get(key)?.clone();
         Some(Item {
             key: key.into(),
@@ -53,9 +53,9 @@
             let keys = txn.expect.iter();
             return Committed::Conflict(keys.filter_map(|(key, _)| self.item(key)).collect());
         }
-        let mut items = self.items.lock().expect("items");
-        let newest = items.values().map(|(_, revision)| *revision).max();
-        let next = newest.unwrap_or(0) + 1;
+        let mut items = self.items.lock().expect("the lock should not be poisoned");
+        let newest_revision = items.values().map(|(_, revision)| *revision).max();
+        let next = newest_revision.unwrap_or(0) + 1;
         for (key, value) in &txn.put {
             items.insert(key.clone(), (value.clone(), next));
         }
@@ -63,19 +63,20 @@
     }
 }
 
-impl Store for Memory {
+impl Store for MemoryStore {
     fn get<'a>(&'a self, key: &'a str, stale: bool) -> CallFuture<'a, Option<Item>> {
-        self.reads.fetch_add(usize::from(!stale), Ordering::Relaxed);
+        self.consistent_reads
+            .fetch_add(usize::from(!stale), Ordering::Relaxed);
         Box::pin(async move {
-            time::sleep(CALL).await;
+            time::sleep(STORE_LATENCY).await;
             Ok(self.item(key))
         })
     }
 
     fn scan<'a>(&'a self, prefix: &'a str, after: Option<&'a str>) -> CallFuture<'a, Page> {
         Box::pin(async move {
-            time::sleep(CALL).await;
-            let items = self.items.lock().expect("items");
+            time::sleep(STORE_LATENCY).await;
+            let items = self.items.lock().expect("the lock should not be poisoned");
             let keys = items.keys().filter(|key| {
                 key.starts_with(prefix) && after.is_none_or(|after| key.as_str() > after)
             });
@@ -98,15 +99,16 @@
 
     fn commit<'a>(&'a self, txn: &'a Txn) -> CallFuture<'a, Committed> {
         Box::pin(async move {
-            time::sleep(CALL).await;
+            time::sleep(STORE_LATENCY).await;
             Ok(self.write(txn))
         })
     }
 }
 
-struct Nobody;
+/// A platform without workers.
+struct NoWorkers;
 
-impl WorkerClient for Nobody {
+impl WorkerClient for NoWorkers {
     fn order<'a>(&'a self, to: &'a Target, _: &'a Order) -> CallFuture<'a, OrderReply> {
         Box::pin(async move {
             Err(Failure::no_effect(
@@ -128,7 +130,7 @@
     }
 }
 
-impl PlatformCodec for Nobody {
+impl PlatformCodec for NoWorkers {
     fn worker_prefix(&self) -> &'static str {
         "workers/"
     }
@@ -154,28 +156,33 @@
     }
 }
 
-/// An instance that has met the owner, and its store.
-pub async fn open(net: &Rc<Net>, peer: &Rc<Peer>) -> (Rc<Node>, Arc<Memory>) {
+/// Opens an instance and its store; returns after eight heartbeats to the owner.
+pub async fn open(net: &Rc<Net>, peer: &Rc<Peer>) -> (Rc<Node>, Arc<MemoryStore>) {
     net.host(crate::peer::ADDRESS, peer.clone());
-    let store = Arc::new(Memory::default());
-    let outside = Dependencies {
+    let store = Arc::new(MemoryStore::default());
+    let dependencies = Dependencies {
         store: store.clone(),
-        agents: Arc::new(Nobody),
+        agents: Arc::new(NoWorkers),
         advisor: None,
         machines: None,
-        dialect: Arc::new(Nobody),
+        dialect: Arc::new(NoWorkers),
     };
-    let settings = Settings::parse("links.ini", SETTINGS).expect("settings");
-    let mut node = Node::open(settings, outside).expect("node");
-    Rc::get_mut(&mut node).expect("only one").links = net.links();
+    let settings = Settings::parse("links.ini", SETTINGS).expect("the settings should parse");
+    let mut node = Node::open(settings, dependencies).expect("the node should open");
+    Rc::get_mut(&mut node)
+        .expect("the node should not be shared yet")
+        .links = net.links();
     node.adopt_config(&Arc::new(Config {
         version: 1,
         ..Config::default()
     }));
-    node.log.acquire(&Peer::as_lead(), 0).await.expect("lead");
+    node.log
+        .acquire(&Peer::as_owner(), 0)
+        .await
+        .expect("the log should be acquired");
     node.spawn();
-    while peer.greeted.borrow().len() < 8 {
-        time::sleep(CALL).await;
+    while peer.heartbeats.borrow().len() < 8 {
+        time::sleep(STORE_LATENCY).await;
     }
     (node, store)
 }
--- a/ashtiller/tests/links/peer.rs
+++ b/ashtiller/tests/links/peer.rs
@@ -1,4 +1,4 @@
-//! An instance that answers as a test says.
+//! A peer instance whose answers a test sets.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,28 +13,28 @@
 use futures_util::future::LocalBoxFuture;
 use tokio::time::{self, Instant};
 
-/// Where it listens.
+/// Address at which the peer listens.
 pub const ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 7820);
 
-/// Owner of the log.
+/// A peer that owns the log.
 #[derive(Default)]
 pub struct Peer {
-    /// Whether it answers nothing.
-    pub frozen: Cell<bool>,
-    /// Time that it needs for a call of a client.
-    pub takes: Cell<Duration>,
-    /// Answers to clients' calls in turn; then the job is queued.
+    /// Whether the peer answers nothing.
+    pub is_frozen: Cell<bool>,
+    /// Time that a client's request takes.
+    pub request_duration: Cell<Duration>,
+    /// Answers to the next requests of clients; any further one is told that its job is queued.
     pub replies: RefCell<VecDeque<Reply>>,
-    /// When heartbeats came.
-    pub greeted: RefCell<Vec<Instant>>,
-    /// Clients' calls that came.
-    pub asked: Cell<usize>,
+    /// Arrival times of heartbeats.
+    pub heartbeats: RefCell<Vec<Instant>>,
+    /// Number of clients' requests that arrived.
+    pub request_count: Cell<usize>,
 }
 
 impl Peer {
-    /// It as the owner at the first revision of the store.
-    pub fn as_lead() -> LogOwner {
+    /// Returns the owner record of this peer, as of the first revision of the store.
+    pub fn as_owner() -> LogOwner {
         LogOwner {
             name: "owner".into(),
             address: ADDRESS,
@@ -45,36 +45,36 @@
         }
     }
 
-    fn welcome(&self) -> Reply {
-        self.greeted.borrow_mut().push(Instant::now());
-        let lead = Self::as_lead();
+    fn handle_heartbeat(&self) -> Reply {
+        self.heartbeats.borrow_mut().push(Instant::now());
+        let owner = Self::as_owner();
         Reply::Welcome(Box::new(HeartbeatReply {
-            epoch: lead.epoch,
-            incarnation: lead.incarnation,
+            epoch: owner.epoch,
+            incarnation: owner.incarnation,
             version: 1,
             ..HeartbeatReply::default()
         }))
     }
 
-    async fn serve(&self) -> Reply {
-        self.asked.set(self.asked.get() + 1);
+    async fn handle_request(&self) -> Reply {
+        self.request_count.set(self.request_count.get() + 1);
         let reply = self.replies.borrow_mut().pop_front();
-        time::sleep(self.takes.get()).await;
+        time::sleep(self.request_duration.get()).await;
         reply.unwrap_or(Reply::State(State::Queued))
     }
 }
 
 impl RequestHandler for Peer {
-    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
+    fn answer(self: Rc<Self>, request: PeerRequest) -> LocalBoxFuture<'static, Reply> {
         Box::pin(async move {
-            if self.frozen.get() {
+            if self.is_frozen.get() {
                 return future::pending().await;
             }
-            match ask {
-                PeerRequest::Heartbeat(_) => self.welcome(),
-                PeerRequest::Lead => Reply::Lead(Some(Self::as_lead())),
+            match request {
+                PeerRequest::Heartbeat(_) => self.handle_heartbeat(),
+                PeerRequest::Lead => Reply::Lead(Some(Self::as_owner())),
                 PeerRequest::OwnerIs(_) | PeerRequest::Config(_) => Reply::Noted,
-                _ => self.serve().await,
+                _ => self.handle_request().await,
             }
         })
     }
--- a/ashtiller/tests/links/relays.rs
+++ b/ashtiller/tests/links/relays.rs
@@ -1,4 +1,4 @@
-//! Calls to workers over another instance: whole, or known to be in doubt.
+//! Calls to workers over a relay: each arrives unchanged or fails with the right remote effect.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -25,31 +25,31 @@
 
 const LIMIT: Duration = Duration::from_millis(350);
 
-/// Workers, and who called them.
+/// Workers, with the calls that they got.
 #[derive(Default)]
 struct Workers {
     calls: Mutex<Vec<(&'static str, Target, Order)>>,
-    looks: Mutex<Vec<Target>>,
-    /// Workers at which nobody listens.
+    polls: Mutex<Vec<Target>>,
+    /// Workers that refuse connections.
     down: Mutex<Vec<Target>>,
-    /// The instance that reaches none of them.
-    cut: Mutex<Option<&'static str>>,
+    /// Name of the instance that reaches no worker.
+    partitioned: Mutex<Option<&'static str>>,
 }
 
-/// Workers as one instance reaches them.
-struct View {
+/// Client of one instance to the workers.
+struct InstanceClient {
     workers: Arc<Workers>,
     from: &'static str,
 }
 
-impl WorkerClient for View {
+impl WorkerClient for InstanceClient {
     fn order<'a>(&'a self, to: &'a Target, order: &'a Order) -> CallFuture<'a, OrderReply> {
         let call = (self.from, to.clone(), order.clone());
         self.workers.calls.lock().push(call);
         let down = self.workers.down.lock().contains(to);
-        let cut = *self.workers.cut.lock() == Some(self.from);
+        let partitioned = *self.workers.partitioned.lock() == Some(self.from);
         Box::pin(async move {
-            if cut {
+            if partitioned {
                 time::sleep(to.timeout).await;
                 return Err(Failure::unknown_effect(
                     "start",
@@ -68,9 +68,9 @@
         })
     }
 
-    fn poll<'a>(&'a self, to: &'a Target, look: &'a Poll) -> CallFuture<'a, PollReply> {
-        self.workers.looks.lock().push(to.clone());
-        let wait = look.wait;
+    fn poll<'a>(&'a self, to: &'a Target, poll: &'a Poll) -> CallFuture<'a, PollReply> {
+        self.workers.polls.lock().push(to.clone());
+        let wait = poll.wait;
         Box::pin(async move {
             time::sleep(wait).await;
             Ok(PollReply::Report {
@@ -82,96 +82,97 @@
     }
 }
 
-/// The instance that relays.
+/// The relaying instance.
 struct Relay {
-    carrier: RefCell<Rc<RelayServer>>,
-    frozen: Cell<bool>,
+    server: RefCell<Rc<RelayServer>>,
+    /// Whether the relay answers nothing.
+    is_frozen: Cell<bool>,
 }
 
 impl RequestHandler for Relay {
-    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
+    fn answer(self: Rc<Self>, request: PeerRequest) -> LocalBoxFuture<'static, Reply> {
         Box::pin(async move {
-            if self.frozen.get() {
+            if self.is_frozen.get() {
                 return std::future::pending().await;
             }
-            if let PeerRequest::RelayCalls(parcels) = ask {
-                self.carrier.borrow().execute_batch(*parcels);
+            if let PeerRequest::RelayCalls(batch) = request {
+                self.server.borrow().execute_batch(*batch);
             }
             Reply::Noted
         })
     }
 }
 
-/// The owner's instance.
+/// The instance that owns the log.
 struct Owner(Rc<RelayClient>);
 
 impl RequestHandler for Owner {
-    fn answer(self: Rc<Self>, ask: PeerRequest) -> LocalBoxFuture<'static, Reply> {
-        if let PeerRequest::RelayResults(results) = ask {
+    fn answer(self: Rc<Self>, request: PeerRequest) -> LocalBoxFuture<'static, Reply> {
+        if let PeerRequest::RelayResults(results) = request {
             self.0.deliver_results(*results);
         }
         Box::pin(async { Reply::Noted })
     }
 }
 
-struct Scene {
+struct Cluster {
     net: Rc<Net>,
     workers: Arc<Workers>,
     relay: Rc<Relay>,
-    sender: Rc<RelayClient>,
+    client: Rc<RelayClient>,
 }
 
 fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
-impl Scene {
-    /// An owner, and another instance in the workers' zone.
+impl Cluster {
+    /// Opens an owner, and another instance in the workers' zone that may relay.
     fn open(workers: usize) -> Self {
         let net = Rc::new(Net::default());
-        let fleet = Arc::new(Workers::default());
-        let view = |from| {
-            Arc::new(View {
-                workers: fleet.clone(),
+        let shared = Arc::new(Workers::default());
+        let client_of = |from| {
+            Arc::new(InstanceClient {
+                workers: shared.clone(),
                 from,
             })
         };
         let relay = Rc::new(Relay {
-            carrier: RefCell::new(RelayServer::new(view("relay"), net.links())),
-            frozen: Cell::new(false),
+            server: RefCell::new(RelayServer::new(client_of("relay"), net.links())),
+            is_frozen: Cell::new(false),
         });
         net.host(address(2), relay.clone());
-        let sender = RelayClient::new(view("owner"), net.links(), address(1));
-        net.host(address(1), Rc::new(Owner(sender.clone())));
-        sender.choose_relays(workers, &[member()]);
+        let client = RelayClient::new(client_of("owner"), net.links(), address(1));
+        net.host(address(1), Rc::new(Owner(client.clone())));
+        client.choose_relays(workers, &[member()]);
         Self {
             net,
-            workers: fleet,
+            workers: shared,
             relay,
-            sender,
+            client,
         }
     }
 
     async fn start(&self, index: u16) -> Result<OrderReply, RemoteEffect> {
         let order = Order::Start(start(index));
-        let said = self.sender.order(&target(index), &order).await;
-        said.map_err(|failure| failure.effect)
+        let reply = self.client.order(&target(index), &order).await;
+        reply.map_err(|failure| failure.effect)
     }
 
-    /// Who called the workers, in turn.
+    /// Returns the instances that called workers, in the order of the calls.
     fn callers(&self) -> Vec<&'static str> {
         let calls = self.workers.calls.lock();
         calls.iter().map(|(from, ..)| *from).collect()
     }
 
-    /// The relay is a new process at the same address.
+    /// Replaces the relay by a new process at the same address.
     fn restart_relay(&self) {
-        let view = View {
+        let client = InstanceClient {
             workers: self.workers.clone(),
             from: "relay",
         };
-        let carrier = RelayServer::new(Arc::new(view), self.net.links());
-        *self.relay.carrier.borrow_mut() = carrier;
+        let server = RelayServer::new(Arc::new(client), self.net.links());
+        *self.relay.server.borrow_mut() = server;
     }
 }
 
@@ -213,23 +214,23 @@
     }
 }
 
-fn play(scene: impl Future<Output = ()>) {
+fn run_paused(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime");
-    LocalSet::new().block_on(&runtime, scene);
+        .expect("the runtime should build");
+    LocalSet::new().block_on(&runtime, scenario);
 }
 
 #[test]
-fn what_a_worker_gets_over_a_relay_is_what_the_owner_sent() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
+fn orders_reach_workers_unchanged_over_a_relay() {
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
         for index in 0..3 {
-            assert_eq!(scene.start(index).await, Ok(OrderReply::Done(7)));
+            assert_eq!(cluster.start(index).await, Ok(OrderReply::Done(7)));
         }
-        let calls = scene.workers.calls.lock().clone();
+        let calls = cluster.workers.calls.lock().clone();
         let sent = |index| ("relay", target(index), Order::Start(start(index)));
         assert_eq!(calls, [sent(0), sent(1), sent(2)]);
     });
@@ -237,193 +238,208 @@
 
 #[test]
 fn a_small_fleet_is_called_directly() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS - 1);
-        assert_eq!(scene.start(0).await, Ok(OrderReply::Done(7)));
-        assert_eq!(scene.callers(), ["owner"]);
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS - 1);
+        assert_eq!(cluster.start(0).await, Ok(OrderReply::Done(7)));
+        assert_eq!(cluster.callers(), ["owner"]);
     });
 }
 
 #[test]
-fn calls_that_come_together_go_together() {
-    play(async {
-        let scene = Rc::new(Scene::open(MIN_RELAYED_WORKERS));
+fn concurrent_calls_share_one_connection_each_way() {
+    run_paused(async {
+        let cluster = Rc::new(Cluster::open(MIN_RELAYED_WORKERS));
         let calls = (0..50).map(|index| {
-            let scene = scene.clone();
-            task::spawn_local(async move { scene.start(index).await })
+            let cluster = cluster.clone();
+            task::spawn_local(async move { cluster.start(index).await })
         });
         for call in calls.collect::<Vec<_>>() {
-            assert_eq!(call.await.expect("a call"), Ok(OrderReply::Done(7)));
+            assert_eq!(
+                call.await.expect("the task should not panic"),
+                Ok(OrderReply::Done(7))
+            );
         }
-        assert_eq!(scene.callers().len(), 50);
-        assert_eq!(scene.net.opened(), 2, "a connection each way");
+        assert_eq!(cluster.callers().len(), 50);
+        assert_eq!(cluster.net.opened(), 2, "one connection in each direction");
     });
 }
 
 #[test]
-fn a_relay_that_says_nothing_is_replaced_by_direct_calls() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
-        assert!(scene.start(0).await.is_ok());
-        scene.relay.frozen.set(true);
-        assert_eq!(scene.start(1).await, Err(RemoteEffect::Unknown));
-        // Its worker is called directly at once, the others when the relay is given up.
-        assert!(scene.start(1).await.is_ok());
+fn a_silent_relay_is_replaced_by_direct_calls() {
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
+        assert!(cluster.start(0).await.is_ok());
+        cluster.relay.is_frozen.set(true);
+        assert_eq!(cluster.start(1).await, Err(RemoteEffect::Unknown));
+        // The worker of the failed call is called directly at once, the others after the relay is
+        // dropped.
+        assert!(cluster.start(1).await.is_ok());
         time::sleep(Duration::from_secs(1)).await;
         for index in 2..5 {
-            assert!(scene.start(index).await.is_ok());
+            assert!(cluster.start(index).await.is_ok());
         }
-        assert_eq!(scene.callers()[1..], ["owner"; 4]);
+        assert_eq!(cluster.callers()[1..], ["owner"; 4]);
     });
 }
 
 #[test]
-fn a_relay_that_is_gone_costs_no_call_its_outcome_for_long() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
-        scene.sender.choose_relays(
+fn calls_over_an_unreachable_relay_fail_fast() {
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
+        cluster.client.choose_relays(
             MIN_RELAYED_WORKERS,
             &[Member {
                 address: address(3),
                 ..member()
             }],
         );
-        let began = time::Instant::now();
-        assert_eq!(scene.start(0).await, Err(RemoteEffect::Unknown));
-        assert!(began.elapsed() < Duration::from_millis(100));
-        assert!(scene.start(1).await.is_ok());
-        assert_eq!(scene.callers(), ["owner"]);
+        let started = time::Instant::now();
+        assert_eq!(cluster.start(0).await, Err(RemoteEffect::Unknown));
+        assert!(started.elapsed() < Duration::from_millis(100));
+        assert!(cluster.start(1).await.is_ok());
+        assert_eq!(cluster.callers(), ["owner"]);
     });
 }
 
 #[test]
-fn a_relay_that_began_anew_gets_the_payload_again() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
-        assert!(scene.start(0).await.is_ok());
-        scene.restart_relay();
+fn a_restarted_relay_gets_the_payload_again() {
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
+        assert!(cluster.start(0).await.is_ok());
+        cluster.restart_relay();
         assert_eq!(
-            scene.start(1).await,
+            cluster.start(1).await,
             Err(RemoteEffect::None),
-            "it knows no job"
+            "the new process lacks the job's payload"
         );
-        assert_eq!(scene.start(1).await, Ok(OrderReply::Done(7)));
-        let calls = scene.workers.calls.lock().clone();
+        assert_eq!(cluster.start(1).await, Ok(OrderReply::Done(7)));
+        let calls = cluster.workers.calls.lock().clone();
         assert_eq!(calls[1], ("relay", target(1), Order::Start(start(1))));
     });
 }
 
 #[test]
-fn connections_that_go_silent_are_noticed_within_a_second() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
-        assert!(scene.start(0).await.is_ok());
-        scene.net.strike();
-        let began = time::Instant::now();
+fn silent_connections_are_detected_within_a_second() {
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
+        assert!(cluster.start(0).await.is_ok());
+        cluster.net.silence_all();
+        let started = time::Instant::now();
         let mut index = 1;
-        while scene.start(index).await.is_err() {
+        while cluster.start(index).await.is_err() {
             index += 1;
         }
-        assert!(began.elapsed() < Duration::from_secs(1));
+        assert!(started.elapsed() < Duration::from_secs(1));
     });
 }
 
 #[test]
-fn looks_over_a_relay_wait_as_long_as_they_are_told() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
-        let look = Poll {
+fn polls_over_a_relay_last_for_the_requested_wait() {
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
+        let poll = Poll {
             until: Some(6007),
             ends_recorded: 3,
             wait: Duration::from_secs(2),
         };
-        let began = time::Instant::now();
-        let looked = scene.sender.poll(&target(0), &look).await;
-        assert!(matches!(looked, Ok(PollReply::Report { clock: 7, .. })));
-        assert!(began.elapsed() < Duration::from_millis(2100));
-        assert_eq!(scene.workers.looks.lock()[..], [target(0)]);
+        let started = time::Instant::now();
+        let reply = cluster.client.poll(&target(0), &poll).await;
+        assert!(matches!(reply, Ok(PollReply::Report { clock: 7, .. })));
+        assert!(started.elapsed() < Duration::from_millis(2100));
+        assert_eq!(cluster.workers.polls.lock()[..], [target(0)]);
     });
 }
 
-/// Symptom: after a take-over an owner of 3,000 workers held 4,169 files, of 4,100 that a
-/// small instance has. Cause: relays are
-/// chosen each 250 ms by how many workers are known, and a new owner knows none before the first
-/// list, which came right after the first choice.
+/// Guards against direct connections to all workers after a takeover: an owner of 3,000 workers
+/// held 4,169 files, where a small instance has 4,100. Relays are chosen every 250 ms by the
+/// number of known workers. A new owner knows none before its first list, which arrived right
+/// after the first choice.
 #[test]
 fn relays_are_chosen_at_once_when_a_new_owner_learns_of_its_workers() {
-    play(async {
-        let scene = Scene::open(0);
+    run_paused(async {
+        let cluster = Cluster::open(0);
         assert!(
-            !scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS - 1),
-            "just chosen"
+            !cluster.client.is_relay_choice_due(MIN_RELAYED_WORKERS - 1),
+            "relays were just chosen"
         );
-        assert!(scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS));
-        scene.sender.choose_relays(MIN_RELAYED_WORKERS, &[member()]);
+        assert!(cluster.client.is_relay_choice_due(MIN_RELAYED_WORKERS));
+        cluster
+            .client
+            .choose_relays(MIN_RELAYED_WORKERS, &[member()]);
         assert!(
-            !scene.sender.is_relay_choice_due(MIN_RELAYED_WORKERS),
-            "just chosen"
+            !cluster.client.is_relay_choice_due(MIN_RELAYED_WORKERS),
+            "relays were just chosen"
         );
-        assert!(scene.start(0).await.is_ok());
-        assert_eq!(scene.callers(), ["relay"]);
+        assert!(cluster.start(0).await.is_ok());
+        assert_eq!(cluster.callers(), ["relay"]);
     });
 }
 
-/// An owner's process was stopped for two seconds between a decision and its message to the relay.
-/// What the call was decided on may have changed meanwhile: the worker may drain, or its
-/// availability zone be evacuated. Without a limit the relay made the call.
+/// Guards against stale calls: an owner's process was stopped for two seconds between a decision
+/// and its message to the relay. Meanwhile the worker may have begun to drain, or its availability
+/// zone may be evacuated. Without a limit the relay made the call.
 #[test]
 fn calls_that_waited_while_the_process_was_stopped_are_dropped() {
-    play(async {
-        let scene = Rc::new(Scene::open(MIN_RELAYED_WORKERS));
-        assert!(scene.start(0).await.is_ok());
+    run_paused(async {
+        let cluster = Rc::new(Cluster::open(MIN_RELAYED_WORKERS));
+        assert!(cluster.start(0).await.is_ok());
         let call = {
-            let scene = scene.clone();
-            task::spawn_local(async move { scene.start(1).await })
+            let cluster = cluster.clone();
+            task::spawn_local(async move { cluster.start(1).await })
         };
         task::yield_now().await;
         time::advance(Duration::from_secs(2)).await;
-        assert_eq!(call.await.expect("a call"), Err(RemoteEffect::Unknown));
+        assert_eq!(
+            call.await.expect("the task should not panic"),
+            Err(RemoteEffect::Unknown)
+        );
         time::sleep(Duration::from_secs(1)).await;
-        assert_eq!(scene.callers(), ["relay"]);
+        assert_eq!(cluster.callers(), ["relay"]);
     });
 }
 
-/// Workers crash together. Calls to them over the relay failed one after the other, and after eight
-/// of those the relay counted as cut off, as did each one that was chosen next: with 840 of 6,002
-/// workers gone at once, `relay fails` came 33 times, and the owner, which called all others
-/// directly then, held 6,537 files. A relay is at fault only if its worker answers a direct call.
+/// Guards against dropping a relay because its workers crashed. After eight failed calls in a row
+/// the relay counted as cut off, as did each one chosen next: with 840 of 6,002 workers gone at
+/// once, relays were dropped 33 times, and the owner, which then called all other workers directly,
+/// held 6,537 files. A relay is at fault only if its worker answers a direct call.
 #[test]
-fn workers_that_crash_together_cost_no_relay() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
-        *scene.workers.down.lock() = (0..40).map(target).collect();
+fn a_mass_worker_crash_drops_no_relay() {
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
+        *cluster.workers.down.lock() = (0..40).map(target).collect();
         for index in 0..40 {
-            assert_eq!(scene.start(index).await, Err(RemoteEffect::None));
+            assert_eq!(cluster.start(index).await, Err(RemoteEffect::None));
             assert_eq!(
-                scene.start(index).await,
+                cluster.start(index).await,
                 Err(RemoteEffect::None),
-                "directly"
+                "the direct call fails as well"
             );
         }
-        assert_eq!(scene.sender.relays().len(), 1);
-        let calls = scene.callers().len();
-        assert!(scene.start(50).await.is_ok());
-        assert_eq!(scene.callers()[calls..], ["relay"]);
+        assert_eq!(cluster.client.relays().len(), 1);
+        let calls = cluster.callers().len();
+        assert!(cluster.start(50).await.is_ok());
+        assert_eq!(cluster.callers()[calls..], ["relay"]);
     });
 }
 
 #[test]
 fn a_relay_that_is_cut_off_from_its_workers_is_not_used() {
-    play(async {
-        let scene = Scene::open(MIN_RELAYED_WORKERS);
-        assert!(scene.start(0).await.is_ok());
-        *scene.workers.cut.lock() = Some("relay");
+    run_paused(async {
+        let cluster = Cluster::open(MIN_RELAYED_WORKERS);
+        assert!(cluster.start(0).await.is_ok());
+        *cluster.workers.partitioned.lock() = Some("relay");
         for index in 1..=8 {
-            assert_eq!(scene.start(index).await, Err(RemoteEffect::Unknown));
-            assert!(scene.start(index).await.is_ok(), "directly");
-            assert!(scene.start(index).await.is_ok(), "said once");
+            assert_eq!(cluster.start(index).await, Err(RemoteEffect::Unknown));
+            assert!(
+                cluster.start(index).await.is_ok(),
+                "the direct call should succeed"
+            );
+            assert!(
+                cluster.start(index).await.is_ok(),
+                "the second direct call should succeed; it counts no failure"
+            );
         }
-        assert!(scene.sender.relays().is_empty());
-        assert!(scene.start(50).await.is_ok());
+        assert!(cluster.client.relays().is_empty());
+        assert!(cluster.start(50).await.is_ok());
     });
 }
