--- a/ashtiller/tests/links/clients.rs
+++ b/ashtiller/tests/links/clients.rs
@@ -124,7 +124,7 @@
 
 /// Guards against requests that are counted as in flight for good (more than 30 s) after their
 /// client closed its connection. The request was dropped with its connection, but only its
-/// completion decreased the count, and a planned stop waited for it wait_until its time was up.
+/// completion decreased the count, and a planned stop waited for it until its time was up.
 #[tokio::test]
 async fn a_request_ends_when_its_connection_closes() {
     let scenario = async {
--- a/ashtiller/tests/simulation/mod.rs
+++ b/ashtiller/tests/simulation/mod.rs
@@ -60,7 +60,7 @@
     /// Whether owners are replaced; a replaced one continues until it learns of it.
     pub replace_owners: bool,
     /// Whether workers leave or become unreachable.
-    pub worker_faults: bool,
+    pub lose_workers: bool,
     /// Whether some writes to the store are slow.
     pub slow_store: bool,
     /// Mean number of steps between two drains of workers, and between two periods in which an
@@ -493,14 +493,14 @@
             self.take_over();
             self.resend();
         }
-        if self.faults.worker_faults && self.rng.random_range(0..600) == 0 {
+        if self.faults.lose_workers && self.rng.random_range(0..600) == 0 {
             let id = self.random_worker();
             if !self.unreachable.remove(&id) {
                 tracing::trace!(worker = %id, "simulation: worker becomes unreachable");
                 self.unreachable.insert(id);
             }
         }
-        if self.faults.worker_faults && self.rng.random_range(0..1500) == 0 {
+        if self.faults.lose_workers && self.rng.random_range(0..1500) == 0 {
             let id = self.random_worker();
             self.replace_worker(&id);
         }
@@ -587,7 +587,7 @@
             lost_percent: 0,
             late_percent: 0,
             replace_owners: false,
-            worker_faults: false,
+            lose_workers: false,
             slow_store: false,
             drain_steps: 0,
             capacity_steps: 0,
--- a/ashtiller/tests/workflow.rs
+++ b/ashtiller/tests/workflow.rs
@@ -37,7 +37,7 @@
     lost_percent: 8,
     late_percent: 60,
     replace_owners: true,
-    worker_faults: true,
+    lose_workers: true,
     slow_store: true,
     drain_steps: 400,
     capacity_steps: 0,
@@ -288,17 +288,17 @@
     let restarted: u64 = results.iter().map(|it| it.restarted).sum();
     let failed_jobs: u64 = results.iter().map(|it| it.failed_jobs).sum();
     println!("{restarted} restarts, {failed_jobs} failed jobs");
-    let faulty = results
+    let failing = results
         .iter()
         .filter_map(|it| Some((it.seed, it.fault.as_ref()?)));
-    let faulty: Vec<String> = faulty
+    let failing: Vec<String> = failing
         .map(|(seed, fault)| format!("seed {seed}: {fault}"))
         .collect();
     assert!(
-        faulty.is_empty(),
+        failing.is_empty(),
         "{} seeds failed\n{}",
-        faulty.len(),
-        faulty.join("\n")
+        failing.len(),
+        failing.join("\n")
     );
     assert!(restarted > seeds() * 4, "{restarted} restarts");
     // A restart counts as a crash under each task that ran there.
@@ -353,7 +353,7 @@
         lost_percent: 0,
         late_percent: 0,
         replace_owners: false,
-        worker_faults: false,
+        lose_workers: false,
         slow_store: false,
         drain_steps: 0,
         capacity_steps: 0,
