--- a/ashtiller/tests/restarts.rs
+++ b/ashtiller/tests/restarts.rs
@@ -127,7 +127,12 @@
         }));
         core.list_all((0..WORKERS).map(listed).collect(), at);
         let workers = (0..WORKERS).map(|number| {
-            let worker = Worker::new(format!("w{number}"), capacity(), 99, Weakness::default());
+            let worker = Worker::new(
+                format!("w{number}"),
+                capacity(),
+                99,
+                DisabledSafeguards::default(),
+            );
             (listed(number).address, worker)
         });
         Self {
@@ -173,8 +178,14 @@
     /// Replaces a worker's process by a new one under the same id.
     fn restart(&mut self, number: u16) {
         let address = listed(number).address;
-        let restarted = Worker::new(format!("w{number}"), capacity(), 99, Weakness::default());
-        self.workers.insert(address, restarted.begun_at(self.now));
+        let restarted = Worker::new(
+            format!("w{number}"),
+            capacity(),
+            99,
+            DisabledSafeguards::default(),
+        );
+        self.workers
+            .insert(address, restarted.with_start_time(self.now));
         let lost = self.polls.extract_if(.., |it| it.to.address == address);
         for WaitingPoll { to, .. } in lost.collect::<Vec<_>>() {
             let failure = Failure::unknown_effect("look", to.address, "connection closed");
@@ -223,7 +234,7 @@
             self.polls.push(waiting);
             return;
         }
-        let reply = worker.look(to.fence, poll, self.now);
+        let reply = worker.poll(to.fence, poll, self.now);
         poll.ends_recorded = 0;
         let answer_now =
             !matches!(&reply, PollReply::Report { finished, .. } if finished.is_empty());
--- a/ashtiller/tests/simulation/mod.rs
+++ b/ashtiller/tests/simulation/mod.rs
@@ -28,7 +28,7 @@
 use rand_pcg::Pcg64;
 
 use operators::{EVACUATION, Operators, Reader};
-use worker::{Weakness, Worker};
+use worker::{DisabledSafeguards, Worker};
 use worker_entries::{Watch, WorkerEntries};
 
 const MS: Duration = Duration::from_millis(1);
@@ -74,7 +74,7 @@
     /// Restarts of workers under their ids, if any. With them, lost polls may arrive late, too.
     pub restarts: Option<Restarts>,
     /// Safeguards of workers that are disabled.
-    pub weakness: Weakness,
+    pub weakness: DisabledSafeguards,
 }
 
 /// Restarts of workers under their ids.
@@ -250,7 +250,8 @@
         let worker = Worker::new(incarnation.clone(), capacity(), pace, self.faults.weakness);
         // Without restarts under the same ids, the workers' clocks have been running for long.
         let began = self.faults.restarts.map_or(Duration::ZERO, |_| self.now);
-        self.workers.insert(id.into(), worker.begun_at(began));
+        self.workers
+            .insert(id.into(), worker.with_start_time(began));
         self.worker_entries
             .put(listing(&incarnation, machine, capacity()));
     }
@@ -282,13 +283,18 @@
         let incarnation = self.new_incarnation(id);
         tracing::trace!(worker = %incarnation, "simulation: process starts again");
         let worker = Worker::new(incarnation, capacity(), pace, self.faults.weakness);
-        self.workers.insert(id.clone(), worker.begun_at(self.now));
+        self.workers
+            .insert(id.clone(), worker.with_start_time(self.now));
         let lag = self.random_millis(0, 1100);
         self.schedule(lag, Event::WriteEntry(id.clone()));
     }
 
     fn announce_restart(&mut self, id: &Arc<str>) {
-        let Some(incarnation) = self.workers.get(id).map(|worker| worker.life.clone()) else {
+        let Some(incarnation) = self
+            .workers
+            .get(id)
+            .map(|worker| worker.incarnation.clone())
+        else {
             return;
         };
         let machine = self.machines[id].clone();
@@ -349,7 +355,7 @@
         let before = std::mem::replace(&mut worker.capacity, capacity);
         let capacities = self.former_capacities.entry(id.clone()).or_default();
         capacities.push((before, self.now));
-        let incarnation = worker.life.clone();
+        let incarnation = worker.incarnation.clone();
         let machine = self.machines[&id].clone();
         self.worker_entries
             .change(listing(&incarnation, &machine, capacity));
@@ -798,19 +804,21 @@
             return None;
         }
         let worker = self.workers.get_mut(id)?;
-        let dropped = worker.forgets(poll.ends_recorded);
+        let dropped = worker.forgettable_ends(poll.ends_recorded);
         let unread = dropped.filter(|name| !self.recorded_ends.contains_key(*name));
         let unread =
             unread.map(|name| format!("{id} dropped the end of {name:?} before any owner read it"));
         let unread: Vec<String> = unread.collect();
-        let reply = worker.look(target.fence, poll, self.now);
-        tracing::trace!(worker = %worker.life, fence = target.fence, look = ?poll, looked = ?reply, "simulation: poll answered");
+        let reply = worker.poll(target.fence, poll, self.now);
+        tracing::trace!(worker = %worker.incarnation, fence = target.fence, look = ?poll, looked = ?reply, "simulation: poll answered");
         if matches!(reply, PollReply::Report { .. }) {
             self.violations.extend(unread);
         }
         // A reply includes the worker's incarnation.
-        if worker.life != target.incarnation && matches!(reply, PollReply::Report { .. }) {
-            return Some(PollReply::OtherIncarnation(Some(worker.life.clone())));
+        if worker.incarnation != target.incarnation && matches!(reply, PollReply::Report { .. }) {
+            return Some(PollReply::OtherIncarnation(Some(
+                worker.incarnation.clone(),
+            )));
         }
         Some(reply)
     }
@@ -828,10 +836,10 @@
         }
         let (needs, duration) = self.needs_and_duration(order);
         let worker = self.workers.get_mut(id)?;
-        let intended = worker.began <= sent;
+        let intended = worker.started_at <= sent;
         let before = worker.runs.len();
         let reply = worker.order(target.fence, order, needs, duration, self.now);
-        tracing::trace!(worker = %worker.life, sent = sent.as_secs_f64(), meant = intended, prompt, fence = target.fence,
+        tracing::trace!(worker = %worker.incarnation, sent = sent.as_secs_f64(), meant = intended, prompt, fence = target.fence,
             ?order, said = ?reply, "simulation: order delivered");
         if worker.runs.len() > before
             && let Order::Start(start) = order
@@ -963,7 +971,7 @@
         let mut violations = Vec::new();
         for worker in self.workers.values_mut() {
             for (name, run) in worker.advance(now) {
-                tracing::trace!(worker = %worker.life, ?name, run, "simulation: task done");
+                tracing::trace!(worker = %worker.incarnation, ?name, run, "simulation: task done");
                 self.done.insert(name);
             }
             let mut late_here = "";
@@ -977,22 +985,22 @@
                     late_here = late;
                 }
                 let copies = self.jobs[&name.job].steps[usize::from(name.step)].speculative;
-                let id: Arc<str> = worker.life.id().into();
+                let id: Arc<str> = worker.incarnation.id().into();
                 if let Some((other, before)) = seen.insert(name.clone(), (id, late))
                     && !copies
                 {
                     violations.push(format!(
                         "{name:?} runs on {other}{before} and {}{late} at {now:?}",
-                        worker.life
+                        worker.incarnation
                     ));
                 }
             }
             // A reduced capacity does not end the runs that no longer fit.
-            let shrinks = self.former_capacities.contains_key(worker.life.id());
+            let shrinks = self.former_capacities.contains_key(worker.incarnation.id());
             if !shrinks && !worker.used().fits_within(&worker.capacity) {
                 violations.push(format!(
                     "{} exceeds its capacity with {}{late_here}",
-                    worker.life,
+                    worker.incarnation,
                     worker.used()
                 ));
             }
@@ -1044,7 +1052,7 @@
         let open = self
             .workers
             .values()
-            .map(|worker| worker.newest() - worker.seen());
+            .map(|worker| worker.last_end_number() - worker.last_acknowledged());
         open.sum()
     }
 
--- a/ashtiller/tests/workflow.rs
+++ b/ashtiller/tests/workflow.rs
@@ -13,7 +13,7 @@
 use ashtiller::workflow::message::{Reply, State};
 use ashtiller::workflow::record::Outcome;
 
-use simulation::worker::Weakness;
+use simulation::worker::DisabledSafeguards;
 use simulation::{Faults, Restarts, Simulation, trace};
 
 /// Number of seeds by default; `ASHTILLER_SEEDS` sets another one.
@@ -43,7 +43,7 @@
     capacity_steps: 0,
     evacuation_steps: 0,
     restarts: None,
-    weakness: Weakness {
+    weakness: DisabledSafeguards {
         fences: false,
         leases: false,
     },
@@ -359,7 +359,7 @@
         capacity_steps: 0,
         evacuation_steps: 0,
         restarts: None,
-        weakness: Weakness::default(),
+        weakness: DisabledSafeguards::default(),
     };
     let mut simulation = Simulation::new(7, no_faults);
     for number in 0..10 {
@@ -383,7 +383,7 @@
 
 /// Returns whether two of 300 seeds violate an invariant without a safeguard. One in fifty does (12
 /// of 600 seeds), so that one violation in 60 seeds would depend on chance.
-fn is_detected(weakness: Weakness) -> bool {
+fn is_detected(weakness: DisabledSafeguards) -> bool {
     let faults = Faults {
         weakness,
         ..BASE_FAULTS
@@ -394,7 +394,7 @@
 
 #[test]
 fn the_checks_detect_workers_that_ignore_leases() {
-    let weakness = Weakness {
+    let weakness = DisabledSafeguards {
         fences: false,
         leases: true,
     };
