--- a/ashtiller/src/request/balance.rs
+++ b/ashtiller/src/request/balance.rs
@@ -1,4 +1,4 @@
-//! Ways to choose an endpoint for a request.
+//! Routing policies, which choose an endpoint for a request.
 //!
 //! `docs/DESIGN.md` compares them by measurement and says why `dealt` is the
 //! default.
@@ -11,22 +11,22 @@
 
 use crate::endpoint::Endpoint;
 
-/// Draws before a two-choice policy looks at every endpoint.
+/// Random draws before a policy examines every endpoint.
 const DRAWS: usize = 8;
-/// Age beyond which a reported load says nothing.
-const LOAD_AGE: Duration = Duration::from_secs(1);
+/// Age at which a reported load is ignored.
+const LOAD_AGE_MAX: Duration = Duration::from_secs(1);
 
-/// The policies by name.
+/// The built-in policies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Any endpoint, evenly.
+    /// Random choice with equal probability.
     Random,
-    /// The less loaded of two by this gateway's own requests in flight.
+    /// Power of two choices, by this gateway's own requests in flight.
     LeastOwn,
-    /// The less loaded of two by the load from their answers.
+    /// Power of two choices, by the load that endpoints report in their responses.
     LeastReported,
-    /// A free slot among those dealt to this gateway or borrowed.
+    /// A free slot among those allocated to this gateway or borrowed by it.
     Dealt,
 }
 
@@ -38,10 +38,11 @@
     ("dealt", Kind::Dealt),
 ];
 
-/// A way to choose an endpoint.
+/// A routing policy.
 pub trait RoutingPolicy: Send {
-    /// Returns the position of the endpoint for a request at `now`, or `None` when
-    /// the request must wait. `avoid` names one that just failed the request.
+    /// Returns the index of the endpoint for a request at `now`, or `None` when the
+    /// request must wait. `avoid` is the id of an endpoint that just failed the request,
+    /// `connections` the largest number of requests of this gateway at one endpoint.
     fn choose(
         &mut self,
         endpoints: &[Endpoint],
@@ -51,22 +52,22 @@
     ) -> Option<usize>;
 }
 
-/// Builds a policy; `seed` makes its draws repeatable.
+/// Creates a policy; `seed` makes its random choices repeatable.
 #[must_use]
 pub fn build(kind: Kind, seed: u64) -> Box<dyn RoutingPolicy> {
     let rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     match kind {
         Kind::Random => Box::new(Random { rng }),
-        Kind::LeastOwn => Box::new(LeastOfTwo {
+        Kind::LeastOwn => Box::new(PowerOfTwo {
             rng,
             cost: own_cost,
         }),
-        Kind::LeastReported => Box::new(LeastOfTwo {
+        Kind::LeastReported => Box::new(PowerOfTwo {
             rng,
             cost: reported_cost,
         }),
-        Kind::Dealt => Box::new(Dealt {
-            spill: LeastOfTwo {
+        Kind::Dealt => Box::new(Allocated {
+            overcommit: PowerOfTwo {
                 rng,
                 cost: own_cost,
             },
@@ -90,12 +91,12 @@
     }
 }
 
-struct LeastOfTwo {
+struct PowerOfTwo {
     rng: Pcg64Mcg,
     cost: fn(&Endpoint, Duration) -> u32,
 }
 
-impl RoutingPolicy for LeastOfTwo {
+impl RoutingPolicy for PowerOfTwo {
     fn choose(
         &mut self,
         endpoints: &[Endpoint],
@@ -103,10 +104,14 @@
         connections: u32,
         now: Duration,
     ) -> Option<usize> {
-        let one = draw(&mut self.rng, endpoints, avoid, connections)?;
-        let two = draw(&mut self.rng, endpoints, avoid, connections)?;
+        let first = draw(&mut self.rng, endpoints, avoid, connections)?;
+        let second = draw(&mut self.rng, endpoints, avoid, connections)?;
         let cost = |index: usize| (self.cost)(&endpoints[index], now);
-        Some(if cost(two) < cost(one) { two } else { one })
+        Some(if cost(second) < cost(first) {
+            second
+        } else {
+            first
+        })
     }
 }
 
@@ -117,20 +122,20 @@
 fn reported_cost(endpoint: &Endpoint, now: Duration) -> u32 {
     let fresh = endpoint
         .reported_load
-        .filter(|(_, at)| now.saturating_sub(*at) <= LOAD_AGE);
+        .filter(|(_, at)| now.saturating_sub(*at) <= LOAD_AGE_MAX);
     fresh.map_or(endpoint.in_flight, |(load, _)| load.max(endpoint.in_flight))
 }
 
-/// Requests beyond this gateway's slots that may be in flight, as a divisor of its
-/// slots. They bridge a short swing of the load at the price of a short wait at an
-/// endpoint; what lasts is borrowed.
-const SPILL: u32 = 8;
+/// Divisor of the gateway's slots that gives the number of requests in flight allowed
+/// beyond them. They absorb short load peaks at the price of a short wait at an
+/// endpoint; a lasting shortage is covered by borrowed slots.
+const OVERCOMMIT_DIVISOR: u32 = 8;
 
-struct Dealt {
-    spill: LeastOfTwo,
+struct Allocated {
+    overcommit: PowerOfTwo,
 }
 
-impl RoutingPolicy for Dealt {
+impl RoutingPolicy for Allocated {
     fn choose(
         &mut self,
         endpoints: &[Endpoint],
@@ -138,9 +143,9 @@
         connections: u32,
         now: Duration,
     ) -> Option<usize> {
-        let rested = longest_rested(endpoints, avoid, connections, now);
-        if rested.is_some() {
-            return rested;
+        let free = least_recently_used(endpoints, avoid, connections, now);
+        if free.is_some() {
+            return free;
         }
         let (in_flight, usable) = endpoints
             .iter()
@@ -150,30 +155,31 @@
                     usable + endpoint.slots.usable(now),
                 )
             });
-        let room = in_flight < usable + usable / SPILL;
-        if room {
-            self.spill.choose(endpoints, avoid, connections, now)
+        let may_overcommit = in_flight < usable + usable / OVERCOMMIT_DIVISOR;
+        if may_overcommit {
+            self.overcommit.choose(endpoints, avoid, connections, now)
         } else {
             None
         }
     }
 }
 
-/// Among endpoints with a free slot, the one that rested longest: an endpoint that
-/// answers at great speed gains no more requests than its peers.
-fn longest_rested(
+/// Returns, among the endpoints with a free slot, the one that has received no request
+/// for the longest time. So an endpoint that responds very fast gets no more requests
+/// than its peers.
+fn least_recently_used(
     endpoints: &[Endpoint],
     avoid: Option<u64>,
     connections: u32,
     now: Duration,
 ) -> Option<usize> {
-    let free = |endpoint: &Endpoint| {
+    let is_free = |endpoint: &Endpoint| {
         Some(endpoint.id) != avoid && endpoint.accepts(connections) && endpoint.free_slots(now) > 0
     };
     let candidates = endpoints
         .iter()
         .enumerate()
-        .filter(|(_, endpoint)| free(endpoint));
+        .filter(|(_, endpoint)| is_free(endpoint));
     candidates
         .min_by_key(|(_, endpoint)| endpoint.last_started)
         .map(|(index, _)| index)
@@ -185,23 +191,24 @@
     avoid: Option<u64>,
     connections: u32,
 ) -> Option<usize> {
-    let fits = |endpoint: &Endpoint| Some(endpoint.id) != avoid && endpoint.accepts(connections);
+    let eligible =
+        |endpoint: &Endpoint| Some(endpoint.id) != avoid && endpoint.accepts(connections);
     if endpoints.is_empty() {
         return None;
     }
     for _ in 0..DRAWS {
         let index = rng.random_range(0..endpoints.len());
-        if fits(&endpoints[index]) {
+        if eligible(&endpoints[index]) {
             return Some(index);
         }
     }
-    let left: Vec<usize> = (0..endpoints.len())
-        .filter(|&index| fits(&endpoints[index]))
+    let candidates: Vec<usize> = (0..endpoints.len())
+        .filter(|&index| eligible(&endpoints[index]))
         .collect();
-    if left.is_empty() {
+    if candidates.is_empty() {
         return endpoints
             .iter()
             .position(|endpoint| endpoint.accepts(connections));
     }
-    Some(left[rng.random_range(0..left.len())])
+    Some(candidates[rng.random_range(0..candidates.len())])
 }
--- a/ashtiller/src/request/claims.rs
+++ b/ashtiller/src/request/claims.rs
@@ -1,11 +1,10 @@
 //! Idempotency keys, claimed in the store before a request is sent.
 //!
-//! A claim is a key that is created if absent, so whichever gateway comes first
-//! wins and no agreement between gateways is needed. Claims are written in
-//! groups, and the number of groups a second is limited: a claim that comes
-//! alone is written at once. Keys live in periods; a claim checks the periods
-//! before and after its own, so that a key claimed near a boundary, by gateways
-//! whose clocks differ, is still claimed once.
+//! A claim creates a key if it is absent, so the first gateway wins and gateways need
+//! no agreement among themselves. Claims are written in batches at a limited rate; a
+//! single claim is written at once. Keys are stored by period. A claim also checks the
+//! periods before and after its own, so that a key claimed near a boundary by gateways
+//! whose clocks differ is still claimed only once.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -24,16 +23,17 @@
 pub const PREFIX: &str = "ashtiller/claims/";
 /// Length of a period.
 const PERIOD: Duration = Duration::from_hours(12);
-/// Claims in one group; each takes three steps of a transaction of 64.
-const GROUP_MAX: usize = 21;
-/// Claims that may wait to be written.
-const BACKLOG: usize = 4096;
-/// Time for which a claim that was not used is tried to be taken back.
-const UNDO_TRIES: u32 = 60;
-/// Tries after which an absent key counts as taken back.
-const UNDO_LATE: u32 = 5;
-/// Pause between such tries.
-const UNDO_PAUSE: Duration = Duration::from_secs(1);
+/// Claims in one batch. Each takes three operations, and a transaction of the store
+/// has at most 64.
+const BATCH_MAX: usize = 21;
+/// Claims that may be queued for writing.
+const QUEUE_MAX: usize = 4096;
+/// Attempts to release a claim whose request was not sent.
+const RELEASE_ATTEMPTS: u32 = 60;
+/// Attempts after which an absent key counts as released.
+const RELEASE_ABSENT_AFTER: u32 = 5;
+/// Pause between attempts to release a claim.
+const RELEASE_PAUSE: Duration = Duration::from_secs(1);
 
 /// A key to claim.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -42,26 +42,26 @@
     pub account: Arc<str>,
     /// Hash of the caller's key.
     pub key: u128,
-    /// Number that no other claim has.
+    /// Number unique to this claim, which shows who created the key.
     pub nonce: u64,
 }
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Clone, Debug)]
 pub enum ClaimResult {
-    /// This request may be sent.
+    /// The key in the store is created; the request may be sent.
     Acquired(Box<str>),
     /// An earlier request has the key.
     AlreadyClaimed,
-    /// The store could not be asked; nothing may be sent.
+    /// The store gave no definite answer; the request must not be sent.
     Refused(Failure),
 }
 
-type Asked = (Claim, oneshot::Sender<ClaimResult>);
+type PendingClaim = (Claim, oneshot::Sender<ClaimResult>);
 
-/// A running group writer.
+/// Handle of the task that writes claims in batches.
 pub struct ClaimWriter {
-    sender: mpsc::Sender<Asked>,
+    sender: mpsc::Sender<PendingClaim>,
     writer: JoinHandle<()>,
     store: Arc<dyn Store>,
 }
@@ -72,11 +72,11 @@
     }
 }
 
-/// Starts a writer that writes at most `rate` groups a second.
+/// Starts a task that writes at most `rate` batches per second.
 #[must_use]
 pub fn spawn(store: Arc<dyn Store>, rate: u32) -> ClaimWriter {
-    let (sender, receiver) = mpsc::channel(BACKLOG);
-    let writer = tokio::spawn(write_groups(store.clone(), receiver, rate));
+    let (sender, receiver) = mpsc::channel(QUEUE_MAX);
+    let writer = tokio::spawn(write_batches(store.clone(), receiver, rate));
     ClaimWriter {
         sender,
         writer,
@@ -87,49 +87,53 @@
 impl ClaimWriter {
     /// Claims a key and waits for the result.
     pub async fn claim(&self, claim: Claim) -> ClaimResult {
-        let (asked, answer) = oneshot::channel();
-        if self.sender.try_send((claim, asked)).is_err() {
+        let (reply, receiver) = oneshot::channel();
+        if self.sender.try_send((claim, reply)).is_err() {
             return ClaimResult::Refused(Failure::no_effect(
                 "claim",
                 "store",
-                "too many claims wait",
+                "the queue of claims is full",
             ));
         }
-        let gone =
+        let stopped =
             |_| ClaimResult::Refused(Failure::no_effect("claim", "store", "the writer stopped"));
-        answer.await.unwrap_or_else(gone)
+        receiver.await.unwrap_or_else(stopped)
     }
 
-    /// Takes back a claim whose request was not sent, so that the caller may repeat
-    /// it. Goes on in the background while the store is down.
+    /// Releases a claim whose request was not sent, so that the caller may repeat it.
+    /// Runs in the background and retries for a minute if the store is unavailable.
     pub fn release(&self, key: Box<str>, claim: &Claim) {
-        tokio::spawn(take_back(self.store.clone(), key, claim.nonce));
+        tokio::spawn(release_key(self.store.clone(), key, claim.nonce));
     }
 }
 
-async fn write_groups(store: Arc<dyn Store>, mut receiver: mpsc::Receiver<Asked>, rate: u32) {
-    let mut bucket = Bucket::new(rate);
-    let mut group = Vec::new();
-    while receiver.recv_many(&mut group, GROUP_MAX).await > 0 {
+async fn write_batches(
+    store: Arc<dyn Store>,
+    mut receiver: mpsc::Receiver<PendingClaim>,
+    rate: u32,
+) {
+    let mut bucket = TokenBucket::new(rate);
+    let mut batch = Vec::new();
+    while receiver.recv_many(&mut batch, BATCH_MAX).await > 0 {
         bucket.take().await;
-        // What arrived during the pause joins the group.
-        while group.len() < GROUP_MAX {
-            let Ok(asked) = receiver.try_recv() else {
+        // Claims that arrived during the pause join the batch.
+        while batch.len() < BATCH_MAX {
+            let Ok(claim) = receiver.try_recv() else {
                 break;
             };
-            group.push(asked);
+            batch.push(claim);
         }
-        tokio::spawn(write_group(store.clone(), std::mem::take(&mut group)));
+        tokio::spawn(write_batch(store.clone(), std::mem::take(&mut batch)));
     }
 }
 
-struct Bucket {
+struct TokenBucket {
     rate: f64,
     tokens: f64,
     last: time::Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: u32) -> Self {
         Self {
             rate: rate.into(),
@@ -152,36 +156,36 @@
     }
 }
 
-async fn write_group(store: Arc<dyn Store>, group: Vec<Asked>) {
-    // Two requests with one key in one group: the first is claimed.
-    let mut pending: BTreeMap<(Arc<str>, u128), Asked> = BTreeMap::new();
-    for (claim, asked) in group {
+async fn write_batch(store: Arc<dyn Store>, batch: Vec<PendingClaim>) {
+    // Of two requests with the same key in one batch, the first gets the claim.
+    let mut pending: BTreeMap<(Arc<str>, u128), PendingClaim> = BTreeMap::new();
+    for (claim, reply) in batch {
         let name = (claim.account.clone(), claim.key);
         match pending.entry(name) {
             Entry::Occupied(_) => {
-                let _ = asked.send(ClaimResult::AlreadyClaimed);
+                let _ = reply.send(ClaimResult::AlreadyClaimed);
             }
-            Entry::Vacant(place) => {
-                place.insert((claim, asked));
+            Entry::Vacant(vacant) => {
+                vacant.insert((claim, reply));
             }
         }
     }
-    let mut pending: Vec<Asked> = pending.into_values().collect();
+    let mut pending: Vec<PendingClaim> = pending.into_values().collect();
     let period = now_period();
     while !pending.is_empty() {
         let writes: Vec<Write> = pending
             .iter()
-            .flat_map(|(claim, _)| steps_of(claim, period))
+            .flat_map(|(claim, _)| writes_for(claim, period))
             .collect();
         match store.commit(&writes).await {
-            Ok(Commit::Done) => return tell_ours(&store, pending, period),
-            Ok(Commit::Conflict(positions)) => pending = drop_taken(pending, &positions),
+            Ok(Commit::Done) => return report_acquired(&store, pending, period),
+            Ok(Commit::Conflict(positions)) => pending = reject_claimed(pending, &positions),
             Err(failure) => return resolve(&*store, pending, period, &failure).await,
         }
     }
 }
 
-fn steps_of(claim: &Claim, period: u64) -> [Write; 3] {
+fn writes_for(claim: &Claim, period: u64) -> [Write; 3] {
     let value = Bytes::from(claim.nonce.to_string());
     [
         Write::CompareAndSwap {
@@ -202,31 +206,32 @@
     format!("{PREFIX}{period}/{}/{:032x}", claim.account, claim.key)
 }
 
-fn tell_ours(store: &Arc<dyn Store>, pending: Vec<Asked>, period: u64) {
-    for (claim, asked) in pending {
+fn report_acquired(store: &Arc<dyn Store>, pending: Vec<PendingClaim>, period: u64) {
+    for (claim, reply) in pending {
         let key: Box<str> = key_of(&claim, period).into();
-        if asked.send(ClaimResult::Acquired(key.clone())).is_err() {
-            // The request is gone; it was not sent.
-            tokio::spawn(take_back(store.clone(), key, claim.nonce));
+        if reply.send(ClaimResult::Acquired(key.clone())).is_err() {
+            // The request was cancelled before it was sent.
+            tokio::spawn(release_key(store.clone(), key, claim.nonce));
         }
     }
 }
 
-fn drop_taken(pending: Vec<Asked>, positions: &[usize]) -> Vec<Asked> {
-    let mut left = Vec::new();
-    for (index, (claim, asked)) in pending.into_iter().enumerate() {
+fn reject_claimed(pending: Vec<PendingClaim>, positions: &[usize]) -> Vec<PendingClaim> {
+    let mut remaining = Vec::new();
+    for (index, (claim, reply)) in pending.into_iter().enumerate() {
         if positions.iter().any(|position| position / 3 == index) {
-            let _ = asked.send(ClaimResult::AlreadyClaimed);
+            let _ = reply.send(ClaimResult::AlreadyClaimed);
         } else {
-            left.push((claim, asked));
+            remaining.push((claim, reply));
         }
     }
-    left
+    remaining
 }
 
-/// After a lost answer each key is read back; what cannot be read is refused.
-async fn resolve(store: &dyn Store, pending: Vec<Asked>, period: u64, failure: &Failure) {
-    for (claim, asked) in pending {
+/// Resolves claims after a failed write. If the write may have taken effect, each key
+/// is read back; a claim that can't be confirmed is refused.
+async fn resolve(store: &dyn Store, pending: Vec<PendingClaim>, period: u64, failure: &Failure) {
+    for (claim, reply) in pending {
         let key = key_of(&claim, period);
         let found = match failure.effect {
             RemoteEffect::None => Err(failure.clone()),
@@ -240,18 +245,18 @@
             Ok(None) => ClaimResult::Refused(failure.clone()),
             Err(failure) => ClaimResult::Refused(failure),
         };
-        let _ = asked.send(claimed);
+        let _ = reply.send(claimed);
     }
 }
 
-/// The key of a refused claim in the current period, to be undone.
+/// Returns the store key of a claim in the current period, to release a refused claim.
 #[must_use]
 pub fn current_key(claim: &Claim) -> Box<str> {
     key_of(claim, now_period()).into()
 }
 
-async fn take_back(store: Arc<dyn Store>, key: Box<str>, nonce: u64) {
-    for tries in 0..UNDO_TRIES {
+async fn release_key(store: Arc<dyn Store>, key: Box<str>, nonce: u64) {
+    for attempt in 0..RELEASE_ATTEMPTS {
         match store.get(&key).await {
             Ok(Some(item)) if item.value == nonce.to_string() => {
                 if store.remove(&key, item.index).await.is_ok() {
@@ -259,17 +264,17 @@
                 }
             }
             Ok(Some(_)) => return,
-            // A write whose answer was lost may still arrive.
-            Ok(None) if tries >= UNDO_LATE => return,
+            // A write without a response may still take effect.
+            Ok(None) if attempt >= RELEASE_ABSENT_AFTER => return,
             Ok(None) | Err(_) => {}
         }
-        time::sleep(UNDO_PAUSE).await;
+        time::sleep(RELEASE_PAUSE).await;
     }
 }
 
 fn now_period() -> u64 {
-    let since = SystemTime::now()
+    let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    since.as_secs() / PERIOD.as_secs()
+    elapsed.as_secs() / PERIOD.as_secs()
 }
--- a/ashtiller/src/request/dispatch.rs
+++ b/ashtiller/src/request/dispatch.rs
@@ -1,8 +1,8 @@
 //! Admission and routing of one service in one gateway, as a state machine.
 //!
 //! [`Dispatch`] has no clock, socket or task: each call takes the time since the
-//! gateway's start and returns what to do next. The same code runs in the
-//! gateway, in replays and in golden sessions.
+//! gateway's start and returns the next action. The gateway, trace replays and
+//! snapshot tests run the same code.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,23 +14,23 @@
 use crate::rendezvous;
 use crate::request_queue::{AdmissionRequest, RequestQueue};
 
-/// Weight of a new service time in the running mean.
-const WEIGHT: f64 = 0.02;
+/// Weight of a new sample in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.02;
 /// Service time assumed before the first sample, in seconds.
-const FIRST_GUESS: f64 = 0.01;
-/// Shortest time after which a refused caller is asked to come back.
-const AFTER_MIN: Duration = Duration::from_millis(100);
-/// Longest such time.
-const AFTER_MAX: Duration = Duration::from_secs(30);
+const INITIAL_SERVICE_SECONDS: f64 = 0.01;
+/// Shortest time after which a refused caller is told to retry.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
+/// Longest time after which a refused caller is told to retry.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
-/// What to do with a request.
+/// Result of asking for a slot.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// Send it to this endpoint now.
+    /// The request goes to the endpoint with this id now.
     Send(u64),
-    /// It waits; [`Dispatch::assign`] will name it.
+    /// The request is queued; [`Dispatch::assign`] returns it once it has an endpoint.
     Wait,
-    /// Answer it at once: it was not run.
+    /// The request is answered at once and was not run.
     Refuse(Refusal),
 }
 
@@ -39,34 +39,34 @@
 pub enum RefusalCause {
     /// The account's queue is full.
     QueueFull,
-    /// The wait would pass the deadline.
+    /// The expected wait ends after the deadline.
     TooLate,
-    /// The service has no endpoint that takes requests.
+    /// The service has no live endpoint.
     NoEndpoint,
 }
 
-/// A refusal and when to come back.
+/// A refusal and when to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub cause: RefusalCause,
-    /// When the backlog should be gone.
+    /// Expected time until the backlog is processed.
     pub retry_after: Duration,
 }
 
 /// Settings of a [`Dispatch`].
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most connections from this gateway to one endpoint.
+    /// Largest number of connections from this gateway to one endpoint.
     pub max_connections: u32,
-    /// Largest share of the endpoints that may be ejected.
+    /// Largest share of the endpoints that may be ejected, from 0 to 1.
     pub max_ejected_share: f64,
 }
 
-/// Counts of the endpoints, for metrics and the dump.
+/// Endpoints by state, and their slots and requests, for metrics and `/dump`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EndpointCounts {
-    /// Endpoints that take requests.
+    /// Endpoints that accept requests.
     pub live: u32,
     /// Endpoints that are leaving.
     pub leaving: u32,
@@ -78,55 +78,55 @@
     pub lent: u32,
     /// Slots borrowed from other gateways.
     pub borrowed: u32,
-    /// Slots dealt to this gateway.
+    /// Slots allocated to this gateway.
     pub allocated: u32,
 }
 
 /// Admission and routing of one service.
 pub struct Dispatch {
     pub(crate) endpoints: Vec<Endpoint>,
-    pub(crate) places: BTreeMap<u64, usize>,
-    pub(crate) line: RequestQueue,
-    pub(crate) flying: BTreeMap<Arc<str>, u32>,
-    pub(crate) balance: Box<dyn RoutingPolicy>,
+    pub(crate) index_by_id: BTreeMap<u64, usize>,
+    pub(crate) queue: RequestQueue,
+    pub(crate) in_flight_by_account: BTreeMap<Arc<str>, u32>,
+    pub(crate) policy: Box<dyn RoutingPolicy>,
     pub(crate) limits: Limits,
-    pub(crate) service_time: f64,
+    pub(crate) mean_service_seconds: f64,
     pub(crate) in_flight: u32,
-    pub(crate) peak: u32,
+    pub(crate) peak_demand: u32,
 }
 
 impl Dispatch {
-    /// A service without endpoints.
+    /// Creates a service without endpoints.
     #[must_use]
-    pub fn new(balance: Box<dyn RoutingPolicy>, limits: Limits) -> Self {
+    pub fn new(policy: Box<dyn RoutingPolicy>, limits: Limits) -> Self {
         Self {
             endpoints: Vec::new(),
-            places: BTreeMap::new(),
-            line: RequestQueue::default(),
-            flying: BTreeMap::new(),
-            balance,
+            index_by_id: BTreeMap::new(),
+            queue: RequestQueue::default(),
+            in_flight_by_account: BTreeMap::new(),
+            policy,
             limits,
-            service_time: FIRST_GUESS,
+            mean_service_seconds: INITIAL_SERVICE_SECONDS,
             in_flight: 0,
-            peak: 0,
+            peak_demand: 0,
         }
     }
 
-    /// The endpoints as this gateway sees them.
+    /// Returns the endpoints as this gateway sees them.
     #[must_use]
     pub fn endpoints(&self) -> &[Endpoint] {
         &self.endpoints
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.line.len()
+        self.queue.len()
     }
 
-    /// Takes the platform's list. An endpoint that has gone from it is treated as
-    /// leaving until its last request ends; leaving is never taken back by a list
-    /// that still shows it live.
+    /// Applies the platform's list. An endpoint that is no longer listed counts as
+    /// leaving until its last request ends. An endpoint that is leaving stays so, even
+    /// when a later list shows it live.
     pub fn update_listings(&mut self, listings: &[Listing]) {
         for endpoint in &mut self.endpoints {
             let listed = listings
@@ -134,9 +134,9 @@
                 .find(|listing| listing.name == endpoint.listing.name);
             match listed {
                 Some(listing) if listing.address == endpoint.listing.address => {
-                    let was = endpoint.listing.phase;
+                    let previous = endpoint.listing.phase;
                     endpoint.listing = listing.clone();
-                    if was == Phase::Leaving {
+                    if previous == Phase::Leaving {
                         endpoint.listing.phase = Phase::Leaving;
                     }
                 }
@@ -144,60 +144,61 @@
             }
         }
         self.endpoints.retain(|endpoint| {
-            let gone = endpoint.listing.phase == Phase::Leaving
+            let removable = endpoint.listing.phase == Phase::Leaving
                 && !listings.iter().any(|listing| {
                     listing.name == endpoint.listing.name
                         && listing.address == endpoint.listing.address
                 });
-            !gone || endpoint.in_flight > 0
+            !removable || endpoint.in_flight > 0
         });
         for listing in listings {
             let known = |endpoint: &Endpoint| {
                 endpoint.listing.name == listing.name && endpoint.listing.address == listing.address
             };
             if !self.endpoints.iter().any(known) {
-                self.add(listing.clone());
+                self.add_endpoint(listing.clone());
             }
         }
-        self.index();
+        self.rebuild_index();
     }
 
-    fn add(&mut self, listing: Listing) {
+    fn add_endpoint(&mut self, listing: Listing) {
         let mut endpoint = Endpoint::new(listing);
-        // Two lives of one name at two addresses need two numbers.
+        // Two incarnations of one name at two addresses need different ids.
         while self.endpoints.iter().any(|other| other.id == endpoint.id) {
             endpoint.id = endpoint.id.wrapping_add(1);
         }
         self.endpoints.push(endpoint);
     }
 
-    fn index(&mut self) {
-        self.places = self
+    fn rebuild_index(&mut self) {
+        self.index_by_id = self
             .endpoints
             .iter()
             .enumerate()
-            .map(|(place, endpoint)| (endpoint.id, place))
+            .map(|(index, endpoint)| (endpoint.id, index))
             .collect();
     }
 
-    /// Deals every endpoint's slots among the gateways; `own` is this one.
+    /// Divides the slots of every endpoint among the gateways; `own` is this one.
+    /// Rendezvous hashing decides which gateways get the slots that are left over.
     pub fn allocate_slots(&mut self, gateways: &[Arc<str>], own: &str) {
         for endpoint in &mut self.endpoints {
             let ranked = rendezvous::rank(&endpoint.listing.name, gateways);
-            let Some(place) = ranked.iter().position(|name| &**name == own) else {
+            let Some(index) = ranked.iter().position(|name| &**name == own) else {
                 endpoint.slots.set_allocated(0);
                 continue;
             };
-            let (place, count) = (count_of(place), count_of(ranked.len()));
+            let (index, count) = (count_of(index), count_of(ranked.len()));
             let slots = endpoint.listing.slots;
             endpoint
                 .slots
-                .set_allocated(slots / count + u32::from(place < slots % count));
+                .set_allocated(slots / count + u32::from(index < slots % count));
         }
     }
 
-    /// A request asks for a slot.
-    pub fn admit(&mut self, ticket: AdmissionRequest, now: Duration) -> Admission {
+    /// Assigns a slot to a request, queues it or refuses it.
+    pub fn admit(&mut self, request: AdmissionRequest, now: Duration) -> Admission {
         if !self
             .endpoints
             .iter()
@@ -205,131 +206,139 @@
         {
             return Admission::Refuse(Refusal {
                 cause: RefusalCause::NoEndpoint,
-                retry_after: AFTER_MIN * 10,
+                retry_after: RETRY_AFTER_MIN * 10,
             });
         }
-        let first = self.line.is_empty() && may_fly(&self.flying, &ticket);
-        if let Some(id) = first.then(|| self.begin(&ticket, now)).flatten() {
+        let immediate =
+            self.queue.is_empty() && is_below_limit(&self.in_flight_by_account, &request);
+        if let Some(id) = immediate.then(|| self.start(&request, now)).flatten() {
             return Admission::Send(id);
         }
-        let wait = self.estimate(&ticket);
-        if self.line.waiting(&ticket.account) >= ticket.max_queued as usize {
-            return Admission::Refuse(refuse(RefusalCause::QueueFull, wait));
+        let wait = self.expected_latency(&request);
+        if self.queue.waiting(&request.account) >= request.max_queued as usize {
+            return Admission::Refuse(refusal(RefusalCause::QueueFull, wait));
         }
-        if now + wait >= ticket.deadline {
-            return Admission::Refuse(refuse(RefusalCause::TooLate, wait));
+        if now + wait >= request.deadline {
+            return Admission::Refuse(refusal(RefusalCause::TooLate, wait));
         }
-        self.line.push(ticket);
-        self.note_peak();
+        self.queue.push(request);
+        self.update_peak();
         Admission::Wait
     }
 
-    fn begin(&mut self, ticket: &AdmissionRequest, now: Duration) -> Option<u64> {
+    fn start(&mut self, request: &AdmissionRequest, now: Duration) -> Option<u64> {
         let connections = self.limits.max_connections;
-        let place = self
-            .balance
-            .choose(&self.endpoints, ticket.avoid, connections, now)?;
-        let endpoint = &mut self.endpoints[place];
+        let index = self
+            .policy
+            .choose(&self.endpoints, request.avoid, connections, now)?;
+        let endpoint = &mut self.endpoints[index];
         endpoint.in_flight += 1;
         endpoint.last_started = now;
         let id = endpoint.id;
-        *self.flying.entry(ticket.account.clone()).or_default() += 1;
+        *self
+            .in_flight_by_account
+            .entry(request.account.clone())
+            .or_default() += 1;
         self.in_flight += 1;
-        self.note_peak();
+        self.update_peak();
         Some(id)
     }
 
-    fn note_peak(&mut self) {
-        self.peak = self.peak.max(self.in_flight + count_of(self.line.len()));
+    fn update_peak(&mut self) {
+        self.peak_demand = self
+            .peak_demand
+            .max(self.in_flight + count_of(self.queue.len()));
     }
 
-    /// Expected time until a new request would have its answer.
-    fn estimate(&self, ticket: &AdmissionRequest) -> Duration {
+    /// Estimates the time until a new request has its response.
+    fn expected_latency(&self, request: &AdmissionRequest) -> Duration {
         let slots: u32 = self
             .endpoints
             .iter()
             .filter(|endpoint| endpoint.accepts(u32::MAX))
             .map(|endpoint| endpoint.slots.allocated().max(1))
             .sum();
-        let ahead = u32::try_from(self.line.requests_ahead(&ticket.account, ticket.class))
+        let ahead = u32::try_from(self.queue.requests_ahead(&request.account, request.class))
             .unwrap_or(u32::MAX);
-        let turns = 1.0 + f64::from(ahead) / f64::from(slots.max(1));
-        Duration::from_secs_f64((self.service_time * turns).min(3600.0))
+        let rounds = 1.0 + f64::from(ahead) / f64::from(slots.max(1));
+        Duration::from_secs_f64((self.mean_service_seconds * rounds).min(3600.0))
     }
 
-    /// Names waiting requests that now have an endpoint.
+    /// Assigns endpoints to queued requests. Returns pairs of request and endpoint id.
     pub fn assign(&mut self, now: Duration) -> Vec<(u64, u64)> {
         let mut assigned = Vec::new();
-        while !self.line.is_empty() {
+        while !self.queue.is_empty() {
             let connections = self.limits.max_connections;
             if self
-                .balance
+                .policy
                 .choose(&self.endpoints, None, connections, now)
                 .is_none()
             {
                 break;
             }
-            let flying = &self.flying;
-            let may = |ticket: &AdmissionRequest| {
-                flying.get(&ticket.account).copied().unwrap_or(0) < ticket.max_in_flight
+            let in_flight = &self.in_flight_by_account;
+            let may_start = |request: &AdmissionRequest| {
+                in_flight.get(&request.account).copied().unwrap_or(0) < request.max_in_flight
             };
-            let Some(ticket) = self.line.pop(&may) else {
+            let Some(request) = self.queue.pop(&may_start) else {
                 break;
             };
-            if let Some(endpoint) = self.begin(&ticket, now) {
-                assigned.push((ticket.id, endpoint));
+            if let Some(endpoint) = self.start(&request, now) {
+                assigned.push((request.id, endpoint));
             } else {
-                self.line.push(ticket);
+                self.queue.push(request);
                 break;
             }
         }
         assigned
     }
 
-    /// A waiting request gives up; false when it was assigned already.
+    /// Removes a queued request whose caller gave up. Returns false if it already has
+    /// an endpoint.
     pub fn cancel(&mut self, account: &Arc<str>, id: u64) -> bool {
-        self.line.remove(account, id)
+        self.queue.remove(account, id)
     }
 
-    /// A request at an endpoint has ended.
-    pub fn finish(&mut self, account: &Arc<str>, id: u64, sample: RequestResult, now: Duration) {
+    /// Records the end of a request at an endpoint and frees its slot.
+    pub fn finish(&mut self, account: &Arc<str>, id: u64, result: RequestResult, now: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Some(flying) = self.flying.get_mut(account) {
-            *flying -= 1;
-            if *flying == 0 {
-                self.flying.remove(account);
+        if let Some(in_flight) = self.in_flight_by_account.get_mut(account) {
+            *in_flight -= 1;
+            if *in_flight == 0 {
+                self.in_flight_by_account.remove(account);
             }
         }
-        if let RequestResult::Success(time) = sample {
-            self.service_time += WEIGHT * (time.as_secs_f64() - self.service_time);
+        if let RequestResult::Success(time) = result {
+            self.mean_service_seconds +=
+                SERVICE_TIME_WEIGHT * (time.as_secs_f64() - self.mean_service_seconds);
         }
-        let Some(&place) = self.places.get(&id) else {
+        let Some(&index) = self.index_by_id.get(&id) else {
             return;
         };
-        self.endpoints[place].in_flight = self.endpoints[place].in_flight.saturating_sub(1);
-        self.endpoints[place].health.record(sample);
-        self.judge(place, now);
+        self.endpoints[index].in_flight = self.endpoints[index].in_flight.saturating_sub(1);
+        self.endpoints[index].health.record(result);
+        self.check_health(index, now);
     }
 
-    fn judge(&mut self, place: usize, now: Duration) {
-        let endpoint = &self.endpoints[place];
+    fn check_health(&mut self, index: usize, now: Duration) {
+        let endpoint = &self.endpoints[index];
         if endpoint.health.is_ejected() {
             return;
         }
         let peers = self.endpoints.iter().enumerate();
         let peers = peers
-            .filter(|(other, _)| *other != place)
+            .filter(|(other, _)| *other != index)
             .map(|(_, peer)| &peer.health);
         let EjectionDecision::Eject(reason) = health::evaluate(&endpoint.health, peers) else {
             return;
         };
         if self.may_eject() {
-            self.endpoints[place].health.eject(reason, now);
+            self.endpoints[index].health.eject(reason, now);
         }
     }
 
-    /// One endpoint may always be ejected, if another is left; more only up to the
-    /// share.
+    /// Returns whether one more endpoint may be ejected. The immediate one always may, if
+    /// another is left; further ones only up to the configured share.
     fn may_eject(&self) -> bool {
         let all = self.endpoints.len();
         let ejected = self
@@ -342,23 +351,23 @@
         ejected < all && (ejected == 1 || share <= self.limits.max_ejected_share)
     }
 
-    /// An endpoint said, by an answer, that it takes no new requests.
+    /// Ejects an endpoint whose response says that it accepts no new requests.
     pub fn mark_leaving(&mut self, id: u64, now: Duration) {
-        if let Some(&place) = self.places.get(&id) {
-            self.endpoints[place]
+        if let Some(&index) = self.index_by_id.get(&id) {
+            self.endpoints[index]
                 .health
                 .eject(EjectionReason::Leaving, now);
         }
     }
 
-    /// An endpoint reported its load.
+    /// Records the number of requests in flight that an endpoint reports.
     pub fn record_load(&mut self, id: u64, load: u32, now: Duration) {
-        if let Some(&place) = self.places.get(&id) {
-            self.endpoints[place].reported_load = Some((load, now));
+        if let Some(&index) = self.index_by_id.get(&id) {
+            self.endpoints[index].reported_load = Some((load, now));
         }
     }
 
-    /// Endpoints whose ejection is over, to be probed.
+    /// Returns the ids of live endpoints whose ejection time is over, to be probed.
     #[must_use]
     pub fn due_probes(&self, now: Duration) -> Vec<u64> {
         self.endpoints
@@ -370,57 +379,60 @@
             .collect()
     }
 
-    /// Takes the result of a probe.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, id: u64, good: bool, now: Duration) {
-        if let Some(&place) = self.places.get(&id) {
-            self.endpoints[place].health.record_probe(good, now);
+        if let Some(&index) = self.index_by_id.get(&id) {
+            self.endpoints[index].health.record_probe(good, now);
         }
     }
 
-    /// One endpoint by number.
+    /// Returns the endpoint with this id.
     #[must_use]
     pub fn endpoint(&self, id: u64) -> Option<&Endpoint> {
-        self.places.get(&id).map(|&place| &self.endpoints[place])
+        self.index_by_id
+            .get(&id)
+            .map(|&index| &self.endpoints[index])
     }
 
-    /// Counts of the endpoints.
+    /// Counts endpoints, requests in flight and slots.
     #[must_use]
     pub fn endpoint_counts(&self, now: Duration) -> EndpointCounts {
-        let mut census = EndpointCounts::default();
+        let mut counts = EndpointCounts::default();
         for endpoint in &self.endpoints {
-            census.in_flight += endpoint.in_flight;
-            census.lent += endpoint.slots.lent(now);
-            census.borrowed += endpoint.slots.borrowed(now);
-            census.allocated += endpoint.slots.allocated();
+            counts.in_flight += endpoint.in_flight;
+            counts.lent += endpoint.slots.lent(now);
+            counts.borrowed += endpoint.slots.borrowed(now);
+            counts.allocated += endpoint.slots.allocated();
             match endpoint.listing.phase {
-                Phase::Leaving => census.leaving += 1,
-                Phase::Live if endpoint.health.is_ejected() => census.ejected += 1,
-                Phase::Live => census.live += 1,
+                Phase::Leaving => counts.leaving += 1,
+                Phase::Live if endpoint.health.is_ejected() => counts.ejected += 1,
+                Phase::Live => counts.live += 1,
             }
         }
-        census
+        counts
     }
 }
 
-/// Builds a dispatch with a policy by name.
+/// Creates a [`Dispatch`] with a built-in routing policy; `seed` makes its random
+/// choices repeatable.
 #[must_use]
 pub fn build(kind: balance::Kind, seed: u64, limits: Limits) -> Dispatch {
     Dispatch::new(balance::build(kind, seed), limits)
 }
 
-/// Whether the ticket's account may have another request in flight.
-fn may_fly(flying: &BTreeMap<Arc<str>, u32>, ticket: &AdmissionRequest) -> bool {
-    flying.get(&ticket.account).copied().unwrap_or(0) < ticket.max_in_flight
+/// Returns whether the account is below its limit of requests in flight.
+fn is_below_limit(in_flight: &BTreeMap<Arc<str>, u32>, request: &AdmissionRequest) -> bool {
+    in_flight.get(&request.account).copied().unwrap_or(0) < request.max_in_flight
 }
 
-fn refuse(cause: RefusalCause, wait: Duration) -> Refusal {
+fn refusal(cause: RefusalCause, wait: Duration) -> Refusal {
     Refusal {
         cause,
-        retry_after: wait.clamp(AFTER_MIN, AFTER_MAX),
+        retry_after: wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX),
     }
 }
 
-/// A size as a count.
+/// Converts a size to `u32`, saturating.
 pub(crate) fn count_of(size: usize) -> u32 {
     u32::try_from(size).unwrap_or(u32::MAX)
 }
--- a/ashtiller/src/request/endpoint.rs
+++ b/ashtiller/src/request/endpoint.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of one endpoint.
+//! An endpoint of a service, and its state in one gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 use crate::health::Health;
 use crate::slots::Slots;
 
-/// Where an endpoint stands in its life.
+/// Lifecycle phase of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Takes requests.
+    /// Accepts requests.
     Live,
-    /// Takes no new requests; those in flight finish.
+    /// Accepts no new requests; those in flight finish.
     Leaving,
 }
 
@@ -24,35 +24,35 @@
 pub struct Listing {
     /// Name, unique within the service.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Requests that it runs at a time.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Where it stands.
+    /// Lifecycle phase.
     pub phase: Phase,
 }
 
 /// One endpoint of a service, as one gateway sees it.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the platform lists.
+    /// Entry in the platform's list.
     pub listing: Listing,
-    /// Hash of the name, short enough for messages.
+    /// Hash of the name, used in messages between gateways.
     pub id: u64,
-    /// Requests of this gateway that are in flight.
+    /// Number of this gateway's requests in flight.
     pub in_flight: u32,
-    /// Load that the endpoint last reported, and when.
+    /// Requests in flight that the endpoint last reported, and when.
     pub reported_load: Option<(u32, Duration)>,
-    /// When this gateway last began a request here.
+    /// When this gateway last sent a request to the endpoint.
     pub last_started: Duration,
     /// Slots that this gateway may use.
     pub slots: Slots,
-    /// Failures, latency and ejection.
+    /// Failure rate, latency and ejection.
     pub health: Health,
 }
 
 impl Endpoint {
-    /// A new endpoint without history.
+    /// Creates an endpoint without history.
     #[must_use]
     pub fn new(listing: Listing) -> Self {
         Self {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Whether a new request may be sent here.
+    /// Returns whether the endpoint is live, not ejected, and has fewer than `connections`
+    /// requests of this gateway in flight.
     #[must_use]
     pub fn accepts(&self, connections: u32) -> bool {
         self.listing.phase == Phase::Live
@@ -74,14 +75,14 @@
             && self.in_flight < connections
     }
 
-    /// Slots that this gateway may use and does not.
+    /// Returns the number of unused slots of this gateway.
     #[must_use]
     pub fn free_slots(&self, now: Duration) -> u32 {
         self.slots.usable(now).saturating_sub(self.in_flight)
     }
 }
 
-/// The short number of an endpoint's name.
+/// Returns the id of an endpoint, a hash of its name.
 #[must_use]
 pub fn id_of(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -1,4 +1,5 @@
-//! The gateway role: from callers to endpoints, and from operators to cells.
+//! The gateway process: routes callers' requests to endpoints and forwards operators'
+//! commands to cells.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -41,11 +42,11 @@
 use crate::store::{CallFuture, Store};
 
 /// Time limit of a call to another process.
-const WIRE_LIMIT: Duration = Duration::from_millis(800);
-/// Services that the dump shows.
-const SHOWN: usize = 100;
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Largest number of services, accounts, and endpoints of a service in `/dump`.
+const DUMP_MAX: usize = 100;
 
-/// What the gateway's parts share.
+/// State shared by the gateway's tasks.
 struct Shared {
     settings: Settings,
     config: Arc<Config>,
@@ -53,17 +54,17 @@
     registry: Registry,
     clock: Arc<dyn Clock>,
     parts: OnceLock<Parts>,
-    seen: Mutex<BTreeSet<Arc<str>>>,
+    listed: Mutex<BTreeSet<Arc<str>>>,
 }
 
-/// Parts that exist once the ports are open.
+/// Components that exist once the ports are bound.
 struct Parts {
     membership: Arc<Membership>,
     jobs: JobForwarder,
-    front: Listener,
+    listener: Listener,
 }
 
-/// A running gateway; dropping it cuts everything, as a kill does.
+/// A running gateway; dropping it closes every connection, as a killed process does.
 pub struct Gateway {
     shared: Arc<Shared>,
     ops: OperatorServer,
@@ -71,8 +72,8 @@
     _tasks: JoinSet<()>,
 }
 
-/// Starts a gateway. It serves once it has read its configuration and endpoints,
-/// and keeps trying while the store is down.
+/// Starts a gateway. It serves requests once it has read its configuration and its
+/// endpoints, and retries while the store is unavailable.
 ///
 /// # Errors
 /// A port cannot be bound.
@@ -82,17 +83,17 @@
     let store: Arc<dyn Store> = consul.clone();
     let instances: Arc<dyn ServiceCatalog> = consul;
     let registry = Registry::new();
-    let tally = Arc::new(GatewayMetrics::open(&registry)?);
+    let metrics = Arc::new(GatewayMetrics::register(&registry)?);
     let config = Arc::new(config::spawn(store.clone()));
     let claims = claims::spawn(store.clone(), settings.gateway.claims_per_second);
     let router = Router::new(
         settings.gateway.clone(),
         config.clone(),
         claims,
-        tally.clone(),
+        metrics.clone(),
         clock.clone(),
     );
-    let front = listener::bind(&settings.gateway, router.clone(), tally.clone()).await?;
+    let listener = listener::bind(&settings.gateway, router.clone(), metrics.clone()).await?;
     let shared = Arc::new(Shared {
         settings: settings.clone(),
         config: config.clone(),
@@ -100,12 +101,12 @@
         registry,
         clock: clock.clone(),
         parts: OnceLock::new(),
-        seen: Mutex::default(),
+        listed: Mutex::default(),
     });
     let local: Arc<dyn Peer> = Arc::new(Local {
         shared: shared.clone(),
     });
-    let served = rpc::bind(settings.gateway.peers, WIRE_LIMIT, local).await?;
+    let served = rpc::bind(settings.gateway.peers, CALL_TIMEOUT, local).await?;
     let operated: Arc<dyn OperatorApi> = Arc::new(Local {
         shared: shared.clone(),
     });
@@ -122,7 +123,7 @@
         rpc: served.client().clone(),
         config: config.clone(),
         clock,
-        heartbeat: greeter(&shared),
+        heartbeat: greeting_source(&shared),
     }));
     let jobs = JobForwarder {
         store,
@@ -136,14 +137,14 @@
     let _ = shared.parts.set(Parts {
         membership,
         jobs,
-        front,
+        listener,
     });
     let mut tasks = JoinSet::new();
     tasks.spawn(follow_templates(
         shared.clone(),
         instances,
         served.client().clone(),
-        tally,
+        metrics,
     ));
     Ok(Gateway {
         shared,
@@ -154,29 +155,29 @@
 }
 
 impl Gateway {
-    /// Where callers connect.
+    /// Returns the address for callers.
     ///
     /// # Panics
     /// Never after [`spawn`] has returned.
     #[must_use]
     pub fn callers(&self) -> SocketAddr {
-        self.parts().front.address()
+        self.parts().listener.address()
     }
 
-    /// Where operators connect.
+    /// Returns the address for operators.
     #[must_use]
     pub fn operators(&self) -> SocketAddr {
         self.ops.address()
     }
 
-    /// Bytes that passed to and from other processes.
+    /// Returns the bytes sent to and received from other processes.
     #[must_use]
     pub fn wire_bytes(&self) -> u64 {
         let bytes = self.served.bytes();
         bytes.sent.load(Ordering::Relaxed) + bytes.received.load(Ordering::Relaxed)
     }
 
-    /// Where other processes connect.
+    /// Returns the address for other processes.
     #[must_use]
     pub fn peers(&self) -> SocketAddr {
         self.served.address()
@@ -186,26 +187,26 @@
         self.shared.parts.get().expect("set before spawn returns")
     }
 
-    /// Stops in a planned way: says so, goes on accepting while the balancer lags,
-    /// finishes what is in flight.
+    /// Shuts down gracefully: announces the shutdown, accepts connections until the load
+    /// balancer has reacted, and waits for requests in flight.
     pub async fn stop(self) {
         let parts = self.parts();
         let drain = self.shared.settings.gateway.drain_timeout;
-        // The first poll of the stop says that this gateway leaves; then the others
-        // hear it, and deal its slots among themselves.
-        tokio::join!(biased; parts.front.stop(drain), parts.membership.broadcast());
+        // The first poll of `stop` marks this gateway as leaving. Only then is that sent to
+        // the others, which divide its slots among themselves.
+        tokio::join!(biased; parts.listener.stop(drain), parts.membership.broadcast());
         parts.membership.deregister().await;
     }
 }
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        self.parts().front.cut();
+        self.parts().listener.abort();
         self.parts().membership.abort();
     }
 }
 
-fn greeter(shared: &Arc<Shared>) -> Arc<dyn Fn() -> Heartbeat + Send + Sync> {
+fn greeting_source(shared: &Arc<Shared>) -> Arc<dyn Fn() -> Heartbeat + Send + Sync> {
     let shared = Arc::downgrade(shared);
     Arc::new(move || {
         shared
@@ -229,10 +230,10 @@
     fn is_leaving(&self) -> bool {
         self.parts
             .get()
-            .is_some_and(|parts| parts.front.is_leaving())
+            .is_some_and(|parts| parts.listener.is_leaving())
     }
 
-    fn open_desk(&self, service: &Arc<str>) -> Arc<ServiceDispatcher> {
+    fn open_service(&self, service: &Arc<str>) -> Arc<ServiceDispatcher> {
         let settings = &self.settings.gateway;
         let limits = Limits {
             max_connections: settings.connections_per_endpoint,
@@ -240,13 +241,13 @@
         };
         let seed = crate::endpoint::id_of(&self.settings.instance.name);
         let dispatch = dispatch::Dispatch::new(balance::build(settings.routing, seed), limits);
-        let head = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
-        let pool = ConnectionPool::new(settings.connect_timeout, settings.idle_timeout, head);
+        let head_max = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
+        let pool = ConnectionPool::new(settings.connect_timeout, settings.idle_timeout, head_max);
         let budget = RetryBudget::new(settings.retry_share);
         ServiceDispatcher::new(service.clone(), dispatch, pool, budget, self.clock.clone())
     }
 
-    /// Services that any template names.
+    /// Returns the services that any template names.
     fn services(&self) -> BTreeSet<Arc<str>> {
         let force = self.config.active();
         let templates = force.templates.values();
@@ -255,7 +256,7 @@
             .collect()
     }
 
-    fn deal(&self, desk: &ServiceDispatcher) {
+    fn allocate_slots(&self, service: &ServiceDispatcher) {
         let Some(parts) = self.parts.get() else {
             return;
         };
@@ -264,19 +265,19 @@
         if !gateways.contains(own) {
             gateways.push(own.clone());
         }
-        desk.with_dispatch(|dispatch, _| dispatch.allocate_slots(&gateways, own));
+        service.with_dispatch(|dispatch, _| dispatch.allocate_slots(&gateways, own));
     }
 }
 
-/// Opens services as the templates name them, and deals their slots anew as
-/// gateways come and go.
+/// Opens services as templates name them, and divides their slots again when gateways
+/// join or leave.
 async fn follow_templates(
     shared: Arc<Shared>,
     roster: Arc<dyn ServiceCatalog>,
     wire: rpc::RpcClient,
-    tally: Arc<GatewayMetrics>,
+    metrics: Arc<GatewayMetrics>,
 ) {
-    let mut helpers = JoinSet::new();
+    let mut tasks = JoinSet::new();
     let mut ticks = time::interval(shared.settings.platform.refresh_interval);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     let mut force = shared.config.subscribe();
@@ -287,56 +288,56 @@
         }
         for service in shared.services() {
             if shared.router.service(&service).is_none() {
-                let desk = shared.open_desk(&service);
-                shared.router.add_service(&service, desk.clone());
-                helpers.spawn(prober::run(desk.clone()));
-                helpers.spawn(follow_endpoints(
+                let dispatcher = shared.open_service(&service);
+                shared.router.add_service(&service, dispatcher.clone());
+                tasks.spawn(prober::run(dispatcher.clone()));
+                tasks.spawn(follow_endpoints(
                     shared.clone(),
-                    desk.clone(),
+                    dispatcher.clone(),
                     roster.clone(),
                 ));
-                if let Some(lender) = lender_of(&shared, &desk, &wire, &tally) {
-                    helpers.spawn(lender.run());
+                if let Some(borrower) = slot_borrower_of(&shared, &dispatcher, &wire, &metrics) {
+                    tasks.spawn(borrower.run());
                 }
             }
         }
-        for desk in shared.router.services() {
-            shared.deal(&desk);
+        for service in shared.router.services() {
+            shared.allocate_slots(&service);
         }
     }
 }
 
-/// Keeps a service's endpoints in step with the platform's list.
+/// Updates a service's endpoints from the platform's list.
 async fn follow_endpoints(
     shared: Arc<Shared>,
-    desk: Arc<ServiceDispatcher>,
+    service: Arc<ServiceDispatcher>,
     roster: Arc<dyn ServiceCatalog>,
 ) {
     let pause = shared.settings.platform.refresh_interval;
-    let follower = service_watcher::spawn(roster, desk.name.clone(), pause);
+    let follower = service_watcher::spawn(roster, service.name.clone(), pause);
     let mut changes = follower.subscribe();
     while changes.changed().await.is_ok() {
         let listings: Vec<Listing> = follower.list().iter().map(listing_of).collect();
-        desk.with_dispatch(|dispatch, _| dispatch.update_listings(&listings));
-        shared.deal(&desk);
-        shared.seen.lock().insert(desk.name.clone());
+        service.with_dispatch(|dispatch, _| dispatch.update_listings(&listings));
+        shared.allocate_slots(&service);
+        shared.listed.lock().insert(service.name.clone());
     }
 }
 
-fn lender_of(
+fn slot_borrower_of(
     shared: &Shared,
-    desk: &Arc<ServiceDispatcher>,
+    service: &Arc<ServiceDispatcher>,
     wire: &rpc::RpcClient,
-    tally: &Arc<GatewayMetrics>,
+    metrics: &Arc<GatewayMetrics>,
 ) -> Option<SlotBorrower> {
     let parts = shared.parts.get()?;
-    let dealt = shared.settings.gateway.routing == balance::Kind::Dealt;
-    dealt.then(|| SlotBorrower {
-        desk: desk.clone(),
+    let borrows = shared.settings.gateway.routing == balance::Kind::Dealt;
+    borrows.then(|| SlotBorrower {
+        service: service.clone(),
         own: shared.settings.instance.name.clone(),
         membership: parts.membership.clone(),
         wire: wire.clone(),
-        tally: tally.clone(),
+        metrics: metrics.clone(),
     })
 }
 
@@ -349,12 +350,12 @@
     }
 }
 
-/// The gateway as other processes and operators see it.
+/// Handles calls from other processes and operators.
 struct Local {
     shared: Arc<Shared>,
 }
 
-fn not_here<T>(step: &'static str) -> CallFuture<'static, T>
+fn unsupported<T>(step: &'static str) -> CallFuture<'static, T>
 where
     T: Send + 'static,
 {
@@ -380,32 +381,32 @@
 
     fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(async move {
-            let Some(desk) = self.shared.router.service(&ask.service) else {
+            let Some(service) = self.shared.router.service(&ask.service) else {
                 return Ok(Vec::new());
             };
-            let term = slot_borrower::TERM;
-            Ok(desk.with_dispatch(|dispatch, now| dispatch.lend(&ask, now + term, now)))
+            let term = slot_borrower::LOAN_TERM;
+            Ok(service.with_dispatch(|dispatch, now| dispatch.lend(&ask, now + term, now)))
         })
     }
 
     fn submit(&self, _: Arc<str>, _: Submission) -> CallFuture<'_, JobReply> {
-        not_here("submit")
+        unsupported("submit")
     }
 
     fn cancel(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, JobReply> {
-        not_here("cancel")
+        unsupported("cancel")
     }
 
     fn show(&self, _: Arc<str>, _: Arc<str>, _: Arc<str>) -> CallFuture<'_, String> {
-        not_here("show")
+        unsupported("show")
     }
 }
 
 impl OperatorApi for Local {
     fn health(&self) -> Health {
-        let seen = !self.shared.seen.lock().is_empty();
+        let ready = !self.shared.listed.lock().is_empty();
         Health {
-            ready: seen,
+            ready,
             leaving: self.shared.is_leaving(),
         }
     }
@@ -436,29 +437,29 @@
         .router
         .services()
         .into_iter()
-        .take(SHOWN)
-        .map(|desk| (desk.name.clone(), dump_desk(&desk)))
+        .take(DUMP_MAX)
+        .map(|service| (service.name.clone(), dump_service(&service)))
         .collect();
     json!({
         "name": shared.settings.instance.name,
         "role": "gateway",
         "leaving": shared.is_leaving(),
         "revision": force.revision,
-        "accounts": force.templates.keys().take(SHOWN).collect::<Vec<_>>(),
+        "accounts": force.templates.keys().take(DUMP_MAX).collect::<Vec<_>>(),
         "members": members,
         "services": services,
     })
     .to_string()
 }
 
-fn dump_desk(desk: &ServiceDispatcher) -> serde_json::Value {
-    let idle = desk.pool.len();
-    desk.with_dispatch(|dispatch, now| {
-        let census = dispatch.endpoint_counts(now);
+fn dump_service(service: &ServiceDispatcher) -> serde_json::Value {
+    let idle = service.pool.len();
+    service.with_dispatch(|dispatch, now| {
+        let counts = dispatch.endpoint_counts(now);
         let endpoints: Vec<serde_json::Value> = dispatch
             .endpoints()
             .iter()
-            .take(SHOWN)
+            .take(DUMP_MAX)
             .map(|endpoint| {
                 json!({
                     "name": endpoint.listing.name,
@@ -475,13 +476,13 @@
             .collect();
         json!({
             "waiting": dispatch.waiting(),
-            "in_flight": census.in_flight,
-            "live": census.live,
-            "leaving": census.leaving,
-            "ejected": census.ejected,
-            "dealt": census.allocated,
-            "lent": census.lent,
-            "borrowed": census.borrowed,
+            "in_flight": counts.in_flight,
+            "live": counts.live,
+            "leaving": counts.leaving,
+            "ejected": counts.ejected,
+            "dealt": counts.allocated,
+            "lent": counts.lent,
+            "borrowed": counts.borrowed,
             "idle_connections": idle,
             "endpoints": endpoints,
         })
--- a/ashtiller/src/request/gateway_metrics.rs
+++ b/ashtiller/src/request/gateway_metrics.rs
@@ -1,4 +1,4 @@
-//! The gateway's counters.
+//! Prometheus metrics of the gateway.
 
 use prometheus::{Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Registry};
 
@@ -9,42 +9,42 @@
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Counters of one gateway, each registered under `ashtiller_gateway_`.
+/// Metrics of one gateway, each registered under `ashtiller_gateway_`.
 pub struct GatewayMetrics {
-    /// Requests answered by an endpoint, by status class.
+    /// Requests with an endpoint's response, by status class.
     pub answered: IntCounterVec,
-    /// Requests ended by the gateway, by outcome.
+    /// Requests with a response from the gateway itself, by outcome.
     pub ended: IntCounterVec,
-    /// Requests that are malformed, too large or not allowed.
-    pub wrong: IntCounter,
-    /// Answers cut in the middle.
-    pub cut: IntCounter,
-    /// Attempts without an answer in time.
+    /// Requests rejected as malformed, too large or not allowed.
+    pub rejected: IntCounter,
+    /// Responses that broke off.
+    pub truncated: IntCounter,
+    /// Attempts without a response in time.
     pub unanswered: IntCounter,
     /// Second and later attempts.
     pub retries: IntCounter,
-    /// Retries that the budget forbade.
-    pub unspent: IntCounter,
-    /// Connections from callers.
+    /// Retries denied by the retry budget.
+    pub retries_denied: IntCounter,
+    /// Open connections from callers.
     pub callers: IntGauge,
-    /// Requests of callers in progress.
+    /// Callers' requests in progress.
     pub requests: IntGauge,
-    /// Idempotency keys that were taken.
+    /// Idempotency keys claimed.
     pub claimed: IntCounter,
-    /// Requests stopped by a key that was taken before.
-    pub repeated: IntCounter,
-    /// Questions for slots sent to other gateways.
-    pub asks: IntCounter,
-    /// Time from a request's head to its answer's head, in seconds.
+    /// Requests rejected because their key had been claimed before.
+    pub duplicates: IntCounter,
+    /// Borrow requests sent to other gateways.
+    pub borrow_requests: IntCounter,
+    /// Time from a request's head to the response's head, in seconds.
     pub latency: Histogram,
 }
 
 impl GatewayMetrics {
-    /// Registers the counters.
+    /// Registers the metrics.
     ///
     /// # Errors
-    /// One of them is registered already.
-    pub fn open(registry: &Registry) -> Result<Self, prometheus::Error> {
+    /// One of them is already registered.
+    pub fn register(registry: &Registry) -> Result<Self, prometheus::Error> {
         let counters = Counters::new(registry, "gateway");
         Ok(Self {
             answered: counters.register_counter_vec(
@@ -57,25 +57,26 @@
                 "Requests ended by the gateway.",
                 "outcome",
             )?,
-            wrong: counters.register_counter("wrong_total", "Requests not passed on.")?,
-            cut: counters.register_counter("cut_total", "Answers cut in the middle.")?,
+            rejected: counters.register_counter("wrong_total", "Requests not passed on.")?,
+            truncated: counters.register_counter("cut_total", "Answers cut in the middle.")?,
             unanswered: counters
                 .register_counter("unanswered_total", "Attempts without an answer in time.")?,
             retries: counters.register_counter("retries_total", "Second and later attempts.")?,
-            unspent: counters
+            retries_denied: counters
                 .register_counter("retries_denied_total", "Retries denied by the budget.")?,
             callers: counters.register_gauge("callers", "Connections from callers.")?,
             requests: counters.register_gauge("requests", "Requests in progress.")?,
             claimed: counters.register_counter("claims_total", "Idempotency keys claimed.")?,
-            repeated: counters
+            duplicates: counters
                 .register_counter("repeats_total", "Requests whose key was claimed before.")?,
-            asks: counters.register_counter("slot_asks_total", "Questions for slots sent.")?,
-            latency: latency(registry)?,
+            borrow_requests: counters
+                .register_counter("slot_asks_total", "Questions for slots sent.")?,
+            latency: register_latency(registry)?,
         })
     }
 }
 
-fn latency(registry: &Registry) -> Result<Histogram, prometheus::Error> {
+fn register_latency(registry: &Registry) -> Result<Histogram, prometheus::Error> {
     let help = "Time from a request's head to its answer's head, in seconds.";
     let opts = HistogramOpts::new("latency_seconds", help)
         .namespace("ashtiller")
--- a/ashtiller/src/request/headers.rs
+++ b/ashtiller/src/request/headers.rs
@@ -1,12 +1,12 @@
-//! Header fields that end at the gateway, and requests that it does not pass on.
+//! Removal of hop-by-hop header fields, and validation of requests before forwarding.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Version};
 
 use crate::outcome::LocalResponse;
 
-/// Fields of one connection (RFC 9110, section 7.6.1), besides those that
-/// `Connection` names.
+/// Hop-by-hop header fields (RFC 9110, section 7.6.1), besides those that `Connection`
+/// names.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -18,11 +18,11 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// What the gateway adds to `Via`.
+/// Value that the gateway adds to `Via`.
 const VIA: HeaderValue = HeaderValue::from_static("1.1 ashtiller");
 
-/// Removes the fields of one connection and adds `Via`.
-pub fn strip(headers: &mut HeaderMap) {
+/// Removes hop-by-hop fields and adds `Via`.
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -36,40 +36,46 @@
     headers.append(header::VIA, VIA);
 }
 
-/// Removes what only the gateway may answer, from a request on its way out.
+/// Prepares the header fields of a request for an endpoint. Besides hop-by-hop fields it
+/// removes `Expect`, to which the gateway responds itself, and `Content-Length`, which
+/// the new message sets again.
 pub fn strip_request(headers: &mut HeaderMap) {
-    strip(headers);
+    strip_hop_by_hop(headers);
     headers.remove(header::EXPECT);
     headers.remove(header::CONTENT_LENGTH);
 }
 
-/// Finds what must not be passed on; the framing rules are those of RFC 9112,
+/// Rejects requests that must not be forwarded. The framing rules are those of RFC 9112,
 /// sections 3.2 and 6.3.
 ///
 /// # Errors
-/// The verdict for the caller.
-pub fn check(method: &Method, version: Version, headers: &HeaderMap) -> Result<(), LocalResponse> {
-    let wrong = |reason| Err(LocalResponse::wrong(StatusCode::BAD_REQUEST, reason));
+/// The response for the caller.
+pub fn validate(
+    method: &Method,
+    version: Version,
+    headers: &HeaderMap,
+) -> Result<(), LocalResponse> {
+    let bad_request = |reason| Err(LocalResponse::rejected(StatusCode::BAD_REQUEST, reason));
     if *method == Method::CONNECT || *method == Method::TRACE {
-        return Err(LocalResponse::wrong(
+        return Err(LocalResponse::rejected(
             StatusCode::METHOD_NOT_ALLOWED,
             "this method is not passed on",
         ));
     }
-    // Beside Transfer-Encoding the library has dropped Content-Length by now, and
-    // the message to the endpoint is framed anew.
+    // If both fields were present, hyper has already dropped Content-Length, and the
+    // message to the endpoint gets its own framing.
     if headers.contains_key(header::TRANSFER_ENCODING) && version < Version::HTTP_11 {
-        return wrong("Transfer-Encoding before HTTP/1.1");
+        return bad_request("Transfer-Encoding before HTTP/1.1");
     }
     if headers.get_all(header::CONTENT_LENGTH).iter().count() > 1 {
-        return wrong("more than one Content-Length");
+        return bad_request("more than one Content-Length");
     }
     let hosts = headers.get_all(header::HOST).iter().count();
     if hosts > 1 || (hosts == 0 && version >= Version::HTTP_11) {
-        return wrong("HTTP/1.1 needs one Host");
+        return bad_request("HTTP/1.1 needs one Host");
     }
     if headers.contains_key(header::UPGRADE) && headers.contains_key(header::CONNECTION) {
-        return Err(LocalResponse::wrong(
+        return Err(LocalResponse::rejected(
             StatusCode::NOT_IMPLEMENTED,
             "upgrades are not passed on",
         ));
@@ -77,9 +83,9 @@
     Ok(())
 }
 
-/// Whether the sender will close this connection.
+/// Returns whether the sender closes this connection after the message.
 #[must_use]
-pub fn closes(headers: &HeaderMap) -> bool {
+pub fn has_connection_close(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
         .iter()
@@ -88,8 +94,8 @@
         .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Reads requests in flight from a load report (`endpoint-load-metrics`, the
-/// published text form).
+/// Reads the number of requests in flight from a load report, the published text form of
+/// `endpoint-load-metrics`.
 #[must_use]
 pub fn reported_load(headers: &HeaderMap) -> Option<u32> {
     let report = headers
--- a/ashtiller/src/request/health.rs
+++ b/ashtiller/src/request/health.rs
@@ -1,39 +1,41 @@
 //! Failures and latency of one endpoint, and its ejection.
 //!
-//! An endpoint is judged against its peers: what all of them do is no fault of
-//! one. [`judge`] decides; [`Health`] keeps the figures.
+//! This is outlier detection: an endpoint is compared with its peers, so that a fault
+//! that all of them share ejects none. [`evaluate`] decides; [`Health`] holds the
+//! statistics.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Weight of a new sample.
-const WEIGHT: f64 = 0.1;
-/// Failures in a row after which an endpoint is suspected.
-const FAILURES: u32 = 5;
-/// Samples before latency is compared.
-const SAMPLES: u32 = 30;
-/// An endpoint is slow when its typical latency exceeds its peers' by this factor.
+/// Weight of a new sample in the moving averages.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Consecutive failures after which an endpoint counts as failing.
+const CONSECUTIVE_FAILURES: u32 = 5;
+/// Samples needed before latencies are compared.
+const LATENCY_SAMPLES_MIN: u32 = 30;
+/// Factor by which the latency of a slow endpoint exceeds the median of its peers.
 const SLOW_FACTOR: f64 = 3.0;
-/// A latency below this is never slow.
+/// Latency up to which an endpoint is never slow.
 const SLOW_FLOOR: Duration = Duration::from_millis(20);
-/// Peers that fail more than this share make failure no ground for ejection.
-const PEERS_FAIL: f64 = 0.5;
-/// First ejection; each further one doubles.
-const EJECT_FIRST: Duration = Duration::from_secs(1);
+/// Failure rate from which an endpoint counts as failing. If the mean rate of its peers
+/// reaches it too, no endpoint is ejected for failures.
+const FAILURE_RATE_MAX: f64 = 0.5;
+/// Duration of the first ejection; it doubles with each further one.
+const EJECTION_INITIAL: Duration = Duration::from_secs(1);
 /// Longest ejection.
-const EJECT_MAX: Duration = Duration::from_mins(1);
-/// Time without ejection that halves the next one.
-const FORGIVE: Duration = Duration::from_mins(2);
+const EJECTION_MAX: Duration = Duration::from_mins(1);
+/// Time without an ejection after which the count behind the backoff is halved.
+const BACKOFF_DECAY: Duration = Duration::from_mins(2);
 
-/// How a request at an endpoint ended.
+/// Result of a request, as evidence about its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestResult {
-    /// A whole answer below status 500, after this time.
+    /// A complete response with a status below 500, after this time.
     Success(Duration),
-    /// An error, a cut, a refused connection or no answer in time.
+    /// A server error, a truncated response, a refused connection or a timeout.
     Failure,
-    /// Given up by the caller; says nothing about the endpoint.
+    /// Abandoned by the caller, which says nothing about the endpoint.
     Ignored,
 }
 
@@ -45,102 +47,102 @@
     Failing,
     /// It is slower than its peers.
     Slow,
-    /// It said that it is leaving.
+    /// It reported that it is leaving.
     Leaving,
 }
 
-/// What [`judge`] decides.
+/// Result of [`evaluate`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EjectionDecision {
-    /// It goes on taking requests.
+    /// The endpoint stays in use.
     Keep,
-    /// It takes none for a while.
+    /// The endpoint gets no requests until a probe succeeds.
     Eject(EjectionReason),
 }
 
-/// Figures of one endpoint.
+/// Failure and latency statistics of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    row: u32,
+    consecutive_failures: u32,
     failure_rate: f64,
-    latency_log: f64,
+    mean_log_latency: f64,
     samples: u32,
     ejected: Option<(EjectionReason, Duration)>,
-    times: u32,
-    last: Duration,
+    ejections: u32,
+    last_ejection: Duration,
 }
 
 impl Health {
-    /// Adds a sample.
-    pub fn record(&mut self, sample: RequestResult) {
-        match sample {
+    /// Records the result of one request.
+    pub fn record(&mut self, result: RequestResult) {
+        match result {
             RequestResult::Success(latency) => {
-                self.row = 0;
-                self.failure_rate *= 1.0 - WEIGHT;
+                self.consecutive_failures = 0;
+                self.failure_rate *= 1.0 - SAMPLE_WEIGHT;
                 self.add_latency(latency);
             }
             RequestResult::Failure => {
-                self.row += 1;
-                self.failure_rate += WEIGHT * (1.0 - self.failure_rate);
+                self.consecutive_failures += 1;
+                self.failure_rate += SAMPLE_WEIGHT * (1.0 - self.failure_rate);
             }
             RequestResult::Ignored => {}
         }
     }
 
     fn add_latency(&mut self, latency: Duration) {
-        // The mean of logarithms is barely moved by a heavy tail.
+        // A heavy tail hardly changes the mean of the logarithms.
         let log = latency.as_secs_f64().max(1e-6).ln();
         if self.samples == 0 {
-            self.latency_log = log;
+            self.mean_log_latency = log;
         }
         self.samples = self.samples.saturating_add(1);
-        self.latency_log += WEIGHT * (log - self.latency_log);
+        self.mean_log_latency += SAMPLE_WEIGHT * (log - self.mean_log_latency);
     }
 
-    /// Share of failures among recent requests.
+    /// Returns the share of failures among recent requests, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Typical latency in seconds, once there are enough samples.
+    /// Returns the geometric mean latency in seconds, once there are enough samples.
     #[must_use]
     pub fn latency(&self) -> Option<f64> {
-        (self.samples >= SAMPLES).then(|| self.latency_log.exp())
+        (self.samples >= LATENCY_SAMPLES_MIN).then(|| self.mean_log_latency.exp())
     }
 
-    /// Whether it takes no requests now.
+    /// Returns whether the endpoint is ejected.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
         self.ejected.is_some()
     }
 
-    /// Why it is ejected.
+    /// Returns why the endpoint is ejected, if it is.
     #[must_use]
     pub fn ejection_reason(&self) -> Option<EjectionReason> {
         self.ejected.map(|(reason, _)| reason)
     }
 
-    /// Whether the ejection is over and a probe may let it back.
+    /// Returns whether the ejection time is over, so that a probe may end the ejection.
     #[must_use]
     pub fn is_probe_due(&self, now: Duration) -> bool {
         self.ejected.is_some_and(|(_, until)| now >= until)
     }
 
-    /// Ejects it; each time in a row lasts twice as long.
+    /// Ejects the endpoint, each time twice as long, up to a maximum.
     pub fn eject(&mut self, reason: EjectionReason, now: Duration) {
-        if now.saturating_sub(self.last) > FORGIVE {
-            self.times /= 2;
+        if now.saturating_sub(self.last_ejection) > BACKOFF_DECAY {
+            self.ejections /= 2;
         }
-        let time = EJECT_FIRST
-            .saturating_mul(1 << self.times.min(10))
-            .min(EJECT_MAX);
-        self.times += 1;
-        self.last = now;
-        self.ejected = Some((reason, now + time));
+        let duration = EJECTION_INITIAL
+            .saturating_mul(1 << self.ejections.min(10))
+            .min(EJECTION_MAX);
+        self.ejections += 1;
+        self.last_ejection = now;
+        self.ejected = Some((reason, now + duration));
     }
 
-    /// Takes the result of a probe.
+    /// Records the result of a probe: success ends the ejection, failure renews it.
     pub fn record_probe(&mut self, good: bool, now: Duration) {
         let Some((reason, _)) = self.ejected else {
             return;
@@ -150,28 +152,28 @@
             return;
         }
         self.ejected = None;
-        self.row = 0;
+        self.consecutive_failures = 0;
         self.failure_rate = 0.0;
         self.samples = 0;
     }
 }
 
-/// Compares one endpoint with its peers.
+/// Compares one endpoint with its peers and decides whether to eject it.
 #[must_use]
 pub fn evaluate<'a>(
     health: &Health,
     peers: impl Iterator<Item = &'a Health> + Clone,
 ) -> EjectionDecision {
-    if health.row >= FAILURES && !peers_fail(peers.clone()) {
+    if health.consecutive_failures >= CONSECUTIVE_FAILURES && !peers_are_failing(peers.clone()) {
         return EjectionDecision::Eject(EjectionReason::Failing);
     }
-    if health.failure_rate >= PEERS_FAIL && !peers_fail(peers.clone()) {
+    if health.failure_rate >= FAILURE_RATE_MAX && !peers_are_failing(peers.clone()) {
         return EjectionDecision::Eject(EjectionReason::Failing);
     }
-    let (Some(own), Some(typical)) = (health.latency(), median_latency(peers)) else {
+    let (Some(own), Some(peer_latency)) = (health.latency(), median_latency(peers)) else {
         return EjectionDecision::Keep;
     };
-    let slow = own > SLOW_FLOOR.as_secs_f64() && own > typical * SLOW_FACTOR;
+    let slow = own > SLOW_FLOOR.as_secs_f64() && own > peer_latency * SLOW_FACTOR;
     if slow {
         EjectionDecision::Eject(EjectionReason::Slow)
     } else {
@@ -179,13 +181,13 @@
     }
 }
 
-fn peers_fail<'a>(peers: impl Iterator<Item = &'a Health>) -> bool {
+fn peers_are_failing<'a>(peers: impl Iterator<Item = &'a Health>) -> bool {
     let (sum, count) = peers
         .filter(|peer| !peer.is_ejected())
         .fold((0.0, 0.0), |(sum, count), peer| {
             (sum + peer.failure_rate, count + 1.0)
         });
-    count == 0.0 || sum / count >= PEERS_FAIL
+    count == 0.0 || sum / count >= FAILURE_RATE_MAX
 }
 
 fn median_latency<'a>(peers: impl Iterator<Item = &'a Health>) -> Option<f64> {
--- a/ashtiller/src/request/listener.rs
+++ b/ashtiller/src/request/listener.rs
@@ -1,4 +1,4 @@
-//! The port where callers connect.
+//! HTTP listener for callers.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,23 +21,24 @@
 use crate::router::Router;
 use crate::settings;
 
-/// Time for a caller to send the head of a request.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+/// Time limit for a caller to send the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far a planned stop has come.
+/// Stage of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Stage {
-    /// Serving.
+    /// Normal operation.
     Open,
-    /// Still accepting, because the balancer lags; answers close connections.
+    /// Connections are still accepted, because the load balancer reacts late; responses
+    /// close their connections.
     Draining,
-    /// Accepting no more; requests in flight finish.
+    /// No more connections are accepted; requests in flight finish.
     Closing,
 }
 
-/// A running callers' port; dropping it cuts every connection.
+/// A running listener for callers; dropping it closes every connection.
 pub struct Listener {
     address: SocketAddr,
     stage: watch::Sender<Stage>,
@@ -48,55 +49,55 @@
 
 struct Shared {
     router: Arc<Router>,
-    tally: Arc<GatewayMetrics>,
+    metrics: Arc<GatewayMetrics>,
     stage: watch::Receiver<Stage>,
     kill: watch::Receiver<bool>,
     head: usize,
 }
 
-/// Listens for callers.
+/// Starts the listener for callers.
 ///
 /// # Errors
 /// The port cannot be bound.
 pub async fn bind(
     settings: &settings::Gateway,
     router: Arc<Router>,
-    tally: Arc<GatewayMetrics>,
+    metrics: Arc<GatewayMetrics>,
 ) -> Result<Listener, Failure> {
     let failed = |error| Failure::no_effect("bind callers' port", settings.callers, error);
     let listener = TcpListener::bind(settings.callers).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
-    let (stage, stages) = watch::channel(Stage::Open);
+    let (stage, stage_changes) = watch::channel(Stage::Open);
     let (kill, killed) = watch::channel(false);
     let head = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
     let shared = Arc::new(Shared {
         router,
-        tally,
-        stage: stages,
+        metrics,
+        stage: stage_changes,
         kill: killed,
         head,
     });
     let tracker = TaskTracker::new();
-    let room = Arc::new(Semaphore::new(settings.max_callers as usize));
-    let listener = tokio::spawn(accept(listener, shared, tracker.clone(), room));
+    let permits = Arc::new(Semaphore::new(settings.max_callers as usize));
+    let accept_task = tokio::spawn(accept(listener, shared, tracker.clone(), permits));
     Ok(Listener {
         address,
         stage,
         tracker,
-        accept_task: listener,
+        accept_task,
         kill,
     })
 }
 
 impl Listener {
-    /// The address that the kernel gave.
+    /// Returns the address that the listener is bound to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops in a planned way: goes on accepting for `drain`, then finishes what is
-    /// in flight.
+    /// Shuts down gracefully: accepts connections for `drain` longer, then waits for
+    /// requests in flight.
     pub async fn stop(&self, drain: Duration) {
         self.stage.send_replace(Stage::Draining);
         time::sleep(drain).await;
@@ -105,13 +106,13 @@
         self.tracker.wait().await;
     }
 
-    /// Cuts every connection, as a kill does.
-    pub fn cut(&self) {
+    /// Closes every connection at once, as a killed process does.
+    pub fn abort(&self) {
         self.accept_task.abort();
         self.kill.send_replace(true);
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a graceful shutdown has begun.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         *self.stage.borrow() != Stage::Open
@@ -120,7 +121,7 @@
 
 impl Drop for Listener {
     fn drop(&mut self) {
-        self.cut();
+        self.abort();
     }
 }
 
@@ -128,11 +129,11 @@
     listener: TcpListener,
     shared: Arc<Shared>,
     tracker: TaskTracker,
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 ) {
     let mut stage = shared.stage.clone();
     loop {
-        let Ok(place) = room.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
@@ -145,15 +146,15 @@
         };
         let shared = shared.clone();
         tracker.spawn(async move {
-            converse(stream, shared).await;
-            drop(place);
+            serve_connection(stream, shared).await;
+            drop(permit);
         });
     }
 }
 
-async fn converse(stream: TcpStream, shared: Arc<Shared>) {
+async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
     let _ = stream.set_nodelay(true);
-    shared.tally.callers.inc();
+    shared.metrics.callers.inc();
     let (mut stage, mut kill) = (shared.stage.clone(), shared.kill.clone());
     let service = service::service_fn({
         let shared = shared.clone();
@@ -161,7 +162,7 @@
     });
     let connection = http1::Builder::new()
         .timer(pool::timer())
-        .header_read_timeout(HEAD_TIME)
+        .header_read_timeout(HEAD_TIMEOUT)
         .max_buf_size(shared.head)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
@@ -169,9 +170,9 @@
     tokio::pin!(killed);
     let closing = tokio::select! {
         ended = connection.as_mut() => {
-            // The library has answered what it could not parse.
+            // hyper has already responded to a request that it could not parse.
             if ended.is_err_and(|error| error.is_parse()) {
-                shared.tally.wrong.inc();
+                shared.metrics.rejected.inc();
             }
             false
         }
@@ -185,11 +186,11 @@
             () = killed.as_mut() => {}
         }
     }
-    shared.tally.callers.dec();
+    shared.metrics.callers.dec();
 }
 
 async fn wait_until<T: Copy + PartialEq>(receiver: &mut watch::Receiver<T>, value: T) {
-    // An error means that the front is gone, which ends everything too.
+    // An error means that the listener was dropped, which ends all connections too.
     let _ = receiver.wait_for(|now| *now == value).await;
 }
 
@@ -197,11 +198,11 @@
     shared: Arc<Shared>,
     request: hyper::Request<hyper::body::Incoming>,
 ) -> Result<hyper::Response<crate::response_body::ResponseBody>, Infallible> {
-    let mut answer = shared.router.serve(request).await;
+    let mut response = shared.router.serve(request).await;
     if *shared.stage.borrow() != Stage::Open {
-        answer
+        response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/ashtiller/src/request/loans.rs
+++ b/ashtiller/src/request/loans.rs
@@ -7,42 +7,46 @@
 use crate::endpoint::Endpoint;
 use crate::peer::LoanRequest;
 
-/// Free slots that a lender keeps, as a divisor of its slots.
-const RESERVE: u32 = 32;
-/// Slots that a borrower asks for beyond those it needs at once.
-const AHEAD: u32 = 4;
-/// Weight of the last peak against an earlier, higher one.
+/// Divisor of a lender's slots that gives the number of free slots it keeps.
+const RESERVE_DIVISOR: u32 = 32;
+/// Slots that a borrower requests beyond those it needs at once.
+const EXTRA_SLOTS: u32 = 4;
+/// Factor by which the recorded peak decays with each observation window.
 const PEAK_DECAY: f64 = 0.8;
 
 impl Dispatch {
-    /// Slots that requests in the line need now.
+    /// Returns the number of slots to borrow for queued requests; 0 if none is queued.
     #[must_use]
     pub fn shortage(&self) -> u32 {
-        let waiting = dispatch::count_of(self.line.len());
-        if waiting == 0 { 0 } else { waiting + AHEAD }
+        let waiting = dispatch::count_of(self.queue.len());
+        if waiting == 0 {
+            0
+        } else {
+            waiting + EXTRA_SLOTS
+        }
     }
 
-    /// Slots by which the recent peak exceeds those of this gateway; begins a new
-    /// span of observation.
-    pub fn excess(&mut self, now: Duration) -> u32 {
-        let usable = self.slack(now).1;
-        let excess = self.peak.saturating_sub(usable);
-        let former = f64::from(self.peak) * PEAK_DECAY;
+    /// Returns the number of slots by which the recent peak demand exceeds those of this
+    /// gateway, and begins a new observation window.
+    pub fn peak_shortage(&mut self, now: Duration) -> u32 {
+        let usable = self.free_and_usable(now).1;
+        let shortage = self.peak_demand.saturating_sub(usable);
+        let decayed = f64::from(self.peak_demand) * PEAK_DECAY;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a count"
         )]
-        let former = former as u32;
-        self.peak = former.max(self.in_flight + dispatch::count_of(self.line.len()));
-        excess
+        let decayed = decayed as u32;
+        self.peak_demand = decayed.max(self.in_flight + dispatch::count_of(self.queue.len()));
+        shortage
     }
 
-    fn slack(&self, now: Duration) -> (u32, u32) {
-        let takes = |endpoint: &&Endpoint| endpoint.accepts(self.limits.max_connections);
+    fn free_and_usable(&self, now: Duration) -> (u32, u32) {
+        let accepts = |endpoint: &&Endpoint| endpoint.accepts(self.limits.max_connections);
         self.endpoints
             .iter()
-            .filter(takes)
+            .filter(accepts)
             .fold((0, 0), |(free, usable), endpoint| {
                 (
                     free + endpoint.free_slots(now),
@@ -51,9 +55,9 @@
             })
     }
 
-    /// Goes on with the loan to `peer` until `until`, reduced to `keep` when it
-    /// settles, and adds up to `want` slots, at most half of what is free. Returns
-    /// what was added.
+    /// Renews the loan to the borrower until `until`, reduced to `keep` if the request
+    /// settles the loan, and adds up to `want` slots, at most half of those free beyond a
+    /// reserve. Returns the added slots by endpoint id.
     pub fn lend(&mut self, ask: &LoanRequest, until: Duration, now: Duration) -> Vec<(u64, u32)> {
         let peer = &ask.borrower;
         for endpoint in &mut self.endpoints {
@@ -62,11 +66,11 @@
                 let kept = ask.keep.iter().find(|(id, _)| *id == endpoint.id);
                 lent = lent.min(kept.map_or(0, |(_, count)| *count));
             }
-            endpoint.slots.lend(peer, lent, until);
+            endpoint.slots.set_lent(peer, lent, until);
         }
-        let (free, usable) = self.slack(now);
-        let reserve = (usable / RESERVE).max(1);
-        let spare = if self.line.is_empty() {
+        let (free, usable) = self.free_and_usable(now);
+        let reserve = (usable / RESERVE_DIVISOR).max(1);
+        let spare = if self.queue.is_empty() {
             free.saturating_sub(reserve).div_ceil(2)
         } else {
             0
@@ -78,25 +82,25 @@
             }
             if endpoint.accepts(self.limits.max_connections) && endpoint.free_slots(now) > 0 {
                 let lent = endpoint.slots.lent_to(peer, now);
-                endpoint.slots.lend(peer, lent + 1, until);
+                endpoint.slots.set_lent(peer, lent + 1, until);
                 added.push((endpoint.id, 1));
             }
         }
         added
     }
 
-    /// Replaces what is borrowed from `peer`.
-    pub fn borrow_from(&mut self, peer: &Arc<str>, loans: &[(u64, u32)], until: Duration) {
+    /// Replaces the loans from `peer`.
+    pub fn set_borrowed(&mut self, peer: &Arc<str>, loans: &[(u64, u32)], until: Duration) {
         for endpoint in &mut self.endpoints {
             let loan = loans.iter().find(|(id, _)| *id == endpoint.id);
             endpoint
                 .slots
-                .borrow_from(peer, loan.map_or(0, |(_, count)| *count), until);
+                .set_borrowed(peer, loan.map_or(0, |(_, count)| *count), until);
         }
     }
 
-    /// Goes on with what is borrowed from `peer` and adds to it.
-    pub fn borrow_more(
+    /// Renews the loans from `peer` until `until` and adds to them.
+    pub fn add_borrowed(
         &mut self,
         peer: &Arc<str>,
         added: &[(u64, u32)],
@@ -107,28 +111,29 @@
             let more = added.iter().find(|(id, _)| *id == endpoint.id);
             let count =
                 endpoint.slots.borrowed_from(peer, now) + more.map_or(0, |(_, count)| *count);
-            endpoint.slots.borrow_from(peer, count, until);
+            endpoint.slots.set_borrowed(peer, count, until);
         }
     }
 
-    /// Borrowed slots of `peer` that are still needed at `now`.
+    /// Returns the slots borrowed from `peer` that are still needed at `now`, by endpoint
+    /// id.
     #[must_use]
-    pub fn kept(&self, peer: &str, now: Duration) -> Vec<(u64, u32)> {
-        let (_, usable) = self.slack(now);
-        let mut spare = usable.saturating_sub(self.peak + 1);
-        let mut kept = Vec::new();
+    pub fn still_needed(&self, peer: &str, now: Duration) -> Vec<(u64, u32)> {
+        let (_, usable) = self.free_and_usable(now);
+        let mut spare = usable.saturating_sub(self.peak_demand + 1);
+        let mut needed = Vec::new();
         for endpoint in &self.endpoints {
             let borrowed = endpoint.slots.borrowed_from(peer, now);
             let idle = endpoint.free_slots(now).min(borrowed).min(spare);
             spare -= idle;
             if borrowed > idle {
-                kept.push((endpoint.id, borrowed - idle));
+                needed.push((endpoint.id, borrowed - idle));
             }
         }
-        kept
+        needed
     }
 
-    /// Whether anything is borrowed from `peer`.
+    /// Returns whether any slot is borrowed from `peer`.
     #[must_use]
     pub fn borrows_from(&self, peer: &str, now: Duration) -> bool {
         self.endpoints
--- a/ashtiller/src/request/mod.rs
+++ b/ashtiller/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests from callers to endpoints: the gateway role.
+//! The gateway role: routes callers' requests to endpoints.
 
 pub mod balance;
 pub mod claims;
--- a/ashtiller/src/request/pool.rs
+++ b/ashtiller/src/request/pool.rs
@@ -1,12 +1,12 @@
 //! Connections from a gateway to endpoints.
 //!
-//! A connection carries one request at a time and goes back to the pool only
-//! after the whole answer was read; any other end closes it. So a late answer
-//! can never reach another request.
+//! A connection carries one request at a time. It returns to the pool only after the
+//! complete response was read and is closed in all other cases, so a late response can
+//! never reach another request.
 //!
-//! Connections go silent together, without a reset, while new ones work. So what an
-//! answer shows depends on the age of its connection, and one request without an answer
-//! makes every idle connection suspect that has not answered lately.
+//! Connections can go silent together, without a reset, while new ones work. What a
+//! response proves therefore depends on the age of its connection, and one request
+//! without a response makes every idle connection suspect that has had none recently.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,91 +22,96 @@
 use crate::failure::Failure;
 use crate::request_body::RequestBody;
 
-/// Time for a connection to become ready again after an answer.
-const READY: Duration = Duration::from_millis(20);
+/// Time limit for a connection to become ready again after a response.
+const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Share of an attempt's time after which an answer of its endpoint shows that
-/// connections are not silent: one that went silent under the request had answered others
-/// until then, most likely in the first half.
-const VOUCH_SHARE: f64 = 0.5;
+/// Share of an attempt's elapsed time after which a response counts as recent, which shows
+/// that connections of its age are not silent. A connection that went silent during the
+/// attempt had responses until then, most likely in the first half.
+const RECENT_SHARE: f64 = 0.5;
 
 /// A connection to an endpoint; dropping it closes it.
 pub struct Connection {
     /// Sends requests.
     pub sender: http1::SendRequest<RequestBody>,
     endpoint: SocketAddr,
-    driver: AbortHandle,
+    task: AbortHandle,
     opened: Instant,
-    /// When it last answered, or was opened.
-    since: Instant,
+    /// When the last response was complete, or the connection was opened.
+    last_used: Instant,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.task.abort();
     }
 }
 
-/// A good answer.
-struct Answer {
-    /// When its connection was opened.
+/// A successful response.
+struct SuccessfulResponse {
+    /// When the connection was opened.
     opened: Instant,
-    came: Instant,
+    received: Instant,
 }
 
-/// What is kept of one endpoint.
+/// Idle connections and recent responses of one endpoint.
 #[derive(Default)]
-struct Links {
+struct EndpointConnections {
     idle: Vec<Connection>,
-    /// The newest good answers. One that came later on an older connection shows more, so
-    /// they stand in the order of both times.
-    answers: Vec<Answer>,
+    /// The latest successful responses. One that arrives later on an older connection
+    /// proves more and replaces those on newer connections, so the list is ordered by both
+    /// times.
+    responses: Vec<SuccessfulResponse>,
 }
 
-impl Links {
-    fn note_answer(&mut self, opened: Instant) {
-        self.answers.retain(|answer| answer.opened < opened);
-        let came = Instant::now();
-        self.answers.push(Answer { opened, came });
+impl EndpointConnections {
+    fn record_response(&mut self, opened: Instant) {
+        self.responses.retain(|response| response.opened < opened);
+        let received = Instant::now();
+        self.responses.push(SuccessfulResponse { opened, received });
     }
 }
 
-/// Idle connections by endpoint.
+/// Pool of idle connections by endpoint.
 pub struct ConnectionPool {
-    links: Mutex<HashMap<SocketAddr, Links>>,
-    connect: Duration,
-    keep: Duration,
-    head: usize,
+    connections: Mutex<HashMap<SocketAddr, EndpointConnections>>,
+    connect_timeout: Duration,
+    idle_timeout: Duration,
+    head_max: usize,
 }
 
 impl ConnectionPool {
-    /// An empty pool. `connect` limits a connect, `keep` an idle connection's
-    /// life, `head` the bytes of an answer's head.
+    /// Creates an empty pool. `connect_timeout` limits the time to connect, `idle_timeout`
+    /// the time for which a connection stays idle, and `head_max` the bytes of a
+    /// response's head.
     #[must_use]
-    pub fn new(connect: Duration, keep: Duration, head: usize) -> Self {
+    pub fn new(connect_timeout: Duration, idle_timeout: Duration, head_max: usize) -> Self {
         Self {
-            links: Mutex::default(),
-            connect,
-            keep,
-            head,
+            connections: Mutex::default(),
+            connect_timeout,
+            idle_timeout,
+            head_max,
         }
     }
 
-    /// Takes an idle connection or opens one.
+    /// Takes an idle connection or opens a new one.
     ///
     /// # Errors
-    /// No connection within the time limit; nothing was sent.
+    /// No connection could be opened within the time limit; nothing was sent.
     pub async fn checkout(&self, endpoint: SocketAddr) -> Result<Connection, Failure> {
-        while let Some(mut link) = self.take(endpoint) {
-            if link.since.elapsed() > self.keep {
+        while let Some(mut connection) = self.take(endpoint) {
+            if connection.last_used.elapsed() > self.idle_timeout {
                 continue;
             }
-            if matches!(time::timeout(READY, link.sender.ready()).await, Ok(Ok(()))) {
-                return Ok(link);
+            if matches!(
+                time::timeout(READY_TIMEOUT, connection.sender.ready()).await,
+                Ok(Ok(()))
+            ) {
+                return Ok(connection);
             }
         }
-        let late = |_| Failure::no_effect("connect", endpoint, "no connection in time");
-        time::timeout(self.connect, self.open(endpoint))
+        let late = |_| Failure::no_effect("connect", endpoint, "connecting timed out");
+        time::timeout(self.connect_timeout, self.open(endpoint))
             .await
             .map_err(late)?
     }
@@ -118,147 +123,157 @@
             .map_err(|error| failed(&error))?;
         stream.set_nodelay(true).map_err(|error| failed(&error))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(self.head)
+            .max_buf_size(self.head_max)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|error| failed(&error))?;
-        let driver = tokio::spawn(async move {
-            // The request in flight sees the same error.
+        let task = tokio::spawn(async move {
+            // The request in flight gets the same error.
             let _ = connection.await;
         });
         Ok(Connection {
             sender,
             endpoint,
-            driver: driver.abort_handle(),
+            task: task.abort_handle(),
             opened: Instant::now(),
-            since: Instant::now(),
+            last_used: Instant::now(),
         })
     }
 
     fn take(&self, endpoint: SocketAddr) -> Option<Connection> {
-        self.links.lock().get_mut(&endpoint)?.idle.pop()
+        self.connections.lock().get_mut(&endpoint)?.idle.pop()
     }
 
-    /// Gives back a connection whose answer was read whole.
-    pub fn give_back(&self, mut link: Connection) {
-        link.since = Instant::now();
-        let mut all = self.links.lock();
-        all.entry(link.endpoint).or_default().idle.push(link);
+    /// Returns a connection to the pool after its response was read completely.
+    pub fn release(&self, mut connection: Connection) {
+        connection.last_used = Instant::now();
+        let mut all = self.connections.lock();
+        all.entry(connection.endpoint)
+            .or_default()
+            .idle
+            .push(connection);
     }
 
-    /// Notes that a request on a connection was answered well.
-    pub fn note_answer(&self, link: &Connection) {
-        let mut all = self.links.lock();
-        let links = all.entry(link.endpoint).or_default();
-        links.note_answer(link.opened);
+    /// Records a successful response on a connection.
+    pub fn record_response(&self, connection: &Connection) {
+        let mut all = self.connections.lock();
+        let connections = all.entry(connection.endpoint).or_default();
+        connections.record_response(connection.opened);
     }
 
-    /// Begins an attempt, which has no answer yet.
+    /// Starts to track an attempt that has no response yet.
     #[must_use]
-    pub fn begin(&self, endpoint: SocketAddr) -> Unanswered<'_> {
-        Unanswered {
+    pub fn begin_attempt(&self, endpoint: SocketAddr) -> PendingAttempt<'_> {
+        PendingAttempt {
             pool: self,
             endpoint,
-            began: Instant::now(),
-            over: false,
+            started: Instant::now(),
+            ended: false,
         }
     }
 
-    fn has_answered(&self, endpoint: SocketAddr, since: Instant) -> bool {
-        let all = self.links.lock();
-        let mut answers = all
+    fn has_responded(&self, endpoint: SocketAddr, since: Instant) -> bool {
+        let all = self.connections.lock();
+        let mut responses = all
             .get(&endpoint)
             .into_iter()
-            .flat_map(|links| &links.answers);
-        answers.any(|answer| answer.came > since)
+            .flat_map(|connections| &connections.responses);
+        responses.any(|response| response.received > since)
     }
 
-    fn has_heard(&self, opened: Instant, since: Instant) -> bool {
-        let all = self.links.lock();
-        let mut answers = all.values().flat_map(|links| &links.answers);
-        answers.any(|answer| answer.opened <= opened && answer.came > since)
+    fn older_connection_responded(&self, opened: Instant, since: Instant) -> bool {
+        let all = self.connections.lock();
+        let mut responses = all.values().flat_map(|connections| &connections.responses);
+        responses.any(|response| response.opened <= opened && response.received > since)
     }
 
-    fn distrust(&self, endpoint: SocketAddr, since: Instant) {
-        let mut all = self.links.lock();
-        let Some(links) = all.get_mut(&endpoint) else {
+    fn close_suspect(&self, endpoint: SocketAddr, since: Instant) {
+        let mut all = self.connections.lock();
+        let Some(connections) = all.get_mut(&endpoint) else {
             return;
         };
-        let before = links.idle.len();
-        links.idle.retain(|link| link.since > since);
-        let dropped = before - links.idle.len();
-        tracing::debug!(%endpoint, dropped, "endpoint gave no answer");
+        let size_before = connections.idle.len();
+        connections
+            .idle
+            .retain(|connection| connection.last_used > since);
+        let dropped = size_before - connections.idle.len();
+        tracing::debug!(%endpoint, dropped, "no response from endpoint; closed its idle connections");
     }
 
-    /// Closes connections that have been idle for long, and all to endpoints that
-    /// `serves` rejects.
-    pub fn sweep(&self, serves: impl Fn(SocketAddr) -> bool) {
-        let mut all = self.links.lock();
-        all.retain(|endpoint, links| {
-            let keep =
-                |link: &Connection| link.since.elapsed() <= self.keep && !link.sender.is_closed();
-            links.idle.retain(keep);
-            links
-                .answers
-                .retain(|answer| answer.came.elapsed() <= self.keep);
-            let empty = links.idle.is_empty() && links.answers.is_empty();
-            serves(*endpoint) && !empty
+    /// Closes connections that exceed the idle timeout, and all connections to endpoints
+    /// that `is_listed` rejects.
+    pub fn prune(&self, is_listed: impl Fn(SocketAddr) -> bool) {
+        let mut all = self.connections.lock();
+        all.retain(|endpoint, connections| {
+            let is_fresh = |connection: &Connection| {
+                connection.last_used.elapsed() <= self.idle_timeout
+                    && !connection.sender.is_closed()
+            };
+            connections.idle.retain(is_fresh);
+            connections
+                .responses
+                .retain(|response| response.received.elapsed() <= self.idle_timeout);
+            let empty = connections.idle.is_empty() && connections.responses.is_empty();
+            is_listed(*endpoint) && !empty
         });
     }
 
-    /// Idle connections.
+    /// Returns the number of idle connections.
     #[must_use]
     pub fn len(&self) -> usize {
-        let all = self.links.lock();
-        all.values().map(|links| links.idle.len()).sum()
+        let all = self.connections.lock();
+        all.values().map(|connections| connections.idle.len()).sum()
     }
 
-    /// Whether no connection is idle.
+    /// Returns whether no connection is idle.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// An attempt without an answer. Dropped as such, because its time is over or its caller
-/// has gone, it closes the endpoint's idle connections that have not answered lately:
-/// what silenced its own may have silenced them, and a request on each would wait too.
-pub struct Unanswered<'a> {
+/// An attempt that has no response yet. If it is dropped in this state, because of a
+/// timeout or because the caller disconnected, the endpoint's idle connections without a
+/// recent response are closed. They may have gone silent for the same reason, and a
+/// request on each of them would wait as well.
+pub struct PendingAttempt<'a> {
     pool: &'a ConnectionPool,
     endpoint: SocketAddr,
-    began: Instant,
-    over: bool,
+    started: Instant,
+    ended: bool,
 }
 
-impl Unanswered<'_> {
-    /// It has an answer, or its connection is broken.
-    pub fn end(mut self) {
-        self.over = true;
+impl PendingAttempt<'_> {
+    /// Ends the attempt after a response or a connection error.
+    pub fn complete(mut self) {
+        self.ended = true;
     }
 
-    /// Whether the endpoint answers others, and some endpoint does lately on a connection
-    /// that was open when it began; answers on newer ones say nothing of its own. One
-    /// gateway has too few connections to one endpoint to judge by these alone.
+    /// Returns whether the endpoint has responded to other requests since the attempt
+    /// started, and some endpoint has responded recently on a connection that was open at
+    /// that time. Responses on newer connections prove nothing about this one, and one
+    /// gateway has too few connections to one endpoint to decide by these alone.
     #[must_use]
-    pub fn is_vouched(&self) -> bool {
+    pub fn should_keep_waiting(&self) -> bool {
         let pool = self.pool;
-        pool.has_answered(self.endpoint, self.began) && pool.has_heard(self.began, self.lately())
+        pool.has_responded(self.endpoint, self.started)
+            && pool.older_connection_responded(self.started, self.recent_since())
     }
 
-    fn lately(&self) -> Instant {
-        self.began + self.began.elapsed().mul_f64(VOUCH_SHARE)
+    fn recent_since(&self) -> Instant {
+        self.started + self.started.elapsed().mul_f64(RECENT_SHARE)
     }
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for PendingAttempt<'_> {
     fn drop(&mut self) {
-        if !self.over {
-            self.pool.distrust(self.endpoint, self.lately());
+        if !self.ended {
+            self.pool.close_suspect(self.endpoint, self.recent_since());
         }
     }
 }
 
-/// The timer that hyper's servers use.
+/// Returns the timer for hyper's servers.
 #[must_use]
 pub fn timer() -> TokioTimer {
     TokioTimer::new()
--- a/ashtiller/src/request/replayable_body.rs
+++ b/ashtiller/src/request/replayable_body.rs
@@ -1,4 +1,4 @@
-//! A caller's body between attempts.
+//! The body of a caller's request, kept for retries.
 
 use std::time::Duration;
 
@@ -13,73 +13,77 @@
 
 /// A request's body between attempts.
 pub enum ReplayableBody {
-    /// Kept whole; it can be sent again.
-    Kept(Bytes),
-    /// Streams once.
+    /// Buffered completely; it can be sent again.
+    Buffered(Bytes),
+    /// Streamed; it can be sent once.
     Stream(Box<Incoming>),
-    /// Has been streamed.
-    Spent,
+    /// Already streamed.
+    Consumed,
 }
 
-/// Sizes and time for a caller's body.
+/// Limits for a caller's body.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct BodyLimits {
     /// Largest body in bytes.
-    pub most: u64,
-    /// Largest body that is kept, in bytes.
-    pub keep: u64,
-    /// Time for a body that is kept.
-    pub time: Duration,
+    pub max_bytes: u64,
+    /// Largest body that is buffered, in bytes.
+    pub max_buffered_bytes: u64,
+    /// Time limit to read a body that is buffered.
+    pub buffer_timeout: Duration,
 }
 
 impl ReplayableBody {
-    /// Reads a body that is small enough to keep; a larger one, or one of unknown
-    /// size, streams.
+    /// Buffers a body that is small enough. A larger one, or one of unknown size, is
+    /// streamed.
     ///
     /// # Errors
-    /// The body is too large, too slow, or breaks off.
-    pub async fn open(body: Incoming, allowance: Allowance) -> Result<Self, LocalResponse> {
+    /// The body is too large, too slow or incomplete.
+    pub async fn open(body: Incoming, limits: BodyLimits) -> Result<Self, LocalResponse> {
         let size = body.size_hint();
-        if size.lower() > allowance.most {
-            return Err(LocalResponse::wrong(
+        if size.lower() > limits.max_bytes {
+            return Err(LocalResponse::rejected(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "the body is too large",
             ));
         }
-        if size.upper().is_none_or(|size| size > allowance.keep) {
+        if size
+            .upper()
+            .is_none_or(|size| size > limits.max_buffered_bytes)
+        {
             return Ok(Self::Stream(Box::new(body)));
         }
-        let late = |_| LocalResponse::wrong(StatusCode::REQUEST_TIMEOUT, "the body came too late");
-        let broken = |_| LocalResponse::wrong(StatusCode::BAD_REQUEST, "the body broke off");
-        let read = time::timeout(allowance.time, body.collect());
-        Ok(Self::Kept(
-            read.await.map_err(late)?.map_err(broken)?.to_bytes(),
+        let late =
+            |_| LocalResponse::rejected(StatusCode::REQUEST_TIMEOUT, "the body came too late");
+        let incomplete = |_| LocalResponse::rejected(StatusCode::BAD_REQUEST, "the body broke off");
+        let read = time::timeout(limits.buffer_timeout, body.collect());
+        Ok(Self::Buffered(
+            read.await.map_err(late)?.map_err(incomplete)?.to_bytes(),
         ))
     }
 
-    /// Whether nothing is left to send.
+    /// Returns whether the body was streamed and can't be sent again.
     #[must_use]
-    pub fn is_spent(&self) -> bool {
-        matches!(self, Self::Spent)
+    pub fn is_consumed(&self) -> bool {
+        matches!(self, Self::Consumed)
     }
 
-    /// The body for one attempt, of at most `limit` bytes.
+    /// Returns the body for one attempt; a streamed one may have at most `limit` bytes.
     pub fn take(&mut self, limit: u64) -> RequestBody {
-        match std::mem::replace(self, Self::Spent) {
-            Self::Kept(bytes) => {
-                *self = Self::Kept(bytes.clone());
-                RequestBody::Kept(Full::new(bytes))
+        match std::mem::replace(self, Self::Consumed) {
+            Self::Buffered(bytes) => {
+                *self = Self::Buffered(bytes.clone());
+                RequestBody::Buffered(Full::new(bytes))
             }
             Self::Stream(body) => RequestBody::Stream {
                 body: *body,
                 left: limit,
             },
-            Self::Spent => RequestBody::Kept(Full::default()),
+            Self::Consumed => RequestBody::Buffered(Full::default()),
         }
     }
 
-    /// Takes back a body of which nothing was sent.
-    pub fn give_back(&mut self, body: RequestBody) {
+    /// Takes back a body of which nothing was sent, so that it can be sent again.
+    pub fn restore(&mut self, body: RequestBody) {
         if let RequestBody::Stream { body, .. } = body {
             *self = Self::Stream(Box::new(body));
         }
--- a/ashtiller/src/request/request_body.rs
+++ b/ashtiller/src/request/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a request on its way to an endpoint.
+//! The body of a request to an endpoint.
 
 use std::fmt;
 use std::pin::Pin;
@@ -8,30 +8,30 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 
-/// A body that was kept for a retry, or one that streams through.
+/// A request body, buffered for retries or streamed.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// Kept whole.
-    Kept(Full<Bytes>),
-    /// Streams; `left` more bytes are allowed.
+    /// Buffered completely.
+    Buffered(Full<Bytes>),
+    /// Streamed from the caller, with a limit on its size.
     Stream {
         /// The caller's body.
         body: Incoming,
-        /// Bytes still allowed.
+        /// Remaining bytes allowed.
         left: u64,
     },
 }
 
-/// Why a body could not be sent on.
+/// Error that ends the forwarding of a body.
 #[derive(Debug)]
-pub enum Broken {
+pub enum RequestBodyError {
     /// The caller's connection failed.
     Caller(hyper::Error),
-    /// The body is larger than the limit.
+    /// The body exceeds the limit.
     TooLarge,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for RequestBodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Caller(error) => write!(f, "reading the caller's body: {error}"),
@@ -40,28 +40,30 @@
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for RequestBodyError {}
 
 impl Body for RequestBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = RequestBodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, RequestBodyError>>> {
         match &mut *self {
-            Self::Kept(body) => Pin::new(body)
+            Self::Buffered(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
             Self::Stream { body, left } => {
-                let polled = Pin::new(body).poll_frame(context).map_err(Broken::Caller);
+                let polled = Pin::new(body)
+                    .poll_frame(context)
+                    .map_err(RequestBodyError::Caller);
                 let Poll::Ready(Some(Ok(frame))) = polled else {
                     return polled;
                 };
                 let size = frame.data_ref().map_or(0, Buf::remaining) as u64;
                 if size > *left {
-                    return Poll::Ready(Some(Err(Broken::TooLarge)));
+                    return Poll::Ready(Some(Err(RequestBodyError::TooLarge)));
                 }
                 *left -= size;
                 Poll::Ready(Some(Ok(frame)))
@@ -71,14 +73,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Kept(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
             Self::Stream { body, .. } => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Kept(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Stream { body, .. } => body.size_hint(),
         }
     }
--- a/ashtiller/src/request/request_queue.rs
+++ b/ashtiller/src/request/request_queue.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for a slot: fair between client accounts, urgent first.
+//! Queue of requests that wait for a slot: latency-critical before batch, round robin
+//! between client accounts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -6,50 +7,51 @@
 
 use crate::template::Class;
 
-/// One batch request is served after this many latency-critical ones, so that
-/// batch work is slowed but never starved.
-const BATCH_EVERY: u32 = 16;
+/// Latency-critical requests served before one batch request, so that batch requests
+/// are delayed but never starved.
+const CRITICAL_PER_BATCH: u32 = 16;
 
-/// A request that waits or asks for a slot.
+/// A request for a slot, queued or new.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AdmissionRequest {
-    /// Number of the request, unique in this gateway.
+    /// Id of the request, unique in this gateway.
     pub id: u64,
     /// Client account.
     pub account: Arc<str>,
     /// Class of the service for this account.
     pub class: Class,
-    /// When the answer must be there.
+    /// Time by which the caller needs the response, since the gateway's start.
     pub deadline: Duration,
-    /// Most requests of the account in flight.
+    /// Largest number of requests of the account in flight.
     pub max_in_flight: u32,
-    /// Most requests of the account that wait.
+    /// Largest number of queued requests of the account.
     pub max_queued: u32,
-    /// Endpoint that just failed this request.
+    /// Id of the endpoint that just failed this request.
     pub avoid: Option<u64>,
 }
 
 #[derive(Debug, Default)]
-struct Lane {
+struct ClassQueue {
     accounts: BTreeMap<Arc<str>, VecDeque<AdmissionRequest>>,
-    turns: VecDeque<Arc<str>>,
+    rotation: VecDeque<Arc<str>>,
 }
 
-impl Lane {
-    fn push(&mut self, ticket: AdmissionRequest) {
-        let waiting = self.accounts.entry(ticket.account.clone()).or_default();
+impl ClassQueue {
+    fn push(&mut self, request: AdmissionRequest) {
+        let waiting = self.accounts.entry(request.account.clone()).or_default();
         if waiting.is_empty() {
-            self.turns.push_back(ticket.account.clone());
+            self.rotation.push_back(request.account.clone());
         }
-        waiting.push_back(ticket);
+        waiting.push_back(request);
     }
 
-    /// Takes the next ticket in turn whose account `may` have another in flight.
-    fn pop(&mut self, may: &dyn Fn(&AdmissionRequest) -> bool) -> Option<AdmissionRequest> {
-        for _ in 0..self.turns.len() {
-            let account = self.turns.pop_front()?;
+    /// Takes the next request, in round-robin order of the accounts, that `may_start`
+    /// accepts.
+    fn pop(&mut self, may_start: &dyn Fn(&AdmissionRequest) -> bool) -> Option<AdmissionRequest> {
+        for _ in 0..self.rotation.len() {
+            let account = self.rotation.pop_front()?;
             let waiting = self.accounts.get_mut(&account)?;
-            let ticket = if waiting.front().is_some_and(may) {
+            let request = if waiting.front().is_some_and(may_start) {
                 waiting.pop_front()
             } else {
                 None
@@ -57,10 +59,10 @@
             if waiting.is_empty() {
                 self.accounts.remove(&account);
             } else {
-                self.turns.push_back(account);
+                self.rotation.push_back(account);
             }
-            if ticket.is_some() {
-                return ticket;
+            if request.is_some() {
+                return request;
             }
         }
         None
@@ -70,12 +72,12 @@
         let Some(waiting) = self.accounts.get_mut(account) else {
             return false;
         };
-        let before = waiting.len();
-        waiting.retain(|ticket| ticket.id != id);
-        let removed = waiting.len() < before;
+        let size_before = waiting.len();
+        waiting.retain(|request| request.id != id);
+        let removed = waiting.len() < size_before;
         if waiting.is_empty() {
             self.accounts.remove(account);
-            self.turns.retain(|name| name != account);
+            self.rotation.retain(|name| name != account);
         }
         removed
     }
@@ -85,49 +87,50 @@
     }
 }
 
-/// All waiting requests of one service.
+/// All queued requests of one service.
 #[derive(Debug, Default)]
 pub struct RequestQueue {
-    urgent: Lane,
-    batch: Lane,
-    served: u32,
+    critical: ClassQueue,
+    batch: ClassQueue,
+    critical_in_row: u32,
     size: usize,
 }
 
 impl RequestQueue {
-    /// Number of waiting requests.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.size
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.size == 0
     }
 
-    /// Waiting requests of one account.
+    /// Returns the number of queued requests of one account.
     #[must_use]
     pub fn waiting(&self, account: &str) -> usize {
-        self.urgent.waiting(account) + self.batch.waiting(account)
+        self.critical.waiting(account) + self.batch.waiting(account)
     }
 
-    /// Requests that a new one of `account` and `class` would wait for.
+    /// Returns the number of requests that would be served before a new one of
+    /// `account` and `class`.
     #[must_use]
     pub fn requests_ahead(&self, account: &str, class: Class) -> usize {
-        let lane = match class {
-            Class::LatencyCritical => &self.urgent,
+        let queue = match class {
+            Class::LatencyCritical => &self.critical,
             Class::Batch => &self.batch,
         };
-        let own = lane.waiting(account);
-        let others: usize = lane
+        let own = queue.waiting(account);
+        let others: usize = queue
             .accounts
             .iter()
             .filter(|(name, _)| &***name != account)
             .map(|(_, waiting)| waiting.len().min(own + 1))
             .sum();
-        let before = match class {
+        let critical = match class {
             Class::LatencyCritical => 0,
             Class::Batch => {
                 self.size
@@ -139,37 +142,44 @@
                         .sum::<usize>()
             }
         };
-        own + others + before
+        own + others + critical
     }
 
-    /// Adds a request at the end of its account's turn.
-    pub fn push(&mut self, ticket: AdmissionRequest) {
+    /// Adds a request at the end of its account's queue.
+    pub fn push(&mut self, request: AdmissionRequest) {
         self.size += 1;
-        match ticket.class {
-            Class::LatencyCritical => self.urgent.push(ticket),
-            Class::Batch => self.batch.push(ticket),
+        match request.class {
+            Class::LatencyCritical => self.critical.push(request),
+            Class::Batch => self.batch.push(request),
         }
     }
 
-    /// Takes the next request whose account `may` have another in flight.
-    pub fn pop(&mut self, may: &dyn Fn(&AdmissionRequest) -> bool) -> Option<AdmissionRequest> {
-        let batch_first = self.served >= BATCH_EVERY;
-        let ticket = if batch_first {
-            self.batch.pop(may).or_else(|| self.urgent.pop(may))
+    /// Takes the next request that `may_start` accepts.
+    pub fn pop(
+        &mut self,
+        may_start: &dyn Fn(&AdmissionRequest) -> bool,
+    ) -> Option<AdmissionRequest> {
+        let batch_due = self.critical_in_row >= CRITICAL_PER_BATCH;
+        let request = if batch_due {
+            self.batch
+                .pop(may_start)
+                .or_else(|| self.critical.pop(may_start))
         } else {
-            self.urgent.pop(may).or_else(|| self.batch.pop(may))
+            self.critical
+                .pop(may_start)
+                .or_else(|| self.batch.pop(may_start))
         }?;
-        match ticket.class {
-            Class::LatencyCritical => self.served = self.served.saturating_add(1),
-            Class::Batch => self.served = 0,
+        match request.class {
+            Class::LatencyCritical => self.critical_in_row = self.critical_in_row.saturating_add(1),
+            Class::Batch => self.critical_in_row = 0,
         }
         self.size -= 1;
-        Some(ticket)
+        Some(request)
     }
 
-    /// Removes a request that gave up; false when it no longer waits.
+    /// Removes a request. Returns false if it is no longer queued.
     pub fn remove(&mut self, account: &Arc<str>, id: u64) -> bool {
-        let removed = self.urgent.remove(account, id) || self.batch.remove(account, id);
+        let removed = self.critical.remove(account, id) || self.batch.remove(account, id);
         self.size -= usize::from(removed);
         removed
     }
--- a/ashtiller/src/request/response_body.rs
+++ b/ashtiller/src/request/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller.
+//! The body of a response to the caller.
 
 use std::fmt;
 use std::pin::Pin;
@@ -16,102 +16,110 @@
 use crate::pool::Connection;
 use crate::service_dispatcher::SlotGuard;
 
-/// A slot and a connection in use by one request.
-pub struct Flight {
+/// A request in progress, with its slot and its connection.
+pub struct Exchange {
     /// Slot at the endpoint.
     pub slot: SlotGuard,
-    /// Connection that carries it.
-    pub link: Connection,
-    /// Whether the endpoint will close the connection.
+    /// Connection that carries the request.
+    pub connection: Connection,
+    /// Whether the endpoint closes the connection after this response.
     pub closes: bool,
-    /// Whether the answer is an error of the endpoint.
+    /// Whether the response has a status of 500 or above.
     pub failed: bool,
-    /// Counters.
-    pub tally: Arc<GatewayMetrics>,
+    /// Metrics of the gateway.
+    pub metrics: Arc<GatewayMetrics>,
 }
 
-impl Flight {
-    /// The whole answer was read.
+impl Exchange {
+    /// Records a response that was read completely and reuses the connection.
     fn complete(mut self) {
-        let pool = &self.slot.desk().pool;
-        let sample = if self.failed {
+        let pool = &self.slot.service().pool;
+        let result = if self.failed {
             RequestResult::Failure
         } else {
-            pool.note_answer(&self.link);
+            pool.record_response(&self.connection);
             RequestResult::Success(self.slot.elapsed())
         };
         if !self.closes {
-            pool.give_back(self.link);
+            pool.release(self.connection);
         }
-        self.slot.set_result(sample);
+        self.slot.set_result(result);
     }
 
-    /// The answer was cut by the endpoint.
-    fn cut(mut self) {
-        self.tally.cut.inc();
+    /// Records a response that the endpoint did not complete.
+    fn truncate(mut self) {
+        self.metrics.truncated.inc();
         self.slot.set_result(RequestResult::Failure);
     }
 }
 
-/// The body of an answer: the gateway's own, or an endpoint's.
+/// The body of a response, from the gateway itself or from an endpoint.
 pub enum ResponseBody {
-    /// The gateway's own answer.
-    Own(Full<Bytes>),
-    /// An endpoint's answer.
+    /// Body of a response that the gateway generated.
+    Local(Full<Bytes>),
+    /// Body of an endpoint's response.
     Stream(Box<Stream>),
 }
 
-/// A body that streams from an endpoint.
+/// A body streamed from an endpoint.
 pub struct Stream {
     body: Incoming,
-    flight: Option<Flight>,
-    stall: Pin<Box<Sleep>>,
+    exchange: Option<Exchange>,
+    stall_timer: Pin<Box<Sleep>>,
     limit: Duration,
 }
 
-/// Why an answer ended early; the caller's connection is closed.
+/// Error that ends a response early; the caller's connection is then closed.
 #[derive(Debug)]
-pub enum Cut {
+pub enum ResponseBodyError {
     /// The endpoint's connection failed.
     Endpoint(hyper::Error),
-    /// The endpoint sent nothing for too long.
+    /// The endpoint sent no data within the time limit.
     Stalled,
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for ResponseBodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Endpoint(error) => write!(f, "reading the endpoint's answer: {error}"),
-            Self::Stalled => write!(f, "reading the endpoint's answer: nothing came"),
+            Self::Endpoint(error) => write!(f, "reading the endpoint's response: {error}"),
+            Self::Stalled => write!(
+                f,
+                "reading the endpoint's response: no data within the time limit"
+            ),
         }
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for ResponseBodyError {}
 
 impl ResponseBody {
-    /// Streams `body`; nothing for `limit` cuts it.
+    /// Streams `body`, and ends it with an error after `limit` without data.
     #[must_use]
-    pub fn stream(body: Incoming, flight: Flight, limit: Duration) -> Self {
+    pub fn stream(body: Incoming, exchange: Exchange, limit: Duration) -> Self {
         if body.is_end_stream() {
-            flight.complete();
-            return Self::Own(Full::default());
+            exchange.complete();
+            return Self::Local(Full::default());
         }
-        let stall = Box::pin(time::sleep(limit));
+        let stall_timer = Box::pin(time::sleep(limit));
         Self::Stream(Box::new(Stream {
             body,
-            flight: Some(flight),
-            stall,
+            exchange: Some(exchange),
+            stall_timer,
             limit,
         }))
     }
 }
 
 impl Stream {
-    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.stall.as_mut().reset(time::Instant::now() + self.limit);
+                self.stall_timer
+                    .as_mut()
+                    .reset(time::Instant::now() + self.limit);
                 if self.body.is_end_stream() {
                     self.finish();
                 }
@@ -121,38 +129,41 @@
                 self.finish();
                 Poll::Ready(None)
             }
-            Poll::Ready(Some(Err(error))) => self.fail(Cut::Endpoint(error)),
-            Poll::Pending if self.stall.as_mut().poll(context).is_ready() => {
-                self.fail(Cut::Stalled)
+            Poll::Ready(Some(Err(error))) => self.fail(ResponseBodyError::Endpoint(error)),
+            Poll::Pending if self.stall_timer.as_mut().poll(context).is_ready() => {
+                self.fail(ResponseBodyError::Stalled)
             }
             Poll::Pending => Poll::Pending,
         }
     }
 
     fn finish(&mut self) {
-        if let Some(flight) = self.flight.take() {
-            flight.complete();
+        if let Some(exchange) = self.exchange.take() {
+            exchange.complete();
         }
     }
 
-    fn fail(&mut self, cut: Cut) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        if let Some(flight) = self.flight.take() {
-            flight.cut();
+    fn fail(
+        &mut self,
+        error: ResponseBodyError,
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
+        if let Some(exchange) = self.exchange.take() {
+            exchange.truncate();
         }
-        Poll::Ready(Some(Err(cut)))
+        Poll::Ready(Some(Err(error)))
     }
 }
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = ResponseBodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseBodyError>>> {
         match &mut *self {
-            Self::Own(body) => Pin::new(body)
+            Self::Local(body) => Pin::new(body)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
             Self::Stream(stream) => stream.poll(context),
@@ -161,14 +172,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Own(body) => body.is_end_stream(),
+            Self::Local(body) => body.is_end_stream(),
             Self::Stream(stream) => stream.body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Own(body) => body.size_hint(),
+            Self::Local(body) => body.size_hint(),
             Self::Stream(stream) => stream.body.size_hint(),
         }
     }
--- a/ashtiller/src/request/retry_budget.rs
+++ b/ashtiller/src/request/retry_budget.rs
@@ -1,9 +1,10 @@
-//! A budget for retries: a share of first attempts, with a small reserve.
+//! Retry budget: retries are limited to a share of first attempts, with a small reserve.
 
-/// Retries allowed before any first attempt was counted.
-const RESERVE: f64 = 5.0;
+/// Retries allowed before the first attempt is counted. The budget never holds more
+/// than ten times as many.
+const INITIAL_TOKENS: f64 = 5.0;
 
-/// Tokens that first attempts earn and retries spend.
+/// Token bucket that first attempts fill and retries drain.
 #[derive(Debug)]
 pub struct RetryBudget {
     share: f64,
@@ -11,21 +12,21 @@
 }
 
 impl RetryBudget {
-    /// A budget of `share` retries for each first attempt.
+    /// Creates a budget that allows `share` retries for each first attempt.
     #[must_use]
     pub fn new(share: f64) -> Self {
         Self {
             share,
-            tokens: RESERVE,
+            tokens: INITIAL_TOKENS,
         }
     }
 
-    /// Counts a first attempt.
+    /// Adds the share of one first attempt.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + self.share).min(RESERVE * 10.0);
+        self.tokens = (self.tokens + self.share).min(INITIAL_TOKENS * 10.0);
     }
 
-    /// Takes one retry; false when the budget is spent.
+    /// Takes one retry. Returns false if the budget is exhausted.
     #[must_use]
     pub fn withdraw(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
--- a/ashtiller/src/request/router.rs
+++ b/ashtiller/src/request/router.rs
@@ -1,9 +1,8 @@
-//! A caller's request on its way through the gateway.
+//! Routing of a caller's request to an endpoint.
 //!
-//! A request is checked, gets a slot, and is sent. What may be repeated is sent
-//! again after a failure, within the deadline and a budget; everything else is
-//! sent at most once. Once a request may have run, no later refusal may call it
-//! not run.
+//! A request is validated, gets a slot and is sent. A repeatable request is retried
+//! after a failure, within its deadline and the retry budget; any other is sent at
+//! most once. Once a request may have run, no later refusal reports it as not run.
 
 use std::collections::HashMap;
 use std::pin::pin;
@@ -27,40 +26,41 @@
 use crate::headers;
 use crate::health::RequestResult;
 use crate::outcome::{self, LocalResponse, Outcome};
-use crate::pool::{Connection, Unanswered};
-use crate::replayable_body::{Allowance, ReplayableBody};
+use crate::pool::{Connection, PendingAttempt};
+use crate::replayable_body::{BodyLimits, ReplayableBody};
 use crate::request_body::RequestBody;
 use crate::request_head;
 use crate::request_queue::AdmissionRequest;
-use crate::response_body::{Flight, ResponseBody};
+use crate::response_body::{Exchange, ResponseBody};
 use crate::service_dispatcher::{Admitted, ServiceDispatcher, SlotGuard};
 use crate::settings;
 use crate::template::Service;
 
-/// Header in which the gateway names the endpoint that answered.
-const ENDPOINT: HeaderName = HeaderName::from_static("ashtiller-endpoint");
-/// Attempts for one request.
+/// Response header that names the endpoint that responded.
+const ENDPOINT_HEADER: HeaderName = HeaderName::from_static("ashtiller-endpoint");
+/// Largest number of attempts for one request.
 const ATTEMPTS_MAX: u32 = 3;
-/// Share of the time left that a first attempt of a repeatable request may take.
-const FIRST_SHARE: f64 = 0.6;
-/// When to come back after a failure that says nothing of the backlog.
-const AFTER: Duration = Duration::from_millis(500);
+/// Share of the remaining time that the first attempt of a repeatable request may take.
+const FIRST_ATTEMPT_SHARE: f64 = 0.6;
+/// Time to retry after a failure that says nothing about the backlog.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
+
 /// Routes callers' requests.
 pub struct Router {
     settings: settings::Gateway,
     config: Arc<Config>,
     claims: ClaimWriter,
-    tally: Arc<GatewayMetrics>,
+    metrics: Arc<GatewayMetrics>,
     clock: Arc<dyn Clock>,
-    desks: RwLock<HashMap<Arc<str>, Arc<ServiceDispatcher>>>,
+    services: RwLock<HashMap<Arc<str>, Arc<ServiceDispatcher>>>,
     ids: AtomicU64,
-    life: u64,
+    nonce_base: u64,
 }
 
-/// What a request asks for.
+/// A validated request: its service, limits and target.
 struct Plan {
-    desk: Arc<ServiceDispatcher>,
-    service: Service,
+    service: Arc<ServiceDispatcher>,
+    settings: Service,
     account: Arc<str>,
     deadline: Duration,
     repeat: bool,
@@ -68,18 +68,18 @@
     target: Uri,
 }
 
-/// State of a request over its attempts.
-struct Course {
+/// State of a request across its attempts.
+struct RequestState {
     attempts: u32,
     avoid: Option<u64>,
     claimed: Option<Box<str>>,
     may_have_run: bool,
 }
 
-/// The end of one attempt.
+/// Result of one attempt.
 enum Attempt {
-    /// An answer for the caller.
-    Answer(Response<ResponseBody>),
+    /// An endpoint's response for the caller.
+    Response(Response<ResponseBody>),
     /// The endpoint did not run it.
     NotRun(LocalResponse),
     /// The endpoint may have run it.
@@ -87,67 +87,67 @@
 }
 
 impl Router {
-    /// A router without services; [`Router::add_desk`] brings them.
+    /// Creates a router without services; [`Router::add_service`] adds them.
     #[must_use]
     pub fn new(
         settings: settings::Gateway,
         config: Arc<Config>,
         claims: ClaimWriter,
-        tally: Arc<GatewayMetrics>,
+        metrics: Arc<GatewayMetrics>,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
         Arc::new(Self {
             settings,
             config,
             claims,
-            tally,
+            metrics,
             clock,
-            desks: RwLock::default(),
+            services: RwLock::default(),
             ids: AtomicU64::new(1),
-            life: rand::random(),
+            nonce_base: rand::random(),
         })
     }
 
-    /// The services.
+    /// Returns all services.
     #[must_use]
     pub fn services(&self) -> Vec<Arc<ServiceDispatcher>> {
-        self.desks.read().values().cloned().collect()
+        self.services.read().values().cloned().collect()
     }
 
-    /// One service.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, service: &str) -> Option<Arc<ServiceDispatcher>> {
-        self.desks.read().get(service).cloned()
+        self.services.read().get(service).cloned()
     }
 
     /// Adds a service.
-    pub fn add_service(&self, service: &Arc<str>, desk: Arc<ServiceDispatcher>) {
-        self.desks.write().insert(service.clone(), desk);
+    pub fn add_service(&self, service: &Arc<str>, dispatcher: Arc<ServiceDispatcher>) {
+        self.services.write().insert(service.clone(), dispatcher);
     }
 
-    /// Serves one request.
+    /// Serves one request and records its latency and result.
     pub async fn serve(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        self.tally.requests.inc();
-        let began = self.clock.now();
+        self.metrics.requests.inc();
+        let started = self.clock.now();
         let served = self.try_serve(request).await;
-        self.tally.requests.dec();
+        self.metrics.requests.dec();
         match served {
-            Ok(answer) => {
-                let took = self.clock.now().saturating_sub(began);
-                self.tally.latency.observe(took.as_secs_f64());
-                answer
+            Ok(response) => {
+                let elapsed = self.clock.now().saturating_sub(started);
+                self.metrics.latency.observe(elapsed.as_secs_f64());
+                response
             }
-            Err(verdict) => self.end(&verdict),
+            Err(response) => self.finish_locally(&response),
         }
     }
 
-    fn end(&self, verdict: &LocalResponse) -> Response<ResponseBody> {
-        self.tally
+    fn finish_locally(&self, response: &LocalResponse) -> Response<ResponseBody> {
+        self.metrics
             .ended
-            .with_label_values(&[verdict.outcome.name()])
+            .with_label_values(&[response.outcome.name()])
             .inc();
         let jitter = rand::rng().random_range(0.0..1.0);
-        verdict.answer(jitter).map(ResponseBody::Own)
+        response.to_response(jitter).map(ResponseBody::Local)
     }
 
     async fn try_serve(
@@ -155,59 +155,67 @@
         request: Request<Incoming>,
     ) -> Result<Response<ResponseBody>, LocalResponse> {
         let (head, incoming) = request.into_parts();
-        let plan = self.plan(&head).inspect_err(|_| self.tally.wrong.inc())?;
-        let mut body = ReplayableBody::open(incoming, self.allowance(&plan))
+        let plan = self
+            .plan(&head)
+            .inspect_err(|_| self.metrics.rejected.inc())?;
+        let mut body = ReplayableBody::open(incoming, self.body_limits(&plan))
             .await
-            .inspect_err(|_| self.tally.wrong.inc())?;
-        plan.desk.budget.lock().deposit();
-        let mut course = Course {
+            .inspect_err(|_| self.metrics.rejected.inc())?;
+        plan.service.budget.lock().deposit();
+        let mut state = RequestState {
             attempts: 0,
             avoid: None,
             claimed: None,
             may_have_run: false,
         };
         loop {
-            let verdict = match self.attempt(&plan, &mut course, &head, &mut body).await {
-                Attempt::Answer(answer) => return Ok(answer),
-                Attempt::NotRun(verdict) if body.is_spent() => verdict,
-                Attempt::NotRun(verdict) => {
-                    if self.may_retry(&plan, &course, &verdict) {
+            let response = match self.attempt(&plan, &mut state, &head, &mut body).await {
+                Attempt::Response(response) => return Ok(response),
+                Attempt::NotRun(response) if body.is_consumed() => response,
+                Attempt::NotRun(response) => {
+                    if self.may_retry(&plan, &state, &response) {
                         continue;
                     }
-                    verdict
+                    response
                 }
-                Attempt::Unknown(verdict) => {
-                    course.may_have_run = true;
-                    let retry = plan.repeat && !body.is_spent();
-                    if retry && self.may_retry(&plan, &course, &verdict) {
+                Attempt::Unknown(response) => {
+                    state.may_have_run = true;
+                    let retry = plan.repeat && !body.is_consumed();
+                    if retry && self.may_retry(&plan, &state, &response) {
                         continue;
                     }
-                    verdict
+                    response
                 }
             };
-            return Err(self.conclude(&plan, &course, verdict));
+            return Err(self.conclude(&plan, &state, response));
         }
     }
 
-    /// The last word on a request: never "not run" once it may have run.
-    fn conclude(&self, plan: &Plan, course: &Course, mut verdict: LocalResponse) -> LocalResponse {
-        if course.may_have_run {
-            verdict.outcome = Outcome::Unknown;
-            return verdict;
+    /// Determines the final response to a failed request. It never says "not run" once
+    /// the request may have run; otherwise the idempotency key is released.
+    fn conclude(
+        &self,
+        plan: &Plan,
+        state: &RequestState,
+        mut response: LocalResponse,
+    ) -> LocalResponse {
+        if state.may_have_run {
+            response.outcome = Outcome::Unknown;
+            return response;
         }
-        if let (Some(key), Some(claim)) = (&course.claimed, &plan.claim) {
+        if let (Some(key), Some(claim)) = (&state.claimed, &plan.claim) {
             self.claims.release(key.clone(), claim);
         }
-        verdict
+        response
     }
 
     fn plan(&self, head: &request::Parts) -> Result<Plan, LocalResponse> {
-        headers::check(&head.method, head.version, &head.headers)?;
-        let wrong = LocalResponse::wrong;
+        headers::validate(&head.method, head.version, &head.headers)?;
+        let rejected = LocalResponse::rejected;
         let (service, target) = request_head::split_target(&head.uri)
-            .ok_or_else(|| wrong(StatusCode::BAD_REQUEST, "the path names no service"))?;
+            .ok_or_else(|| rejected(StatusCode::BAD_REQUEST, "the path names no service"))?;
         let account = request_head::header(head, request_head::ACCOUNT).ok_or_else(|| {
-            wrong(
+            rejected(
                 StatusCode::FORBIDDEN,
                 "the header client-account is missing",
             )
@@ -216,17 +224,17 @@
         let (account, template) = force
             .templates
             .get_key_value(account)
-            .ok_or_else(|| wrong(StatusCode::FORBIDDEN, "this client account is not known"))?;
+            .ok_or_else(|| rejected(StatusCode::FORBIDDEN, "this client account is not known"))?;
         let known = template.services.get(service);
         let settings = known.ok_or_else(|| {
-            wrong(
+            rejected(
                 StatusCode::NOT_FOUND,
                 "the client account has no such service",
             )
         })?;
-        let desk = self.service(service).ok_or_else(|| {
+        let dispatcher = self.service(service).ok_or_else(|| {
             let reason = "the service is not open yet";
-            LocalResponse::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
+            LocalResponse::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, RETRY_AFTER)
         })?;
         let timeout = request_head::read_timeout(head)?
             .map_or(settings.timeout, |own| own.min(settings.timeout));
@@ -237,8 +245,8 @@
             self.read_claim(head, account)?
         };
         Ok(Plan {
-            desk,
-            service: settings.clone(),
+            service: dispatcher,
+            settings: settings.clone(),
             account: account.clone(),
             deadline: self.clock.now() + timeout,
             repeat,
@@ -247,12 +255,12 @@
         })
     }
 
-    fn allowance(&self, plan: &Plan) -> Allowance {
-        let time = plan.deadline.saturating_sub(self.clock.now());
-        Allowance {
-            most: self.settings.max_body_bytes,
-            keep: self.settings.max_replay_bytes,
-            time,
+    fn body_limits(&self, plan: &Plan) -> BodyLimits {
+        let remaining = plan.deadline.saturating_sub(self.clock.now());
+        BodyLimits {
+            max_bytes: self.settings.max_body_bytes,
+            max_buffered_bytes: self.settings.max_replay_bytes,
+            buffer_timeout: remaining,
         }
     }
 
@@ -265,7 +273,7 @@
             return Ok(None);
         };
         let nonce = self
-            .life
+            .nonce_base
             .wrapping_add(self.ids.fetch_add(1, Ordering::Relaxed));
         Ok(Some(Claim {
             account: account.clone(),
@@ -274,58 +282,64 @@
         }))
     }
 
-    fn may_retry(&self, plan: &Plan, course: &Course, verdict: &LocalResponse) -> bool {
-        // A refusal of the admission is final; only what an endpoint did is retried.
-        let refused = verdict.status == StatusCode::TOO_MANY_REQUESTS || course.avoid.is_none();
-        if refused || course.attempts >= ATTEMPTS_MAX || self.clock.now() >= plan.deadline {
+    fn may_retry(&self, plan: &Plan, state: &RequestState, response: &LocalResponse) -> bool {
+        // A refused admission is final; only failures at an endpoint are retried.
+        let refused = response.status == StatusCode::TOO_MANY_REQUESTS || state.avoid.is_none();
+        if refused || state.attempts >= ATTEMPTS_MAX || self.clock.now() >= plan.deadline {
             return false;
         }
-        let spent = plan.desk.budget.lock().withdraw();
-        if spent {
-            self.tally.retries.inc();
+        let allowed = plan.service.budget.lock().withdraw();
+        if allowed {
+            self.metrics.retries.inc();
         } else {
-            self.tally.unspent.inc();
+            self.metrics.retries_denied.inc();
         }
-        spent
+        allowed
     }
 
     async fn attempt(
         &self,
         plan: &Plan,
-        course: &mut Course,
+        state: &mut RequestState,
         head: &request::Parts,
         body: &mut ReplayableBody,
     ) -> Attempt {
-        let avoid = course.avoid.take();
-        course.attempts += 1;
-        let mut slot = match plan.desk.admit(self.ticket(plan, avoid)).await {
+        let avoid = state.avoid.take();
+        state.attempts += 1;
+        let mut slot = match plan
+            .service
+            .admit(self.admission_request(plan, avoid))
+            .await
+        {
             Admitted::Slot(slot) => slot,
-            Admitted::Refused(refusal) => return Attempt::NotRun(LocalResponse::refused(refusal)),
+            Admitted::Refused(refusal) => {
+                return Attempt::NotRun(LocalResponse::from_refusal(refusal));
+            }
             Admitted::TimedOut => {
                 let reason = "no slot became free before the deadline";
                 let status = StatusCode::SERVICE_UNAVAILABLE;
-                return Attempt::NotRun(LocalResponse::not_run(status, reason, AFTER));
+                return Attempt::NotRun(LocalResponse::not_run(status, reason, RETRY_AFTER));
             }
         };
-        if let Err(verdict) = self.claim(plan, course).await {
-            return Attempt::NotRun(verdict);
+        if let Err(response) = self.claim(plan, state).await {
+            return Attempt::NotRun(response);
         }
-        let Some(endpoint) = plan.desk.endpoint(slot.endpoint) else {
-            return Attempt::NotRun(unreachable_verdict());
+        let Some(endpoint) = plan.service.endpoint(slot.endpoint) else {
+            return Attempt::NotRun(unreachable_response());
         };
-        course.avoid = Some(slot.endpoint);
-        let Ok(link) = plan.desk.pool.checkout(endpoint.listing.address).await else {
+        state.avoid = Some(slot.endpoint);
+        let Ok(connection) = plan.service.pool.checkout(endpoint.listing.address).await else {
             slot.set_result(RequestResult::Failure);
-            return Attempt::NotRun(unreachable_verdict());
+            return Attempt::NotRun(unreachable_response());
         };
-        let limit = self.attempt_limit(plan, course, body);
+        let limit = self.attempt_limit(plan, state, body);
         self.send(
             plan,
             head,
             body,
-            Sending {
+            Prepared {
                 slot,
-                link,
+                connection,
                 endpoint,
                 limit,
             },
@@ -333,32 +347,32 @@
         .await
     }
 
-    fn ticket(&self, plan: &Plan, avoid: Option<u64>) -> AdmissionRequest {
+    fn admission_request(&self, plan: &Plan, avoid: Option<u64>) -> AdmissionRequest {
         AdmissionRequest {
             id: self.ids.fetch_add(1, Ordering::Relaxed),
             account: plan.account.clone(),
-            class: plan.service.class,
+            class: plan.settings.class,
             deadline: plan.deadline,
-            max_in_flight: plan.service.max_in_flight,
-            max_queued: plan.service.max_queued,
+            max_in_flight: plan.settings.max_in_flight,
+            max_queued: plan.settings.max_queued,
             avoid,
         }
     }
 
-    async fn claim(&self, plan: &Plan, course: &mut Course) -> Result<(), LocalResponse> {
-        let Some(claim) = plan.claim.as_ref().filter(|_| course.claimed.is_none()) else {
+    async fn claim(&self, plan: &Plan, state: &mut RequestState) -> Result<(), LocalResponse> {
+        let Some(claim) = plan.claim.as_ref().filter(|_| state.claimed.is_none()) else {
             return Ok(());
         };
         match self.claims.claim(claim.clone()).await {
             ClaimResult::Acquired(key) => {
-                self.tally.claimed.inc();
-                course.claimed = Some(key);
+                self.metrics.claimed.inc();
+                state.claimed = Some(key);
                 Ok(())
             }
             ClaimResult::AlreadyClaimed => {
-                self.tally.repeated.inc();
-                // This repeat is not sent, but the first request may have run.
-                course.may_have_run = true;
+                self.metrics.duplicates.inc();
+                // This request is not sent, but the earlier one may have run.
+                state.may_have_run = true;
                 let reason = "a request with this Idempotency-Key was sent before";
                 Err(LocalResponse::unknown(StatusCode::CONFLICT, reason))
             }
@@ -369,19 +383,20 @@
                 Err(LocalResponse::not_run(
                     StatusCode::SERVICE_UNAVAILABLE,
                     reason,
-                    AFTER,
+                    RETRY_AFTER,
                 ))
             }
         }
     }
 
-    fn attempt_limit(&self, plan: &Plan, course: &Course, body: &ReplayableBody) -> Duration {
-        let left = plan.deadline.saturating_sub(self.clock.now());
-        let again = plan.repeat && matches!(body, ReplayableBody::Kept(_)) && course.attempts == 1;
-        if again {
-            left.mul_f64(FIRST_SHARE)
+    fn attempt_limit(&self, plan: &Plan, state: &RequestState, body: &ReplayableBody) -> Duration {
+        let remaining = plan.deadline.saturating_sub(self.clock.now());
+        let retryable =
+            plan.repeat && matches!(body, ReplayableBody::Buffered(_)) && state.attempts == 1;
+        if retryable {
+            remaining.mul_f64(FIRST_ATTEMPT_SHARE)
         } else {
-            left
+            remaining
         }
     }
 
@@ -390,37 +405,37 @@
         plan: &Plan,
         head: &request::Parts,
         body: &mut ReplayableBody,
-        sending: Sending,
+        prepared: Prepared,
     ) -> Attempt {
-        let Sending {
+        let Prepared {
             mut slot,
-            mut link,
+            mut connection,
             endpoint,
             limit,
-        } = sending;
-        let request = build(plan, head, body.take(self.settings.max_body_bytes));
-        let exchange = link.sender.try_send_request(request);
-        let unanswered = plan.desk.pool.begin(endpoint.listing.address);
-        let waited = self.wait_answer(plan, limit, &unanswered, exchange).await;
+        } = prepared;
+        let request = build_request(plan, head, body.take(self.settings.max_body_bytes));
+        let exchange = connection.sender.try_send_request(request);
+        let pending = plan.service.pool.begin_attempt(endpoint.listing.address);
+        let waited = self.await_response(plan, limit, &pending, exchange).await;
         let answered = match waited {
-            Ok(Ok(answer)) => {
-                unanswered.end();
-                answer
+            Ok(Ok(response)) => {
+                pending.complete();
+                response
             }
             Ok(Err(mut error)) => {
-                unanswered.end();
+                pending.complete();
                 slot.set_result(RequestResult::Failure);
                 return match error.take_message() {
                     Some(request) => {
-                        body.give_back(request.into_body());
-                        Attempt::NotRun(unreachable_verdict())
+                        body.restore(request.into_body());
+                        Attempt::NotRun(unreachable_response())
                     }
-                    None => Attempt::Unknown(failed_verdict(error.error())),
+                    None => Attempt::Unknown(connection_failed_response(error.error())),
                 };
             }
             Err(_) => {
                 slot.set_result(RequestResult::Failure);
-                self.tally.unanswered.inc();
+                self.metrics.unanswered.inc();
                 let reason = "the endpoint gave no answer in time";
                 return Attempt::Unknown(LocalResponse::unknown(
                     StatusCode::GATEWAY_TIMEOUT,
@@ -431,74 +446,74 @@
         self.receive(
             plan,
             answered,
-            Flying {
+            Answered {
                 slot,
-                link,
+                connection,
                 endpoint,
             },
         )
     }
 
-    /// Waits for an answer for `limit`, and on to the deadline while the endpoint
-    /// answers others and connections of this one's age answer: then the request is slow,
-    /// and neither the endpoint nor the connection.
-    async fn wait_answer<T>(
+    /// Waits up to `limit` for a response. If the endpoint responds to other requests and
+    /// connections as old as this one still get responses, it waits until the deadline:
+    /// then the request itself is slow, and neither the endpoint nor the connection failed.
+    async fn await_response<T>(
         &self,
         plan: &Plan,
         limit: Duration,
-        unanswered: &Unanswered<'_>,
+        pending: &PendingAttempt<'_>,
         exchange: impl Future<Output = T>,
     ) -> Result<T, time::error::Elapsed> {
         let mut exchange = pin!(exchange);
         let first = time::timeout(limit, exchange.as_mut()).await;
-        if first.is_ok() || !unanswered.is_vouched() {
+        if first.is_ok() || !pending.should_keep_waiting() {
             return first;
         }
-        let left = plan.deadline.saturating_sub(self.clock.now());
-        time::timeout(left, exchange).await
+        let remaining = plan.deadline.saturating_sub(self.clock.now());
+        time::timeout(remaining, exchange).await
     }
 
-    fn receive(&self, plan: &Plan, answer: Response<Incoming>, flying: Flying) -> Attempt {
-        let Flying {
+    fn receive(&self, plan: &Plan, response: Response<Incoming>, answered: Answered) -> Attempt {
+        let Answered {
             mut slot,
-            link,
+            connection,
             endpoint,
-        } = flying;
-        let (mut head, body) = answer.into_parts();
-        let desk = &plan.desk;
-        let closes = headers::closes(&head.headers);
+        } = answered;
+        let (mut head, body) = response.into_parts();
+        let service = &plan.service;
+        let closes = headers::has_connection_close(&head.headers);
         if let Some(load) = headers::reported_load(&head.headers) {
-            desk.with_dispatch(|dispatch, now| dispatch.record_load(endpoint.id, load, now));
+            service.with_dispatch(|dispatch, now| dispatch.record_load(endpoint.id, load, now));
         }
-        if head.status == StatusCode::SERVICE_UNAVAILABLE && says_not_run(&head) {
+        if head.status == StatusCode::SERVICE_UNAVAILABLE && reports_not_run(&head) {
             slot.set_result(RequestResult::Ignored);
-            desk.with_dispatch(|dispatch, now| dispatch.mark_leaving(endpoint.id, now));
-            return Attempt::NotRun(unreachable_verdict());
+            service.with_dispatch(|dispatch, now| dispatch.mark_leaving(endpoint.id, now));
+            return Attempt::NotRun(unreachable_response());
         }
-        // An outcome is the gateway's word; an endpoint's answer carries none.
+        // Only the gateway sets the outcome header; one from an endpoint is removed.
         head.headers.remove(outcome::HEADER);
-        headers::strip(&mut head.headers);
+        headers::strip_hop_by_hop(&mut head.headers);
         if let Ok(name) = HeaderValue::from_str(&endpoint.listing.name) {
-            head.headers.insert(ENDPOINT, name);
+            head.headers.insert(ENDPOINT_HEADER, name);
         }
         let failed = head.status.is_server_error();
-        self.tally
+        self.metrics
             .answered
-            .with_label_values(&[class_of(head.status)])
+            .with_label_values(&[status_class(head.status)])
             .inc();
-        let flight = Flight {
+        let exchange = Exchange {
             slot,
-            link,
+            connection,
             closes,
             failed,
-            tally: self.tally.clone(),
+            metrics: self.metrics.clone(),
         };
-        let body = ResponseBody::stream(body, flight, plan.service.timeout);
-        Attempt::Answer(Response::from_parts(head, body))
+        let body = ResponseBody::stream(body, exchange, plan.settings.timeout);
+        Attempt::Response(Response::from_parts(head, body))
     }
 }
 
-fn build(plan: &Plan, head: &request::Parts, body: RequestBody) -> Request<RequestBody> {
+fn build_request(plan: &Plan, head: &request::Parts, body: RequestBody) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = plan.target.clone();
@@ -507,40 +522,40 @@
     request
 }
 
-struct Sending {
+struct Prepared {
     slot: SlotGuard,
-    link: Connection,
+    connection: Connection,
     endpoint: Endpoint,
     limit: Duration,
 }
 
-struct Flying {
+struct Answered {
     slot: SlotGuard,
-    link: Connection,
+    connection: Connection,
     endpoint: Endpoint,
 }
 
-fn says_not_run(head: &response::Parts) -> bool {
+fn reports_not_run(head: &response::Parts) -> bool {
     let outcome = head.headers.get(outcome::HEADER);
     outcome.is_some_and(|outcome| outcome == Outcome::NotRun.name())
 }
 
-fn unreachable_verdict() -> LocalResponse {
+fn unreachable_response() -> LocalResponse {
     let reason = "no endpoint could be reached";
-    LocalResponse::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, AFTER)
+    LocalResponse::not_run(StatusCode::SERVICE_UNAVAILABLE, reason, RETRY_AFTER)
 }
 
-fn failed_verdict(error: &hyper::Error) -> LocalResponse {
+fn connection_failed_response(error: &hyper::Error) -> LocalResponse {
     let too_large = std::error::Error::source(error)
-        .and_then(|source| source.downcast_ref::<crate::request_body::Broken>())
-        .is_some_and(|broken| matches!(broken, crate::request_body::Broken::TooLarge));
+        .and_then(|source| source.downcast_ref::<crate::request_body::RequestBodyError>())
+        .is_some_and(|error| matches!(error, crate::request_body::RequestBodyError::TooLarge));
     if too_large {
         return LocalResponse::unknown(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
     }
     LocalResponse::unknown(StatusCode::BAD_GATEWAY, "the endpoint's connection failed")
 }
 
-fn class_of(status: StatusCode) -> &'static str {
+fn status_class(status: StatusCode) -> &'static str {
     match status.as_u16() {
         100..200 => "1xx",
         200..300 => "2xx",
--- a/ashtiller/src/request/service_dispatcher.rs
+++ b/ashtiller/src/request/service_dispatcher.rs
@@ -1,4 +1,4 @@
-//! One service in a running gateway: its dispatch, waiting requests and pool.
+//! One service in a running gateway: its [`Dispatch`], queued requests and connections.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,32 +21,32 @@
     waiting: HashMap<u64, oneshot::Sender<u64>>,
 }
 
-/// A service that requests are routed to.
+/// A service that the gateway routes requests to, shared between its tasks.
 pub struct ServiceDispatcher {
     /// Name of the service.
     pub name: Arc<str>,
-    /// Connections to its endpoints.
+    /// Connections to the endpoints of the service.
     pub pool: ConnectionPool,
-    /// Budget for retries.
+    /// Retry budget of the service.
     pub budget: Mutex<RetryBudget>,
-    /// Told when slots run short.
+    /// Notified when requests wait for slots.
     pub shortage: Notify,
     state: Mutex<State>,
     clock: Arc<dyn Clock>,
 }
 
-/// What became of a request that asked for a slot.
+/// Result of waiting for a slot.
 pub enum Admitted {
-    /// It has a slot.
+    /// The request has a slot.
     Slot(SlotGuard),
-    /// It is refused.
+    /// The request was refused.
     Refused(Refusal),
-    /// Its deadline passed while it waited.
+    /// The deadline passed while the request was queued.
     TimedOut,
 }
 
 impl ServiceDispatcher {
-    /// A service around a dispatch.
+    /// Creates a service around a [`Dispatch`].
     #[must_use]
     pub fn new(
         name: Arc<str>,
@@ -73,31 +73,31 @@
         self.state.lock()
     }
 
-    /// Time since the gateway's start.
+    /// Returns the time since the gateway's start.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Reads or changes the dispatch, then hands out what became free.
+    /// Runs `change` on the [`Dispatch`], then assigns slots that became free.
     pub fn with_dispatch<T>(&self, change: impl FnOnce(&mut Dispatch, Duration) -> T) -> T {
         let now = self.now();
         let mut state = self.lock();
         let result = change(&mut state.dispatch, now);
-        hand_out(&mut state, now);
+        assign_slots(&mut state, now);
         result
     }
 
-    /// Asks for a slot and waits for it until the ticket's deadline.
-    pub async fn admit(self: &Arc<Self>, ticket: AdmissionRequest) -> Admitted {
-        let (id, account, deadline) = (ticket.id, ticket.account.clone(), ticket.deadline);
-        let (next, receiver) = self.offer(ticket);
-        match next {
+    /// Requests a slot and waits for it until the request's deadline.
+    pub async fn admit(self: &Arc<Self>, request: AdmissionRequest) -> Admitted {
+        let (id, account, deadline) = (request.id, request.account.clone(), request.deadline);
+        let (admission, receiver) = self.try_admit(request);
+        match admission {
             Admission::Send(endpoint) => Admitted::Slot(self.slot(account, endpoint)),
             Admission::Refuse(refusal) => Admitted::Refused(refusal),
             Admission::Wait => {
-                let mut waiting = Waiting {
-                    desk: self.clone(),
+                let mut waiting = QueuedRequest {
+                    service: self.clone(),
                     account,
                     id,
                     receiver,
@@ -113,47 +113,48 @@
         }
     }
 
-    fn offer(&self, ticket: AdmissionRequest) -> (Admission, oneshot::Receiver<u64>) {
-        let id = ticket.id;
+    fn try_admit(&self, request: AdmissionRequest) -> (Admission, oneshot::Receiver<u64>) {
+        let id = request.id;
         let now = self.now();
         let mut state = self.lock();
-        let next = state.dispatch.admit(ticket, now);
+        let admission = state.dispatch.admit(request, now);
         let (sender, receiver) = oneshot::channel();
-        if next == Admission::Wait {
+        if admission == Admission::Wait {
             state.waiting.insert(id, sender);
         }
         if state.dispatch.shortage() > 0 {
             self.shortage.notify_one();
         }
-        (next, receiver)
+        (admission, receiver)
     }
 
     fn slot(self: &Arc<Self>, account: Arc<str>, endpoint: u64) -> SlotGuard {
-        let began = self.now();
+        let started = self.now();
         SlotGuard {
-            desk: self.clone(),
+            service: self.clone(),
             account,
             endpoint,
-            began,
-            sample: RequestResult::Ignored,
+            started,
+            result: RequestResult::Ignored,
         }
     }
 
-    /// Wakes the lender when slots run short.
+    /// Wakes the [`SlotBorrower`](crate::slot_borrower::SlotBorrower) if requests wait for
+    /// slots.
     pub fn notify_shortage(&self) {
         if self.with_dispatch(|dispatch, _| dispatch.shortage()) > 0 {
             self.shortage.notify_one();
         }
     }
 
-    /// A copy of one endpoint.
+    /// Returns a copy of the endpoint with this id.
     #[must_use]
     pub fn endpoint(&self, id: u64) -> Option<Endpoint> {
         self.lock().dispatch.endpoint(id).cloned()
     }
 }
 
-fn hand_out(state: &mut State, now: Duration) {
+fn assign_slots(state: &mut State, now: Duration) {
     loop {
         let assigned = state.dispatch.assign(now);
         if assigned.is_empty() {
@@ -161,8 +162,8 @@
         }
         for (id, endpoint) in assigned {
             let sender = state.waiting.remove(&id);
-            // A receiver that is gone cannot have been told: its ticket was removed
-            // under this lock when it gave up.
+            // The receiver still exists: a caller that gives up removes its request under
+            // this lock.
             if let Some(sender) = sender {
                 let _ = sender.send(endpoint);
             }
@@ -170,64 +171,64 @@
     }
 }
 
-struct Waiting {
-    desk: Arc<ServiceDispatcher>,
+struct QueuedRequest {
+    service: Arc<ServiceDispatcher>,
     account: Arc<str>,
     id: u64,
     receiver: oneshot::Receiver<u64>,
 }
 
-impl Drop for Waiting {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        let now = self.desk.now();
-        let mut state = self.desk.lock();
+        let now = self.service.now();
+        let mut state = self.service.lock();
         state.waiting.remove(&self.id);
         if state.dispatch.cancel(&self.account, self.id) {
             return;
         }
-        // Assigned between the last poll and now: the slot goes back.
+        // The slot was assigned after the last poll, so it is returned unused.
         if let Ok(endpoint) = self.receiver.try_recv() {
             state
                 .dispatch
                 .finish(&self.account, endpoint, RequestResult::Ignored, now);
-            hand_out(&mut state, now);
+            assign_slots(&mut state, now);
         }
     }
 }
 
-/// A slot at an endpoint; dropping it gives it back.
+/// A slot in use at an endpoint; dropping it frees the slot.
 pub struct SlotGuard {
-    desk: Arc<ServiceDispatcher>,
+    service: Arc<ServiceDispatcher>,
     account: Arc<str>,
-    /// Number of the endpoint.
+    /// Id of the endpoint.
     pub endpoint: u64,
-    began: Duration,
-    sample: RequestResult,
+    started: Duration,
+    result: RequestResult,
 }
 
 impl SlotGuard {
-    /// Sets what the end of this request says about the endpoint.
-    pub fn set_result(&mut self, sample: RequestResult) {
-        self.sample = sample;
+    /// Sets the result that is recorded for the endpoint when the slot is freed.
+    pub fn set_result(&mut self, result: RequestResult) {
+        self.result = result;
     }
 
-    /// Time since the slot was taken.
+    /// Returns the time since the slot was assigned.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
-        self.desk.now().saturating_sub(self.began)
+        self.service.now().saturating_sub(self.started)
     }
 
-    /// The service.
+    /// Returns the service that the slot belongs to.
     #[must_use]
-    pub fn desk(&self) -> &Arc<ServiceDispatcher> {
-        &self.desk
+    pub fn service(&self) -> &Arc<ServiceDispatcher> {
+        &self.service
     }
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let (account, endpoint, sample) = (&self.account, self.endpoint, self.sample);
-        self.desk
-            .with_dispatch(|dispatch, now| dispatch.finish(account, endpoint, sample, now));
+        let (account, endpoint, result) = (&self.account, self.endpoint, self.result);
+        self.service
+            .with_dispatch(|dispatch, now| dispatch.finish(account, endpoint, result, now));
     }
 }
--- a/ashtiller/src/request/slot_borrower.rs
+++ b/ashtiller/src/request/slot_borrower.rs
@@ -1,7 +1,7 @@
 //! The task that borrows slots of one service from other gateways.
 //!
-//! It sleeps while the gateway's own slots suffice, so its messages cost
-//! nothing in balance and grow only with the imbalance.
+//! It is idle while the gateway's own slots suffice. So it sends no messages when the
+//! load is balanced, and their number grows only with the imbalance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,58 +16,58 @@
 use crate::rpc::RpcClient;
 use crate::service_dispatcher::ServiceDispatcher;
 
-/// A loan lapses this long after the last message about it.
-pub const TERM: Duration = Duration::from_secs(6);
-/// How often loans are renewed and idle slots given back.
-const SETTLE_EVERY: Duration = Duration::from_millis(2500);
-/// Most slots in one question.
-const WANT_MAX: u32 = 32;
+/// Time after the last message about a loan at which it expires.
+pub const LOAN_TERM: Duration = Duration::from_secs(6);
+/// Interval at which loans are renewed and idle slots returned.
+const SETTLE_INTERVAL: Duration = Duration::from_millis(2500);
+/// Largest number of slots in one borrow request.
+const SLOTS_PER_REQUEST_MAX: u32 = 32;
 /// Gateways asked in one round.
-const ASKED_MAX: usize = 3;
-/// Pause after a round in which nobody could lend.
+const LENDERS_PER_ROUND_MAX: usize = 3;
+/// Shortest pause after a round; it doubles with each round in which no gateway lends.
 const PAUSE_MIN: Duration = Duration::from_millis(10);
-/// Longest such pause.
+/// Longest pause after a round.
 const PAUSE_MAX: Duration = Duration::from_millis(320);
 
-/// Borrows for one service.
+/// Borrows slots for one service.
 pub struct SlotBorrower {
     /// The service.
-    pub desk: Arc<ServiceDispatcher>,
-    /// This gateway.
+    pub service: Arc<ServiceDispatcher>,
+    /// Name of this gateway.
     pub own: Arc<str>,
-    /// The other gateways.
+    /// Membership that lists the other gateways.
     pub membership: Arc<Membership>,
-    /// Wire to them.
+    /// Transport to the other gateways.
     pub wire: RpcClient,
-    /// Counters.
-    pub tally: Arc<GatewayMetrics>,
+    /// Metrics of this gateway.
+    pub metrics: Arc<GatewayMetrics>,
 }
 
 impl SlotBorrower {
     /// Runs until it is aborted.
     pub async fn run(self) {
-        let mut settle = time::interval(SETTLE_EVERY);
-        settle.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut last: Option<Arc<str>> = None;
+        let mut ticks = time::interval(SETTLE_INTERVAL);
+        ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+        let mut last_lender: Option<Arc<str>> = None;
         let mut pause = PAUSE_MIN;
         loop {
             tokio::select! {
-                () = self.desk.shortage.notified() => {
-                    let want = self.desk.with_dispatch(|dispatch, _| dispatch.shortage());
+                () = self.service.shortage.notified() => {
+                    let want = self.service.with_dispatch(|dispatch, _| dispatch.shortage());
                     if want > 0 {
-                        last = self.borrow(last, want).await;
+                        last_lender = self.borrow(last_lender, want).await;
                     }
-                    pause = if last.is_some() { PAUSE_MIN } else { (pause * 2).min(PAUSE_MAX) };
+                    pause = if last_lender.is_some() { PAUSE_MIN } else { (pause * 2).min(PAUSE_MAX) };
                     time::sleep(pause).await;
-                    // Those that wait bring no new offer by themselves.
-                    self.desk.notify_shortage();
+                    // Requests already queued don't trigger another notification.
+                    self.service.notify_shortage();
                 }
-                _ = settle.tick() => last = self.settle(last).await,
+                _ = ticks.tick() => last_lender = self.settle_loans(last_lender).await,
             }
         }
     }
 
-    fn others(&self, members: &Members) -> Vec<Member> {
+    fn other_gateways(&self, members: &Members) -> Vec<Member> {
         let names = members.available(Role::Gateway);
         let others = names.iter().filter(|name| **name != self.own);
         others
@@ -76,69 +76,75 @@
             .collect()
     }
 
-    /// Asks until somebody lends; the last lender first, the others in any order.
-    async fn borrow(&self, last: Option<Arc<str>>, want: u32) -> Option<Arc<str>> {
-        let mut lenders = self.others(&self.membership.members());
+    /// Asks gateways until one lends: first the last lender, then the others in random
+    /// order.
+    async fn borrow(&self, last_lender: Option<Arc<str>>, want: u32) -> Option<Arc<str>> {
+        let mut lenders = self.other_gateways(&self.membership.members());
         lenders.shuffle(&mut rand::rng());
-        lenders.sort_by_key(|member| Some(&member.name) != last.as_ref());
-        for lender in lenders.into_iter().take(ASKED_MAX) {
-            if self.ask_more(&lender, want.min(WANT_MAX)).await {
+        lenders.sort_by_key(|member| Some(&member.name) != last_lender.as_ref());
+        for lender in lenders.into_iter().take(LENDERS_PER_ROUND_MAX) {
+            if self
+                .borrow_more(&lender, want.min(SLOTS_PER_REQUEST_MAX))
+                .await
+            {
                 return Some(lender.name);
             }
         }
         None
     }
 
-    /// Renews loans, gives back what the recent peak did not need, and borrows what
-    /// it needed beyond them.
-    async fn settle(&self, last: Option<Arc<str>>) -> Option<Arc<str>> {
-        let excess = self.desk.with_dispatch(super::dispatch::Dispatch::excess);
-        if excess > 0 {
-            return self.borrow(last, excess).await;
+    /// Renews loans and returns slots that the recent peak demand didn't need. If the peak
+    /// exceeded the slots, borrows the difference instead.
+    async fn settle_loans(&self, last_lender: Option<Arc<str>>) -> Option<Arc<str>> {
+        let missing = self
+            .service
+            .with_dispatch(super::dispatch::Dispatch::peak_shortage);
+        if missing > 0 {
+            return self.borrow(last_lender, missing).await;
         }
-        for lender in self.others(&self.membership.members()) {
+        for lender in self.other_gateways(&self.membership.members()) {
             let name = &lender.name;
-            let keep = self.desk.with_dispatch(|dispatch, now| {
+            let keep = self.service.with_dispatch(|dispatch, now| {
                 dispatch
                     .borrows_from(name, now)
-                    .then(|| dispatch.kept(name, now))
+                    .then(|| dispatch.still_needed(name, now))
             });
             if let Some(keep) = keep {
-                self.give_back(&lender, keep).await;
+                self.return_slots(&lender, keep).await;
             }
         }
-        last
+        last_lender
     }
 
-    /// Asks for more; true when something was lent.
-    async fn ask_more(&self, lender: &Member, want: u32) -> bool {
-        let until = self.desk.now() + TERM;
-        let Some(added) = self.ask(lender, false, Vec::new(), want).await else {
+    /// Asks a gateway for more slots. Returns true if it lent any.
+    async fn borrow_more(&self, lender: &Member, want: u32) -> bool {
+        let until = self.service.now() + LOAN_TERM;
+        let Some(added) = self.send_request(lender, false, Vec::new(), want).await else {
             return false;
         };
-        self.desk
-            .with_dispatch(|dispatch, now| dispatch.borrow_more(&lender.name, &added, until, now));
+        self.service
+            .with_dispatch(|dispatch, now| dispatch.add_borrowed(&lender.name, &added, until, now));
         !added.is_empty()
     }
 
-    /// Renews the loan for `keep` and gives the rest back.
-    async fn give_back(&self, lender: &Member, keep: Vec<(u64, u32)>) {
-        let until = self.desk.now() + TERM;
-        // What is given back must not be used while the message is under way.
-        self.desk
-            .with_dispatch(|dispatch, _| dispatch.borrow_from(&lender.name, &keep, until));
-        self.ask(lender, true, keep, 0).await;
+    /// Renews the loan for `keep` and returns the rest.
+    async fn return_slots(&self, lender: &Member, keep: Vec<(u64, u32)>) {
+        let until = self.service.now() + LOAN_TERM;
+        // Returned slots must not be used while the message is in transit.
+        self.service
+            .with_dispatch(|dispatch, _| dispatch.set_borrowed(&lender.name, &keep, until));
+        self.send_request(lender, true, keep, 0).await;
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         lender: &Member,
         settles: bool,
         keep: Vec<(u64, u32)>,
         want: u32,
     ) -> Option<Vec<(u64, u32)>> {
-        self.tally.asks.inc();
-        let (service, borrower) = (self.desk.name.clone(), self.own.clone());
+        self.metrics.borrow_requests.inc();
+        let (service, borrower) = (self.service.name.clone(), self.own.clone());
         let ask = LoanRequest {
             service,
             borrower,
--- a/ashtiller/src/request/slots.rs
+++ b/ashtiller/src/request/slots.rs
@@ -1,10 +1,10 @@
-//! Slots of one endpoint that one gateway may use: dealt, lent and borrowed.
+//! Slots of one endpoint that one gateway may use: allocated, lent and borrowed.
 //!
-//! The endpoints' slots are dealt among the gateways, so that each gateway knows
-//! from its own count whether a slot is free. A loan is replaced as a whole with
-//! every message between borrower and lender and lapses when they fall silent.
-//! Nothing here must be exact: a slot counted twice costs a short wait at the
-//! endpoint, never a promise.
+//! The endpoints' slots are divided among the gateways, so that each gateway knows
+//! from its own count whether a slot is free. Every message between borrower and
+//! lender replaces the loan as a whole; without messages the loan expires. The counts
+//! need not be exact: a slot that is counted twice costs a short wait at the endpoint
+//! and breaks no guarantee.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     pub peer: Arc<str>,
     /// Number of slots.
     pub count: u32,
-    /// When it lapses.
+    /// When the loan expires, since the gateway's start.
     pub until: Duration,
 }
 
@@ -29,34 +29,34 @@
 }
 
 impl Slots {
-    /// Sets the number of slots dealt to this gateway.
+    /// Sets the number of slots allocated to this gateway.
     pub fn set_allocated(&mut self, count: u32) {
         self.allocated = count;
     }
 
-    /// Slots dealt to this gateway.
+    /// Returns the number of slots allocated to this gateway.
     #[must_use]
     pub fn allocated(&self) -> u32 {
         self.allocated
     }
 
-    /// Slots that this gateway may use at `now`.
+    /// Returns the number of slots that this gateway may use at `now`.
     #[must_use]
     pub fn usable(&self, now: Duration) -> u32 {
-        (self.allocated + sum(&self.borrowed, now)).saturating_sub(sum(&self.lent, now))
+        (self.allocated + count_at(&self.borrowed, now)).saturating_sub(count_at(&self.lent, now))
     }
 
-    /// Replaces what is lent to `peer`.
-    pub fn lend(&mut self, peer: &Arc<str>, count: u32, until: Duration) {
-        replace(&mut self.lent, peer, count, until);
+    /// Replaces the loan to `peer`.
+    pub fn set_lent(&mut self, peer: &Arc<str>, count: u32, until: Duration) {
+        replace_loan(&mut self.lent, peer, count, until);
     }
 
-    /// Replaces what is borrowed from `peer`.
-    pub fn borrow_from(&mut self, peer: &Arc<str>, count: u32, until: Duration) {
-        replace(&mut self.borrowed, peer, count, until);
+    /// Replaces the loan from `peer`.
+    pub fn set_borrowed(&mut self, peer: &Arc<str>, count: u32, until: Duration) {
+        replace_loan(&mut self.borrowed, peer, count, until);
     }
 
-    /// Slots lent to `peer` at `now`.
+    /// Returns the number of slots lent to `peer` at `now`.
     #[must_use]
     pub fn lent_to(&self, peer: &str, now: Duration) -> u32 {
         self.lent
@@ -66,7 +66,7 @@
             .sum()
     }
 
-    /// Slots borrowed from `peer` at `now`.
+    /// Returns the number of slots borrowed from `peer` at `now`.
     #[must_use]
     pub fn borrowed_from(&self, peer: &str, now: Duration) -> u32 {
         self.borrowed
@@ -76,20 +76,20 @@
             .sum()
     }
 
-    /// Slots borrowed from anyone at `now`.
+    /// Returns the number of slots borrowed from all gateways at `now`.
     #[must_use]
     pub fn borrowed(&self, now: Duration) -> u32 {
-        sum(&self.borrowed, now)
+        count_at(&self.borrowed, now)
     }
 
-    /// Slots lent to anyone at `now`.
+    /// Returns the number of slots lent to all gateways at `now`.
     #[must_use]
     pub fn lent(&self, now: Duration) -> u32 {
-        sum(&self.lent, now)
+        count_at(&self.lent, now)
     }
 }
 
-fn sum(loans: &[Loan], now: Duration) -> u32 {
+fn count_at(loans: &[Loan], now: Duration) -> u32 {
     loans
         .iter()
         .filter(|loan| loan.until > now)
@@ -97,7 +97,7 @@
         .sum()
 }
 
-fn replace(loans: &mut Vec<Loan>, peer: &Arc<str>, count: u32, until: Duration) {
+fn replace_loan(loans: &mut Vec<Loan>, peer: &Arc<str>, count: u32, until: Duration) {
     loans.retain(|loan| loan.peer != *peer);
     if count > 0 {
         loans.push(Loan {
