--- a/ashtiller/src/agreed/apply.rs
+++ b/ashtiller/src/agreed/apply.rs
@@ -1,4 +1,4 @@
-//! Puts operators' templates in force by compare-and-swap.
+//! Applies operators' templates by compare-and-swap on the store.
 
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -7,20 +7,20 @@
 use crate::failure::{Failure, RemoteEffect};
 use crate::store::{Commit, Item, Store};
 
-/// What became of a template.
+/// Result of applying a template.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Applied {
-    /// It is accepted under this revision.
+    /// The template was written under this revision.
     Accepted(u64),
-    /// The store holds the same text already.
+    /// The store already holds the same text, under this revision.
     Unchanged(u64),
-    /// A dry run: it would replace this text.
+    /// Nothing was written, as asked; the template would replace this text.
     DryRun(Option<Arc<str>>),
-    /// Another operator was faster; this is the text now.
+    /// Another operator changed the account first, to this revision and text.
     Conflict(u64, Arc<str>),
 }
 
-/// The value of an account that a change starts from.
+/// State of the store that a change of an account is based on.
 #[derive(Clone, Debug)]
 pub struct Base {
     head: Head,
@@ -30,7 +30,7 @@
 }
 
 impl Base {
-    /// The text in the store, if the account exists.
+    /// Returns the template's text in the store, if the account exists.
     #[must_use]
     pub fn text(&self) -> Option<&Arc<str>> {
         self.stored
@@ -40,10 +40,10 @@
     }
 }
 
-/// Reads what a change of `account` starts from.
+/// Reads the state that a change of `account` is based on.
 ///
 /// # Errors
-/// The store cannot be read, or holds what is not a template's value.
+/// The store cannot be read, or a stored value cannot be decoded.
 pub async fn read(store: &dyn Store, account: &str) -> Result<Base, Failure> {
     let (head, head_index) = read_key(store, config_state::HEAD_KEY).await?;
     let key = format!("{}{account}", config_state::ACCOUNT_PREFIX);
@@ -68,27 +68,28 @@
     Ok((Some(value), index))
 }
 
-/// Writes `text` as the template of `account`, from `base`. An empty text removes
-/// the account.
+/// Writes `text` as the template of `account`, unless the account has changed from `base`.
+/// An empty text removes the account.
 ///
 /// # Errors
-/// The store cannot be reached; with an unknown effect, nothing could be read back.
+/// The store cannot be reached. After a write whose effect is unknown, the value is read
+/// back; an error then means that this read failed too.
 pub async fn write(
     store: &dyn Store,
     account: &Arc<str>,
     text: &Arc<str>,
     base: &Base,
-    dry: bool,
+    dry_run: bool,
 ) -> Result<Applied, Failure> {
     if let Some(stored) = base.stored.as_ref().filter(|stored| stored.text == *text) {
         return Ok(Applied::Unchanged(stored.revision));
     }
-    if dry {
+    if dry_run {
         return Ok(Applied::DryRun(base.text().cloned()));
     }
     let mut base = base.clone();
     loop {
-        let head = base.head.next(account, now_millis());
+        let head = base.head.next(account, unix_millis());
         let stored = StoredTemplate {
             revision: head.revision,
             text: text.clone(),
@@ -104,28 +105,28 @@
         match store.commit(&writes).await {
             Ok(Commit::Done) => return Ok(Applied::Accepted(head.revision)),
             Ok(Commit::Conflict(_)) => {}
-            // The write may have happened although its answer was lost.
+            // The write may have been applied although its response was lost.
             Err(failure) if failure.effect == RemoteEffect::Unknown => {}
             Err(failure) => return Err(failure),
         }
-        let fresh = read(store, account).await?;
-        if fresh.stored.as_ref() == Some(&stored) {
+        let current = read(store, account).await?;
+        if current.stored.as_ref() == Some(&stored) {
             return Ok(Applied::Accepted(head.revision));
         }
-        if fresh.index != base.index {
-            let (revision, text) = fresh
+        if current.index != base.index {
+            let (revision, text) = current
                 .stored
                 .map_or((0, Arc::from("")), |stored| (stored.revision, stored.text));
             return Ok(Applied::Conflict(revision, text));
         }
-        // Only the head moved, by a change of another account.
-        base = fresh;
+        // Only the head has changed, with another account; retry on the new head.
+        base = current;
     }
 }
 
-fn now_millis() -> u64 {
-    let since = SystemTime::now()
+fn unix_millis() -> u64 {
+    let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/ashtiller/src/agreed/config.rs
+++ b/ashtiller/src/agreed/config.rs
@@ -1,7 +1,7 @@
-//! The actor that keeps the configuration in force in step with the store.
+//! The actor that keeps the active configuration up to date with the store.
 //!
-//! One watch waits on the head. A heartbeat from another process that names a
-//! newer revision makes it look at once, past a watch that is stuck.
+//! A watch waits for changes of the head key. When a heartbeat from another process names
+//! a newer revision, the actor reads the head at once, in case the watch is stuck.
 
 use std::collections::BTreeMap;
 use std::ops::ControlFlow;
@@ -22,38 +22,39 @@
 use crate::failure::Failure;
 use crate::store::{Commit, Store, Write};
 
-/// Longest wait of the watch. Its end shows what a watch that was not woken missed,
-/// so it bounds how long a change can stay unseen.
-const WAIT: Duration = Duration::from_millis(2500);
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Writes in one repair transaction, the head among them.
-const REPAIR_MAX: usize = 32;
+/// Longest wait of the watch. When it ends, the head is read even if the watch was not
+/// notified, so this bounds how long a change can go unnoticed.
+const WATCH_WAIT: Duration = Duration::from_millis(2500);
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Most accounts written in one repair transaction, besides the head.
+const MAX_REPAIRED_ACCOUNTS: usize = 32;
 
 /// A running configuration actor.
 pub struct Config {
-    actor: ActorRef<Keeper>,
+    actor: ActorRef<ConfigActor>,
     active: watch::Receiver<Arc<ActiveConfig>>,
     watcher: JoinHandle<()>,
 }
 
 impl Config {
-    /// The configuration in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn active(&self) -> Arc<ActiveConfig> {
         self.active.borrow().clone()
     }
 
-    /// A receiver that is told of each change.
+    /// Returns a receiver that is notified of each change.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<ActiveConfig>> {
         self.active.clone()
     }
 
-    /// Another process knows `revision`; looks at the store when it is newer.
+    /// Records that another process knows `revision`; reads the store if it is newer than
+    /// the active one.
     pub fn observe_revision(&self, revision: u64) {
         if revision > self.active.borrow().revision {
-            let _ = self.actor.tell(Look).try_send();
+            let _ = self.actor.tell(ReadHead).try_send();
         }
     }
 }
@@ -65,46 +66,46 @@
     }
 }
 
-/// Starts the actor; it keeps trying while the store is down.
+/// Starts the actor; it retries while the store is down.
 pub fn spawn(store: Arc<dyn Store>) -> Config {
-    let (sender, force) = watch::channel(Arc::new(ActiveConfig::default()));
-    let actor = Keeper::spawn(Keeper {
+    let (sender, active) = watch::channel(Arc::new(ActiveConfig::default()));
+    let actor = ConfigActor::spawn(ConfigActor {
         store: store.clone(),
-        ledger: ConfigState::default(),
+        state: ConfigState::default(),
         sender,
     });
     let watcher = tokio::spawn(watch_head(store, actor.clone()));
     Config {
         actor,
-        active: force,
+        active,
         watcher,
     }
 }
 
-async fn watch_head(store: Arc<dyn Store>, actor: ActorRef<Keeper>) {
+async fn watch_head(store: Arc<dyn Store>, actor: ActorRef<ConfigActor>) {
     let mut index = 0;
     loop {
-        let Ok(view) = store.watch(config_state::HEAD_KEY, index, WAIT).await else {
-            time::sleep(PAUSE).await;
+        let Ok(view) = store.watch(config_state::HEAD_KEY, index, WATCH_WAIT).await else {
+            time::sleep(RETRY_DELAY).await;
             index = 0;
             continue;
         };
         let head = view.items.first().map(|item| item.value.clone());
-        match actor.ask(Seen { head }).await {
+        match actor.ask(HeadRead { head }).await {
             Ok(true) => index = view.index,
-            Ok(false) => time::sleep(PAUSE).await,
+            Ok(false) => time::sleep(RETRY_DELAY).await,
             Err(_) => return,
         }
     }
 }
 
-struct Keeper {
+struct ConfigActor {
     store: Arc<dyn Store>,
-    ledger: ConfigState,
+    state: ConfigState,
     sender: watch::Sender<Arc<ActiveConfig>>,
 }
 
-impl Actor for Keeper {
+impl Actor for ConfigActor {
     type Args = Self;
     type Error = std::convert::Infallible;
 
@@ -117,64 +118,64 @@
         _: kameo::actor::WeakActorRef<Self>,
         error: kameo::error::PanicError,
     ) -> Result<ControlFlow<kameo::error::ActorStopReason>, Self::Error> {
-        tracing::error!(%error, "the configuration actor panicked and goes on");
+        tracing::error!(%error, "configuration actor panicked; it continues");
         Ok(ControlFlow::Continue(()))
     }
 }
 
-/// The watch returned.
-struct Seen {
+/// Message: the watch returned this value of the head.
+struct HeadRead {
     head: Option<Bytes>,
 }
 
-/// Read the head now.
-struct Look;
+/// Message: read the head now.
+struct ReadHead;
 
-impl Message<Seen> for Keeper {
+impl Message<HeadRead> for ConfigActor {
     type Reply = bool;
 
-    async fn handle(&mut self, seen: Seen, _: &mut Context<Self, bool>) -> bool {
-        let Some(head) = read_head(seen.head.as_deref()) else {
+    async fn handle(&mut self, read: HeadRead, _: &mut Context<Self, bool>) -> bool {
+        let Some(head) = decode_head(read.head.as_deref()) else {
             return false;
         };
-        match self.follow(&head).await {
+        match self.apply_head(&head).await {
             Ok(()) => true,
             Err(failure) => {
-                tracing::debug!(%failure, "configuration not read");
+                tracing::debug!(%failure, "reading the configuration failed");
                 false
             }
         }
     }
 }
 
-impl Message<Look> for Keeper {
+impl Message<ReadHead> for ConfigActor {
     type Reply = ();
 
-    async fn handle(&mut self, _: Look, _: &mut Context<Self, ()>) {
+    async fn handle(&mut self, _: ReadHead, _: &mut Context<Self, ()>) {
         if let Ok(item) = self.store.get(config_state::HEAD_KEY).await {
             let value = item.map(|item| item.value);
-            if let Some(head) = read_head(value.as_deref()) {
-                let _ = self.follow(&head).await;
+            if let Some(head) = decode_head(value.as_deref()) {
+                let _ = self.apply_head(&head).await;
             }
         }
     }
 }
 
-/// An absent head is an empty one; a damaged head is none.
-fn read_head(value: Option<&[u8]>) -> Option<Head> {
+/// Decodes the head; an absent one is empty, and `None` means that it cannot be decoded.
+fn decode_head(value: Option<&[u8]>) -> Option<Head> {
     match value {
         None => Some(Head::default()),
         Some(value) => serde_json::from_slice(value).ok(),
     }
 }
 
-impl Keeper {
-    async fn follow(&mut self, head: &Head) -> Result<(), Failure> {
-        match self.ledger.next_action(head) {
+impl ConfigActor {
+    async fn apply_head(&mut self, head: &Head) -> Result<(), Failure> {
+        match self.state.next_action(head) {
             HeadAction::UpToDate => Ok(()),
             HeadAction::Read(accounts) => self.read(head, &accounts).await,
             HeadAction::ReadAll => self.read_all(head).await,
-            HeadAction::Repair(lost) => self.repair(lost).await,
+            HeadAction::Repair(missing) => self.repair(missing).await,
         }
     }
 
@@ -182,52 +183,52 @@
         for account in accounts {
             let key = format!("{}{account}", config_state::ACCOUNT_PREFIX);
             if let Some(item) = self.store.get(&key).await? {
-                self.take(account, &item.value);
+                self.adopt(account, &item.value);
             }
         }
-        self.ledger.advance_to(head.revision, false);
+        self.state.advance_to(head.revision, false);
         self.publish();
         Ok(())
     }
 
     async fn read_all(&mut self, head: &Head) -> Result<(), Failure> {
         let view = self.store.list(config_state::ACCOUNT_PREFIX).await?;
-        let mut seen = BTreeMap::new();
+        let mut stored_revisions = BTreeMap::new();
         for item in &view.items {
             let Some(account) = item.key.strip_prefix(config_state::ACCOUNT_PREFIX) else {
                 continue;
             };
             let account = Arc::from(account);
-            if let Some(revision) = self.take(&account, &item.value) {
-                seen.insert(account, revision);
+            if let Some(revision) = self.adopt(&account, &item.value) {
+                stored_revisions.insert(account, revision);
             }
         }
-        self.ledger.advance_to(head.revision, true);
+        self.state.advance_to(head.revision, true);
         self.publish();
-        let lost = self.ledger.missing_in_store(&seen);
-        if lost.is_empty() {
+        let missing = self.state.missing_in_store(&stored_revisions);
+        if missing.is_empty() {
             Ok(())
         } else {
-            self.repair(lost).await
+            self.repair(missing).await
         }
     }
 
-    fn take(&mut self, account: &Arc<str>, value: &[u8]) -> Option<u64> {
+    fn adopt(&mut self, account: &Arc<str>, value: &[u8]) -> Option<u64> {
         let stored: StoredTemplate = match serde_json::from_slice(value) {
             Ok(stored) => stored,
             Err(error) => {
-                tracing::warn!(%account, %error, "a damaged template was left out");
+                tracing::warn!(%account, %error, "ignored an undecodable template");
                 return None;
             }
         };
         let revision = stored.revision;
-        match self.ledger.adopt(account, stored) {
-            AdoptResult::Adopted => tracing::info!(%account, revision, "configuration in force"),
+        match self.state.adopt(account, stored) {
+            AdoptResult::Adopted => tracing::info!(%account, revision, "configuration is active"),
             AdoptResult::Older => {
-                tracing::warn!(%account, revision, "an older template was refused");
+                tracing::warn!(%account, revision, "ignored an older template");
             }
             AdoptResult::Invalid(mistakes) => {
-                tracing::warn!(%account, %mistakes, "an invalid template was left out");
+                tracing::warn!(%account, %mistakes, "ignored an invalid template");
             }
             AdoptResult::Same => {}
         }
@@ -235,20 +236,20 @@
     }
 
     fn publish(&self) {
-        self.sender.send_replace(Arc::new(self.ledger.active()));
+        self.sender.send_replace(Arc::new(self.state.active()));
     }
 
-    /// Writes newer values again after the store fell back. Several processes may
-    /// do so at once; the comparison lets one of them win.
-    async fn repair(&mut self, lost: Vec<(Arc<str>, StoredTemplate)>) -> Result<(), Failure> {
+    /// Writes the newer values again after the store went back to an older state. Several
+    /// processes may do so at once; compare-and-swap lets one of them succeed.
+    async fn repair(&mut self, missing: Vec<(Arc<str>, StoredTemplate)>) -> Result<(), Failure> {
         let item = self.store.get(config_state::HEAD_KEY).await?;
         let (value, index) = item.map_or((None, 0), |item| (Some(item.value), item.index));
-        let Some(mut head) = read_head(value.as_deref()) else {
+        let Some(mut head) = decode_head(value.as_deref()) else {
             return Ok(());
         };
         let mut writes = Vec::new();
-        for (account, stored) in lost.into_iter().take(REPAIR_MAX) {
-            if let Some(write) = self.repair_one(&account, &stored).await? {
+        for (account, stored) in missing.into_iter().take(MAX_REPAIRED_ACCOUNTS) {
+            if let Some(write) = self.repair_write(&account, &stored).await? {
                 writes.push(write);
                 head.changes.push(config_state::Change {
                     revision: stored.revision,
@@ -256,24 +257,24 @@
                 });
             }
         }
-        head.revision = head.revision.max(self.ledger.revision());
+        head.revision = head.revision.max(self.state.revision());
         head.changes.sort_by_key(|change| change.revision);
         writes.push(config_state::swap(
             config_state::HEAD_KEY.to_owned(),
             &head,
             index,
         ));
-        let done = self.store.commit(&writes).await? == Commit::Done;
-        if done {
+        let committed = self.store.commit(&writes).await? == Commit::Done;
+        if committed {
             tracing::warn!(
                 revision = head.revision,
-                "the store fell back; newer templates written"
+                "store went back to an older state; newer templates written again"
             );
         }
         Ok(())
     }
 
-    async fn repair_one(
+    async fn repair_write(
         &self,
         account: &Arc<str>,
         stored: &StoredTemplate,
@@ -281,9 +282,9 @@
         let key = format!("{}{account}", config_state::ACCOUNT_PREFIX);
         let item = self.store.get(&key).await?;
         let index = item.as_ref().map_or(0, |item| item.index);
-        let found =
+        let current =
             item.and_then(|item| serde_json::from_slice::<StoredTemplate>(&item.value).ok());
-        let older = found.is_none_or(|found| found.revision < stored.revision);
+        let older = current.is_none_or(|current| current.revision < stored.revision);
         Ok(older.then(|| config_state::swap(key, stored, index)))
     }
 }
--- a/ashtiller/src/agreed/config_state.rs
+++ b/ashtiller/src/agreed/config_state.rs
@@ -1,10 +1,10 @@
-//! The configuration in force in one process, as a state machine.
+//! State machine of the configuration that is active in one process.
 //!
-//! The store holds a small head key and one key for each client account. Every
-//! change has a revision that rises; the head names the newest ones, so that a
-//! watch on the head tells which accounts to read. A process never takes an
-//! older revision of an account than it has, whatever the store says; when the
-//! store has fallen back, it writes the newer revisions again.
+//! The store holds a small head key and one key for each client account. Each change has
+//! a higher revision than the one before. The head names the newest changes, so that a
+//! watch on the head shows which accounts to read. A process never replaces an account's
+//! template by an older revision, whatever the store holds; when the store has gone back
+//! to an older state, the process writes the newer revisions again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 pub const HEAD_KEY: &str = "ashtiller/config/head";
 /// Prefix of the accounts' keys.
 pub const ACCOUNT_PREFIX: &str = "ashtiller/config/account/";
-/// Changes that the head names.
-const CHANGES_MAX: usize = 16;
+/// Number of newest changes that the head keeps.
+const MAX_HEAD_CHANGES: usize = 16;
 
-/// The newest changes.
+/// Value of the head key: the newest changes.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
     /// Newest revision.
@@ -31,10 +31,10 @@
     pub changes: Vec<Change>,
 }
 
-/// One change.
+/// One change of an account's template.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// Its revision.
+    /// Revision of the change.
     pub revision: u64,
     /// The account that changed.
     pub account: Arc<str>,
@@ -45,13 +45,14 @@
 pub struct StoredTemplate {
     /// Revision of the change that wrote it.
     pub revision: u64,
-    /// Template as INI; empty when the account was removed.
+    /// Template as INI text; empty when the account was removed.
     pub text: Arc<str>,
 }
 
 impl Head {
-    /// The head after a change of `account`. `floor` keeps revisions rising even
-    /// when the store has lost the newest ones: the time in milliseconds.
+    /// Returns the head after a change of `account`. The revision is at least `floor`, the
+    /// Unix time in milliseconds, so that revisions rise even if the store has lost the
+    /// newest ones.
     #[must_use]
     pub fn next(&self, account: &Arc<str>, floor: u64) -> Self {
         let revision = (self.revision + 1).max(floor);
@@ -60,22 +61,22 @@
             revision,
             account: account.clone(),
         });
-        if changes.len() > CHANGES_MAX {
+        if changes.len() > MAX_HEAD_CHANGES {
             changes.remove(0);
         }
         Self { revision, changes }
     }
 }
 
-/// The write that replaces a key of the configuration at revision `index`.
+/// Returns the write that replaces a key of the configuration at revision `index`.
 #[must_use]
 pub fn swap(key: String, value: &impl Serialize, index: u64) -> Write {
-    // These types have no map keys or numbers that JSON cannot write.
+    // Encoding cannot fail: these types have no map keys or numbers that JSON cannot hold.
     let value = serde_json::to_vec(value).unwrap_or_default().into();
     Write::CompareAndSwap { key, value, index }
 }
 
-/// What to read or write after a look at the head.
+/// What to read or write after the head was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum HeadAction {
     /// Nothing has changed.
@@ -84,68 +85,68 @@
     Read(Vec<Arc<str>>),
     /// Read every account.
     ReadAll,
-    /// The store fell back: write these newer values again.
+    /// The store went back to an older state: write these newer values again.
     Repair(Vec<(Arc<str>, StoredTemplate)>),
 }
 
-/// What became of a value that was read.
+/// Result of adopting an account's value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AdoptResult {
-    /// It is in force now.
+    /// The value is active now.
     Adopted,
-    /// It was in force already.
+    /// The value was already active.
     Same,
-    /// It is older than what is in force; it was refused.
+    /// The value is older than the active one and was ignored.
     Older,
-    /// It cannot be understood; what was in force stays.
+    /// The template is invalid; the active one stays.
     Invalid(Mistakes),
 }
 
-/// One account in force.
+/// Active value of one account.
 #[derive(Clone, Debug)]
-struct Entry {
+struct ActiveAccount {
     stored: StoredTemplate,
     template: Option<Arc<Template>>,
 }
 
-/// Accounts in force, shared as a whole.
+/// The active templates, shared with readers as one value.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfig {
-    /// Newest revision in force.
+    /// Newest active revision.
     pub revision: u64,
     /// Templates by account.
     pub templates: BTreeMap<Arc<str>, Arc<Template>>,
 }
 
-/// The configuration in force.
+/// State machine of the active configuration.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigState {
     revision: u64,
-    whole: bool,
-    entries: BTreeMap<Arc<str>, Entry>,
+    all_read: bool,
+    accounts: BTreeMap<Arc<str>, ActiveAccount>,
 }
 
 impl ConfigState {
-    /// Newest revision in force.
+    /// Returns the newest active revision.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Decides what a head asks for.
+    /// Decides what to read or write for the head that was read.
     #[must_use]
     pub fn next_action(&self, head: &Head) -> HeadAction {
-        if !self.whole {
+        if !self.all_read {
             return HeadAction::ReadAll;
         }
         if head.revision < self.revision {
-            return HeadAction::Repair(self.newer_than(head.revision));
+            return HeadAction::Repair(self.values_after(head.revision));
         }
         if head.revision == self.revision {
             return HeadAction::UpToDate;
         }
-        // Only a head that names the revision in force continues from it: one that
-        // does not is too far ahead, or the store fell back in between.
+        // Only a head that names the active revision continues from it. If it does not,
+        // it is too far ahead, or the store went back to an older state in between.
         if !head
             .changes
             .iter()
@@ -164,17 +165,17 @@
         HeadAction::Read(accounts)
     }
 
-    fn newer_than(&self, revision: u64) -> Vec<(Arc<str>, StoredTemplate)> {
-        self.entries
+    fn values_after(&self, revision: u64) -> Vec<(Arc<str>, StoredTemplate)> {
+        self.accounts
             .iter()
             .filter(|(_, entry)| entry.stored.revision > revision)
             .map(|(account, entry)| (account.clone(), entry.stored.clone()))
             .collect()
     }
 
-    /// Takes one account's value.
+    /// Makes an account's value active, unless it is older or invalid.
     pub fn adopt(&mut self, account: &Arc<str>, stored: StoredTemplate) -> AdoptResult {
-        if let Some(entry) = self.entries.get(account) {
+        if let Some(entry) = self.accounts.get(account) {
             if stored.revision < entry.stored.revision {
                 return AdoptResult::Older;
             }
@@ -190,38 +191,41 @@
                 Err(mistakes) => return AdoptResult::Invalid(mistakes),
             }
         };
-        self.entries
-            .insert(account.clone(), Entry { stored, template });
+        self.accounts
+            .insert(account.clone(), ActiveAccount { stored, template });
         AdoptResult::Adopted
     }
 
-    /// Every account named by a head of `revision` has been read.
-    pub fn advance_to(&mut self, revision: u64, whole: bool) {
+    /// Records that the accounts which a head of `revision` names have been read; `all` if
+    /// every account in the store was.
+    pub fn advance_to(&mut self, revision: u64, all: bool) {
         self.revision = self.revision.max(revision);
-        self.whole |= whole;
+        self.all_read |= all;
     }
 
-    /// Values in force that the store lacks or has in an older revision.
+    /// Returns the active values that the store lacks or has in an older revision.
+    /// `stored` holds the revisions in the store by account.
     #[must_use]
     pub fn missing_in_store(
         &self,
-        seen: &BTreeMap<Arc<str>, u64>,
+        stored: &BTreeMap<Arc<str>, u64>,
     ) -> Vec<(Arc<str>, StoredTemplate)> {
-        self.entries
+        self.accounts
             .iter()
             .filter(|(account, entry)| {
-                seen.get(*account)
+                stored
+                    .get(*account)
                     .is_none_or(|revision| *revision < entry.stored.revision)
             })
             .map(|(account, entry)| (account.clone(), entry.stored.clone()))
             .collect()
     }
 
-    /// A copy for readers.
+    /// Returns a copy of the active templates for readers.
     #[must_use]
     pub fn active(&self) -> ActiveConfig {
         let templates = self
-            .entries
+            .accounts
             .iter()
             .filter_map(|(account, entry)| Some((account.clone(), entry.template.clone()?)))
             .collect();
--- a/ashtiller/src/agreed/document.rs
+++ b/ashtiller/src/agreed/document.rs
@@ -1,8 +1,8 @@
-//! An INI file on its way to typed settings.
+//! Reader of INI files that yields typed settings.
 //!
-//! Sections are read key by key; each key that is missing, out of range or in
-//! the wrong unit adds a [`Mistake`] and yields a placeholder, so that one pass
-//! finds every mistake. [`Document::finish`] adds unknown sections and keys.
+//! Sections are read key by key. Each key that is missing, out of range or in the wrong
+//! unit adds a [`Mistake`] and yields a placeholder value, so that one pass finds every
+//! mistake. [`Document::finish`] adds a mistake for each unknown section and key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 use crate::mistake::{Mistake, Mistakes};
 use crate::unit;
 
-/// Longest name of an account, service, job or instance.
-const NAME_MAX: usize = 63;
+/// Longest name of an account, service, job or instance, in bytes.
+const MAX_NAME_BYTES: usize = 63;
 
 /// A parsed INI file and the mistakes found so far.
 #[derive(Debug)]
 pub struct Document {
     file: String,
     sections: BTreeMap<String, BTreeMap<String, String>>,
-    used: BTreeSet<(String, String)>,
+    keys_read: BTreeSet<(String, String)>,
     mistakes: Vec<Mistake>,
 }
 
 impl Document {
-    /// Parses `text`; `file` is the name to show in mistakes.
+    /// Parses `text`; `file` is the name that mistakes show.
     ///
     /// # Errors
     /// The text is not INI.
@@ -43,7 +43,7 @@
         let mut document = Self {
             file: file.to_owned(),
             sections: BTreeMap::new(),
-            used: BTreeSet::new(),
+            keys_read: BTreeSet::new(),
             mistakes: Vec::new(),
         };
         for (section, properties) in &ini {
@@ -83,13 +83,13 @@
         });
     }
 
-    /// Whether the file has the section.
+    /// Returns whether the file has the section.
     #[must_use]
     pub fn has_section(&self, section: &str) -> bool {
         self.sections.contains_key(section)
     }
 
-    /// Names behind `[kind name]` sections, in order.
+    /// Returns the names of the sections `[kind name]`, sorted.
     #[must_use]
     pub fn names_of(&self, kind: &str) -> Vec<String> {
         self.sections
@@ -107,21 +107,21 @@
         }
     }
 
-    /// Ends the reading.
+    /// Checks that every section and key was read; `known` lists the sections to suggest.
     ///
     /// # Errors
-    /// Every mistake found, unknown sections and keys among them.
+    /// Every mistake found, including unknown sections and keys.
     pub fn finish(mut self, known: &[&str]) -> Result<(), Mistakes> {
         let sections = std::mem::take(&mut self.sections);
         for (section, values) in &sections {
-            let read = self.used.iter().any(|(name, _)| name == section);
+            let read = self.keys_read.iter().any(|(name, _)| name == section);
             if !read {
                 let allowed = format!("sections {}", known.join(", "));
                 self.add_mistake(section, "", "an unknown section", &allowed);
                 continue;
             }
             for (key, value) in values {
-                if !self.used.contains(&(section.clone(), key.clone())) {
+                if !self.keys_read.contains(&(section.clone(), key.clone())) {
                     let allowed = self.known_keys(section);
                     self.add_mistake(section, key, &format!("unknown key = {value}"), &allowed);
                 }
@@ -136,7 +136,7 @@
 
     fn known_keys(&self, section: &str) -> String {
         let keys: Vec<&str> = self
-            .used
+            .keys_read
             .iter()
             .filter(|(name, key)| name == section && !key.is_empty())
             .map(|(_, key)| key.as_str())
@@ -153,9 +153,9 @@
 }
 
 impl Section<'_> {
-    fn take(&mut self, key: &str) -> Option<String> {
+    fn value(&mut self, key: &str) -> Option<String> {
         self.document
-            .used
+            .keys_read
             .insert((self.name.clone(), key.to_owned()));
         self.document.sections.get(&self.name)?.get(key).cloned()
     }
@@ -173,7 +173,7 @@
         allowed: &str,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        let Some(text) = self.take(key) else {
+        let Some(text) = self.value(key) else {
             if default.is_none() {
                 self.reject(key, "nothing", allowed);
             }
@@ -186,7 +186,7 @@
         value
     }
 
-    /// Reads a name: letters, digits, `-`, `_` and `.`, at most 63 of them.
+    /// Reads a name of 1 to 63 letters, digits, `-`, `_` or `.`.
     pub fn name(&mut self, key: &str, default: Option<&str>) -> Arc<str> {
         let allowed = "1 to 63 letters, digits, `-`, `_` or `.`";
         let default = default.map(Arc::from);
@@ -196,7 +196,7 @@
         .unwrap_or_else(|| Arc::from(""))
     }
 
-    /// Reads a socket address by IP number.
+    /// Reads an IP address with a port.
     pub fn address(&mut self, key: &str, default: Option<SocketAddr>) -> SocketAddr {
         let allowed = "an IP number and a port, such as 127.0.0.1:8080";
         self.read(key, default, allowed, |text| text.parse().ok())
@@ -219,13 +219,13 @@
         self.read(key, default, &allowed, parse).unwrap_or_default()
     }
 
-    /// Reads a duration within `range`, if the key is there.
+    /// Reads a duration within `range`; `None` if the key is absent.
     pub fn optional_duration(
         &mut self,
         key: &str,
         range: RangeInclusive<Duration>,
     ) -> Option<Duration> {
-        let text = self.take(key);
+        let text = self.value(key);
         text.map(|_| self.duration(key, None, range))
     }
 
@@ -247,7 +247,7 @@
         self.read(key, default, &allowed, parse).unwrap_or_default()
     }
 
-    /// Reads processors; the result is in thousandths.
+    /// Reads a number of processors; the result is in thousandths of a processor.
     pub fn processors(&mut self, key: &str, default: Option<u64>) -> u64 {
         let allowed = "processors such as 2 or 0.25, at least 0.001";
         let parse =
@@ -255,7 +255,7 @@
         self.read(key, default, allowed, parse).unwrap_or_default()
     }
 
-    /// Reads a share such as `20%`.
+    /// Reads a percentage such as `20%`; the result is between 0 and 1.
     pub fn share(&mut self, key: &str, default: Option<f64>) -> f64 {
         self.read(key, default, "a share from 0% to 100%", unit::parse_share)
             .unwrap_or_default()
@@ -274,7 +274,7 @@
 
     /// Reads a comma-separated list of words; a missing key yields `default`.
     pub fn words(&mut self, key: &str, default: &str) -> Vec<Arc<str>> {
-        let text = self.take(key).unwrap_or_else(|| default.to_owned());
+        let text = self.value(key).unwrap_or_else(|| default.to_owned());
         text.split(',')
             .map(str::trim)
             .filter(|word| !word.is_empty())
@@ -282,7 +282,7 @@
             .collect()
     }
 
-    /// Reads one of `choices`, by name.
+    /// Reads one of `choices` by its name.
     pub fn choice<T: Copy>(
         &mut self,
         key: &str,
@@ -299,9 +299,9 @@
     }
 }
 
-/// Whether `text` can name an account, service, job or instance.
+/// Returns whether `text` can name an account, service, job or instance.
 #[must_use]
 pub fn is_valid_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(allowed)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
--- a/ashtiller/src/agreed/members.rs
+++ b/ashtiller/src/agreed/members.rs
@@ -1,8 +1,8 @@
-//! Which processes of the project are there, as a state machine.
+//! State machine of the membership: which gateways and schedulers are up.
 //!
-//! The store lists members under leases; heartbeats tell which of them answer.
-//! A member that the store has lost but that still answers stays for a while, so
-//! that an outage of the store empties nothing.
+//! The store lists the members, each under a lease; heartbeats show which of them respond.
+//! A member that the store no longer lists but that still responds is kept, so that an
+//! outage of the store does not empty the list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,15 +17,15 @@
 /// Prefix of the members' keys.
 pub const KEY_PREFIX: &str = "ashtiller/members/";
 /// How often two members exchange heartbeats.
-const GREET_EVERY: Duration = Duration::from_secs(2);
-/// Silence after which the member that is not to begin asks all the same.
-const GREET_LATE: Duration = Duration::from_secs(3);
-/// Heartbeats that may fail before a member is passed over.
-const MISSES: u32 = 3;
-/// Silence after which a member that the store has lost is forgotten.
-const FORGET: Duration = Duration::from_secs(10);
-
-/// A member as it describes itself.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Silence after which the member that normally waits sends a heartbeat as well.
+const HEARTBEAT_OVERDUE: Duration = Duration::from_secs(3);
+/// Failed heartbeats in a row after which a member gets no work.
+const MAX_MISSES: u32 = 3;
+/// Silence after which a member that the store does not list is removed.
+const REMOVE_AFTER: Duration = Duration::from_secs(10);
+
+/// A member's description of itself, stored under its key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
     /// Name of its instance.
@@ -36,14 +36,14 @@
     pub zone: Arc<str>,
     /// Region.
     pub region: Arc<str>,
-    /// Where other processes connect.
+    /// Address for other processes.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub operators: SocketAddr,
 }
 
 impl Member {
-    /// A process of this instance that listens at these addresses.
+    /// Describes the process of `instance` that listens on these addresses.
     #[must_use]
     pub fn new(
         instance: &settings::Instance,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The member's key in the store.
+    /// Returns the member's key in the store.
     #[must_use]
     pub fn key(&self) -> String {
         format!("{KEY_PREFIX}{}/{}", self.role.name(), self.name)
@@ -71,37 +71,37 @@
 /// What is known of one member.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberState {
-    /// Its own description.
+    /// The member's description of itself.
     pub member: Member,
     /// Whether the store lists it.
     pub listed: bool,
-    /// Whether it said that it is stopping.
+    /// Whether its last heartbeat said that it is shutting down.
     pub leaving: bool,
-    /// Whether a heartbeat was exchanged with it.
+    /// Whether it has responded to a heartbeat or sent one.
     pub met: bool,
-    /// Heartbeats that failed in a row.
+    /// Number of heartbeats that failed in a row.
     pub misses: u32,
-    /// When it last answered.
+    /// Time of its last heartbeat; before the first, the time it was listed.
     pub heard: Duration,
-    /// Cells that it last said it owns.
+    /// Cells that it owns by its last heartbeat.
     pub cells: Vec<Arc<str>>,
 }
 
-/// All members known.
+/// All known members.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     known: BTreeMap<(Role, Arc<str>), MemberState>,
 }
 
 impl Members {
-    /// Takes the store's list.
+    /// Applies the store's list of members.
     pub fn update_list(&mut self, members: &[Member], now: Duration) {
         for known in self.known.values_mut() {
             known.listed = false;
         }
         for member in members {
             let key = (member.role, member.name.clone());
-            let fresh = MemberState {
+            let new_state = MemberState {
                 member: member.clone(),
                 listed: true,
                 leaving: false,
@@ -110,86 +110,88 @@
                 heard: now,
                 cells: Vec::new(),
             };
-            let known = self.known.entry(key).or_insert_with(|| fresh.clone());
+            let known = self.known.entry(key).or_insert_with(|| new_state.clone());
             if known.member == *member {
                 known.listed = true;
             } else {
-                *known = fresh;
+                *known = new_state;
             }
         }
-        self.forget(now);
+        self.remove_expired(now);
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn remove_expired(&mut self, now: Duration) {
         self.known.retain(|_, known| {
-            known.listed || (!known.leaving && now.saturating_sub(known.heard) < FORGET)
+            known.listed || (!known.leaving && now.saturating_sub(known.heard) < REMOVE_AFTER)
         });
     }
 
-    /// Takes the answer to a heartbeat, or its failure.
+    /// Records a member's heartbeat; `None` means that a heartbeat to it failed.
     pub fn record_heartbeat(
         &mut self,
         role: Role,
         name: &str,
-        answer: Option<&Heartbeat>,
+        heartbeat: Option<&Heartbeat>,
         now: Duration,
     ) {
         let Some(known) = self.known.get_mut(&(role, Arc::from(name))) else {
             return;
         };
-        match answer {
-            Some(greeting) => {
+        match heartbeat {
+            Some(heartbeat) => {
                 known.misses = 0;
                 known.met = true;
                 known.heard = now;
-                known.leaving = greeting.leaving;
-                known.cells.clone_from(&greeting.cells);
+                known.leaving = heartbeat.leaving;
+                known.cells.clone_from(&heartbeat.cells);
             }
             None => known.misses = known.misses.saturating_add(1),
         }
-        self.forget(now);
+        self.remove_expired(now);
     }
 
-    /// Members that this one should greet now. Of two members the one that comes
-    /// first in order begins, so that a pair costs one exchange; the other asks
-    /// when it hears nothing, and anyone asks again after a failure.
+    /// Returns the members to which `own` should send a heartbeat now. Of two members the
+    /// first by role and name sends it, so that each pair exchanges one; the other sends
+    /// one when it hears nothing, and either retries after a failure.
     #[must_use]
     pub fn heartbeats_due(&self, own: &Member, now: Duration) -> Vec<Member> {
-        let first = (own.role, own.name.clone());
+        let own_key = (own.role, own.name.clone());
         let due = self.known.iter().filter(|(key, known)| {
             let silence = now.saturating_sub(known.heard);
-            let limit = if first < **key {
-                GREET_EVERY
+            let limit = if own_key < **key {
+                HEARTBEAT_INTERVAL
             } else {
-                GREET_LATE
+                HEARTBEAT_OVERDUE
             };
-            **key != first && (!known.met || known.misses > 0 || silence >= limit)
+            **key != own_key && (!known.met || known.misses > 0 || silence >= limit)
         });
         due.map(|(_, known)| known.member.clone()).collect()
     }
 
-    /// Everything known, for heartbeats and the dump.
+    /// Iterates over the known members, for heartbeats and the dump.
     pub fn iter(&self) -> impl Iterator<Item = &MemberState> {
         self.known.values()
     }
 
-    /// Names of the members of a role that work can be dealt to.
+    /// Returns the names of the members of a role that can be given work.
     #[must_use]
     pub fn available(&self, role: Role) -> Vec<Arc<str>> {
         self.known
             .values()
-            .filter(|known| known.member.role == role && !known.leaving && known.misses < MISSES)
+            .filter(|known| {
+                known.member.role == role && !known.leaving && known.misses < MAX_MISSES
+            })
             .map(|known| known.member.name.clone())
             .collect()
     }
 
-    /// One member.
+    /// Returns what is known of one member.
     #[must_use]
     pub fn get(&self, role: Role, name: &str) -> Option<&MemberState> {
         self.known.get(&(role, Arc::from(name)))
     }
 
-    /// The scheduler that last said it owns `cell`.
+    /// Returns the scheduler whose heartbeat claimed `cell` last.
     #[must_use]
     pub fn owner(&self, cell: &str) -> Option<&MemberState> {
         self.known
--- a/ashtiller/src/agreed/membership.rs
+++ b/ashtiller/src/agreed/membership.rs
@@ -1,4 +1,4 @@
-//! The actor that announces this process and watches the others.
+//! The actor that registers this process as a member and watches the others.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 use crate::rpc::RpcClient;
 use crate::store::Store;
 
-/// How often members are looked at for a heartbeat that is due.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// How often the members are checked for due heartbeats.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait of the watch.
-const WAIT: Duration = Duration::from_mins(1);
-/// Pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Renewals within one lease.
-const RENEWALS: u32 = 3;
+const WATCH_WAIT: Duration = Duration::from_mins(1);
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Number of renewals within one lease.
+const RENEWALS_PER_LEASE: u32 = 3;
 
 /// What the actor needs.
 pub struct Args {
@@ -33,70 +33,70 @@
     pub own: Member,
     /// Key-value service.
     pub store: Arc<dyn Store>,
-    /// Lease of the member's key.
+    /// Time to live of the lease on the member's key.
     pub lease: Duration,
-    /// Wire to other processes.
+    /// Client for calls to other processes.
     pub rpc: RpcClient,
-    /// Configuration, told of newer revisions.
+    /// Configuration, notified of the revisions in heartbeats.
     pub config: Arc<Config>,
-    /// Time.
+    /// Source of the time.
     pub clock: Arc<dyn Clock>,
-    /// This process's heartbeat.
+    /// Builds this process's heartbeat.
     pub heartbeat: Arc<dyn Fn() -> Heartbeat + Send + Sync>,
 }
 
 /// A running membership.
 pub struct Membership {
     members: watch::Receiver<Arc<Members>>,
-    actor: ActorRef<Registrar>,
+    actor: ActorRef<MembershipActor>,
     tasks: Vec<JoinHandle<()>>,
     lease: watch::Receiver<Option<Arc<str>>>,
     args: Arc<Args>,
 }
 
 impl Membership {
-    /// The members as known now.
+    /// Returns the members as currently known.
     #[must_use]
     pub fn members(&self) -> Arc<Members> {
         self.members.borrow().clone()
     }
 
-    /// A receiver that is told of each change.
+    /// Returns a receiver that is notified of each change.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<Members>> {
         self.members.clone()
     }
 
-    /// Tells every member at once what this process's heartbeat says now.
+    /// Sends this process's current heartbeat to every member at once.
     pub async fn broadcast(&self) {
         let others = self.members();
-        let mut greetings = JoinSet::new();
+        let mut sends = JoinSet::new();
         for known in others.iter().filter(|known| known.member != self.args.own) {
             let peer = self.args.rpc.connect(known.member.peers);
-            let greeting = (self.args.heartbeat)();
-            greetings.spawn(async move { peer.heartbeat(greeting).await });
+            let heartbeat = (self.args.heartbeat)();
+            sends.spawn(async move { peer.heartbeat(heartbeat).await });
         }
-        greetings.join_all().await;
+        sends.join_all().await;
     }
 
-    /// Takes a heartbeat that another member began.
-    pub fn receive_heartbeat(&self, greeting: Heartbeat, now: Duration) {
-        let Some(role) = Role::parse(&greeting.role) else {
+    /// Records a heartbeat that another member sent.
+    pub fn receive_heartbeat(&self, heartbeat: Heartbeat, now: Duration) {
+        let Some(role) = Role::parse(&heartbeat.role) else {
             return;
         };
-        let name = greeting.name.clone();
+        let name = heartbeat.name.clone();
         let _ = self
             .actor
-            .tell(Heard {
+            .tell(HeartbeatResult {
                 role,
                 name,
-                answer: Some(greeting),
+                heartbeat: Some(heartbeat),
                 now,
             })
             .try_send();
     }
 
-    /// Stops to announce and to watch, as a kill does.
+    /// Stops all tasks and leaves the lease to expire, as when the process is killed.
     pub fn abort(&self) {
         for task in &self.tasks {
             task.abort();
@@ -104,7 +104,8 @@
         self.actor.kill();
     }
 
-    /// Takes this process off the store's list, in a planned stop.
+    /// Revokes the lease in a planned shutdown, which removes this process from the
+    /// store's list at once.
     pub async fn deregister(&self) {
         for task in &self.tasks {
             task.abort();
@@ -122,21 +123,25 @@
     }
 }
 
-/// Starts to announce this process and to watch the others.
+/// Registers this process and starts to watch the others.
 #[must_use]
 pub fn spawn(args: Args) -> Membership {
     let (sender, members) = watch::channel(Arc::default());
-    let (held, lease) = watch::channel(None);
-    let registrar = Registrar {
+    let (lease_sender, lease) = watch::channel(None);
+    let state = MembershipActor {
         members: Members::default(),
         sender,
     };
-    let actor = Registrar::spawn(registrar);
+    let actor = MembershipActor::spawn(state);
     let args = Arc::new(args);
     let tasks = vec![
-        tokio::spawn(announce(args.clone(), held)),
+        tokio::spawn(register(args.clone(), lease_sender)),
         tokio::spawn(watch_members(args.clone(), actor.clone())),
-        tokio::spawn(greet_all(args.clone(), actor.clone(), members.clone())),
+        tokio::spawn(send_heartbeats(
+            args.clone(),
+            actor.clone(),
+            members.clone(),
+        )),
     ];
     Membership {
         members,
@@ -147,29 +152,29 @@
     }
 }
 
-async fn announce(args: Arc<Args>, held: watch::Sender<Option<Arc<str>>>) {
+async fn register(args: Arc<Args>, lease_sender: watch::Sender<Option<Arc<str>>>) {
     let value = serde_json::to_vec(&args.own).unwrap_or_default();
     let key = args.own.key();
     loop {
         let opened = args.store.open_lease(args.lease).await;
         let Ok(lease) = opened else {
-            time::sleep(PAUSE).await;
+            time::sleep(RETRY_DELAY).await;
             continue;
         };
-        held.send_replace(Some(lease.clone()));
-        // The key of an earlier life is held by a lease that soon ends.
+        lease_sender.send_replace(Some(lease.clone()));
+        // The lease of an earlier incarnation may still hold the key; it expires soon.
         while !matches!(
             args.store.acquire(&key, value.clone().into(), &lease).await,
             Ok(true)
         ) {
-            time::sleep(PAUSE).await;
+            time::sleep(RETRY_DELAY).await;
             if !matches!(args.store.renew(&lease).await, Ok(true)) {
                 break;
             }
         }
         loop {
-            time::sleep(args.lease / RENEWALS).await;
-            // While the store is down, a lease may or may not live on: ask again.
+            time::sleep(args.lease / RENEWALS_PER_LEASE).await;
+            // While the store is down, the lease may or may not be valid: renew it again.
             if let Ok(false) = args.store.renew(&lease).await {
                 break;
             }
@@ -177,11 +182,15 @@
     }
 }
 
-async fn watch_members(args: Arc<Args>, actor: ActorRef<Registrar>) {
+async fn watch_members(args: Arc<Args>, actor: ActorRef<MembershipActor>) {
     let mut index = 0;
     loop {
-        let Ok(view) = args.store.watch(members::KEY_PREFIX, index, WAIT).await else {
-            time::sleep(PAUSE).await;
+        let Ok(view) = args
+            .store
+            .watch(members::KEY_PREFIX, index, WATCH_WAIT)
+            .await
+        else {
+            time::sleep(RETRY_DELAY).await;
             index = 0;
             continue;
         };
@@ -200,21 +209,21 @@
     }
 }
 
-async fn greet_all(
+async fn send_heartbeats(
     args: Arc<Args>,
-    actor: ActorRef<Registrar>,
+    actor: ActorRef<MembershipActor>,
     members: watch::Receiver<Arc<Members>>,
 ) {
-    let mut ticks = time::interval(LOOK_EVERY);
+    let mut ticks = time::interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-    let mut greetings = JoinSet::new();
-    let mut busy = BTreeSet::new();
+    let mut sends = JoinSet::new();
+    let mut in_flight = BTreeSet::new();
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            Some(done) = greetings.join_next() => {
+            Some(done) = sends.join_next() => {
                 if let Ok(key) = done {
-                    busy.remove(&key);
+                    in_flight.remove(&key);
                 }
                 continue;
             }
@@ -222,10 +231,10 @@
         let due = members.borrow().heartbeats_due(&args.own, args.clock.now());
         for member in due {
             let key = (member.role, member.name.clone());
-            if busy.insert(key.clone()) {
+            if in_flight.insert(key.clone()) {
                 let (args, actor) = (args.clone(), actor.clone());
-                greetings.spawn(async move {
-                    greet(args, actor, member).await;
+                sends.spawn(async move {
+                    send_heartbeat(args, actor, member).await;
                     key
                 });
             }
@@ -233,33 +242,34 @@
     }
 }
 
-async fn greet(args: Arc<Args>, actor: ActorRef<Registrar>, member: Member) {
-    let answer = args
+async fn send_heartbeat(args: Arc<Args>, actor: ActorRef<MembershipActor>, member: Member) {
+    let heartbeat = args
         .rpc
         .connect(member.peers)
         .heartbeat((args.heartbeat)())
         .await
         .ok();
-    // A greeting from another life at the same address says nothing of this one.
-    let answer = answer.filter(|greeting| greeting.name == member.name);
-    if let Some(greeting) = &answer {
-        args.config.observe_revision(greeting.revision);
+    // Another process may listen on the address by now; its heartbeat says nothing about
+    // this member.
+    let heartbeat = heartbeat.filter(|heartbeat| heartbeat.name == member.name);
+    if let Some(heartbeat) = &heartbeat {
+        args.config.observe_revision(heartbeat.revision);
     }
-    let heard = Heard {
+    let result = HeartbeatResult {
         role: member.role,
         name: member.name,
-        answer,
+        heartbeat,
         now: args.clock.now(),
     };
-    let _ = actor.tell(heard).await;
+    let _ = actor.tell(result).await;
 }
 
-struct Registrar {
+struct MembershipActor {
     members: Members,
     sender: watch::Sender<Arc<Members>>,
 }
 
-impl Actor for Registrar {
+impl Actor for MembershipActor {
     type Args = Self;
     type Error = std::convert::Infallible;
 
@@ -268,21 +278,21 @@
     }
 }
 
-/// The store's list.
+/// Message: the store's list of members.
 struct Listed {
     list: Vec<Member>,
     now: Duration,
 }
 
-/// The end of a heartbeat.
-struct Heard {
+/// Message: a member's heartbeat, or the failure of one sent to it.
+struct HeartbeatResult {
     role: Role,
     name: Arc<str>,
-    answer: Option<Heartbeat>,
+    heartbeat: Option<Heartbeat>,
     now: Duration,
 }
 
-impl Message<Listed> for Registrar {
+impl Message<Listed> for MembershipActor {
     type Reply = ();
 
     async fn handle(&mut self, listed: Listed, _: &mut Context<Self, ()>) {
@@ -291,12 +301,16 @@
     }
 }
 
-impl Message<Heard> for Registrar {
+impl Message<HeartbeatResult> for MembershipActor {
     type Reply = ();
 
-    async fn handle(&mut self, heard: Heard, _: &mut Context<Self, ()>) {
-        self.members
-            .record_heartbeat(heard.role, &heard.name, heard.answer.as_ref(), heard.now);
+    async fn handle(&mut self, result: HeartbeatResult, _: &mut Context<Self, ()>) {
+        self.members.record_heartbeat(
+            result.role,
+            &result.name,
+            result.heartbeat.as_ref(),
+            result.now,
+        );
         self.sender.send_replace(Arc::new(self.members.clone()));
     }
 }
--- a/ashtiller/src/agreed/mistake.rs
+++ b/ashtiller/src/agreed/mistake.rs
@@ -1,8 +1,8 @@
-//! A mistake in a settings or template file.
+//! Validation errors of settings and template files.
 
 use std::fmt;
 
-/// One mistake: where it stands, what was found and what is allowed.
+/// One mistake in a file: its place, what was found and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
     /// File as named by the user.
@@ -11,9 +11,9 @@
     pub section: String,
     /// Key; empty for the whole section.
     pub key: String,
-    /// What was found.
+    /// The text found, or a description of it.
     pub found: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Every mistake of a file; at least one.
+/// All mistakes of a file; at least one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistakes(pub Vec<Mistake>);
 
--- a/ashtiller/src/agreed/mod.rs
+++ b/ashtiller/src/agreed/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask for and all processes agree on.
+//! Configuration and membership, on which all processes of a deployment agree.
 
 pub mod apply;
 pub mod config;
--- a/ashtiller/src/agreed/settings.rs
+++ b/ashtiller/src/agreed/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of one instance, read from an INI file.
 //!
-//! Both roles read the same file, so an instance needs one. Every time and size
-//! names its unit. `docs/OPERATORS.md` lists each key with default and range.
+//! Both roles read the same file, so an instance needs only one. Every time and size
+//! has a unit. `docs/OPERATORS.md` lists each key with its default and range.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 const HOUR: Duration = Duration::from_hours(1);
 const MIB: u64 = 1 << 20;
 
-/// Who and where this process is.
+/// Identity and location of the instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
     /// Name, unique among the entry instances.
@@ -30,95 +30,97 @@
     pub zone: Arc<str>,
 }
 
-/// How to reach the platform.
+/// Access to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// Key-value service.
+    /// Address of the key-value store.
     pub store: SocketAddr,
-    /// Time limit of one call.
+    /// Timeout of one call.
     pub timeout: Duration,
-    /// Lease of this process in the key-value service.
+    /// Time to live of this process's lease in the key-value store.
     pub lease: Duration,
-    /// How often the list of instances is read.
+    /// Interval between checks for changed services and cells; also the delay before a
+    /// failed read of the list of instances is retried.
     pub refresh_interval: Duration,
-    /// Service in the platform's list whose instances are workers.
+    /// Service in the platform's catalog whose instances are the workers.
     pub workers: Arc<str>,
 }
 
-/// The gateway role.
+/// Settings of the gateway role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gateway {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Where the project's other processes connect.
+    /// Address for the other gateways and schedulers.
     pub peers: SocketAddr,
-    /// How endpoints are chosen.
+    /// Load-balancing policy that chooses endpoints.
     pub routing: balance::Kind,
-    /// Most connections to one endpoint.
+    /// Largest number of connections to one endpoint.
     pub connections_per_endpoint: u32,
-    /// Most connections from callers.
+    /// Largest number of connections from callers.
     pub max_callers: u32,
     /// Largest request body.
     pub max_body_bytes: u64,
-    /// Largest head of a request or an answer.
+    /// Largest head of a request or a response.
     pub max_head_bytes: u64,
     /// Largest body that is kept for a retry.
     pub max_replay_bytes: u64,
-    /// Time limit of connecting to an endpoint.
+    /// Timeout of connecting to an endpoint.
     pub connect_timeout: Duration,
     /// An idle connection to an endpoint is closed after this time.
     pub idle_timeout: Duration,
-    /// How long the balancer may go on sending after a planned stop begins.
+    /// Time for which the load balancer may still send requests after a planned shutdown
+    /// has begun.
     pub drain_timeout: Duration,
-    /// Share of retries among first attempts.
+    /// Retries allowed as a share of first attempts.
     pub retry_share: f64,
     /// Largest share of a service's endpoints that may be ejected.
     pub max_ejected_share: f64,
-    /// Most groups of idempotency keys written each second.
+    /// Largest number of groups of idempotency keys written each second.
     pub claims_per_second: u32,
 }
 
-/// The scheduler role.
+/// Settings of the scheduler role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scheduler {
-    /// Where operators connect.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Where the project's other processes connect.
+    /// Address for the other gateways and schedulers.
     pub peers: SocketAddr,
     /// Lease granted to a worker.
     pub lease: Duration,
-    /// How long leases are renewed past the last confirmed ownership.
+    /// How long workers' leases are renewed after the cell's ownership was last confirmed.
     pub lease_horizon: Duration,
-    /// Allowance for the drift of clocks over a lease.
+    /// Allowance for clock drift over a lease.
     pub clock_margin: Duration,
     /// How often a worker's lease is renewed.
     pub renew_interval: Duration,
-    /// Least time between two writes to a cell's log.
+    /// Shortest time between two writes to a cell's log.
     pub commit_interval: Duration,
-    /// Log entries after which a snapshot cuts the log.
+    /// Log entries after which a snapshot is written and the log truncated.
     pub snapshot_entries: u32,
 }
 
 /// Settings of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Who and where this process is.
+    /// Section `[instance]`.
     pub instance: Instance,
-    /// How to reach the platform.
+    /// Section `[platform]`.
     pub platform: Platform,
-    /// The gateway role.
+    /// Section `[gateway]`.
     pub gateway: Gateway,
-    /// The scheduler role.
+    /// Section `[scheduler]`.
     pub scheduler: Scheduler,
 }
 
 impl Settings {
-    /// Reads settings from the text of an INI file; `file` is shown in mistakes.
+    /// Parses settings from the text of an INI file; `file` is the name that mistakes show.
     ///
     /// # Errors
-    /// Every mistake in the file at once.
+    /// Returns every mistake in the file.
     ///
     /// ```
     /// let text = "[instance]\nname = entry-1\navailability_zone = bern\n\
@@ -141,7 +143,7 @@
     }
 }
 
-/// Who and where a process is, whatever its role.
+/// Reads the section `[instance]`, which settings of every kind have.
 pub(crate) fn read_instance(document: &mut Document) -> Instance {
     let mut section = document.section("instance");
     Instance {
--- a/ashtiller/src/agreed/template.rs
+++ b/ashtiller/src/agreed/template.rs
@@ -1,4 +1,4 @@
-//! A client account's template: services, jobs and quota, written by operators.
+//! A client account's template: its services, jobs and quota, written by operators.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_hours(1);
 const DAY: Duration = Duration::from_hours(24);
-/// Largest memory a template may name.
-const MEMORY_MAX: u64 = 1 << 50;
+/// Largest memory that a template may name, in bytes (1 PiB).
+const MAX_MEMORY_BYTES: u64 = 1 << 50;
 
-/// Whether work is urgent for people or fills the rest.
+/// Scheduling class of requests and tasks.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Somebody waits for it.
+    /// Work whose latency matters, as a user waits for it.
     LatencyCritical,
-    /// It fills what is left.
+    /// Best-effort work that uses the remaining capacity.
     Batch,
 }
 
@@ -39,20 +39,20 @@
 pub struct Service {
     /// Class of its requests.
     pub class: Class,
-    /// Latency that the service should keep.
+    /// Latency target of the service.
     pub latency_target: Duration,
-    /// Time limit of a request that names none.
+    /// Timeout of a request that sets none.
     pub timeout: Duration,
-    /// Methods that may be repeated.
+    /// HTTP methods whose requests may be sent again.
     pub repeatable_methods: Vec<Arc<str>>,
-    /// Most requests in flight in one gateway.
+    /// Largest number of requests in flight in one gateway.
     pub max_in_flight: u32,
-    /// Most requests that wait in one gateway.
+    /// Largest number of requests queued in one gateway.
     pub max_queued: u32,
 }
 
 impl Service {
-    /// Whether a request with this method may run twice.
+    /// Returns whether a request with this method may run twice.
     #[must_use]
     pub fn may_repeat(&self, method: &str) -> bool {
         self.repeatable_methods.iter().any(|name| &**name == method)
@@ -64,17 +64,17 @@
 pub struct Job {
     /// Class of its tasks.
     pub class: Class,
-    /// What one task needs.
+    /// Resources that one task needs.
     pub resources: Resources,
     /// Number of tasks.
     pub tasks: u32,
     /// Declared run time of one task; `None` runs until it is cancelled.
     pub run_time: Option<Duration>,
-    /// Latency that its tasks should keep, if they serve requests.
+    /// Latency target of its tasks, if they serve requests.
     pub latency_target: Option<Duration>,
     /// Whether its tasks start before all others.
     pub urgent: bool,
-    /// Attempts that may fail before a task is given up.
+    /// Failed attempts after which a task is not retried.
     pub max_attempts: u32,
 }
 
@@ -83,9 +83,9 @@
 pub struct Template {
     /// Client account.
     pub account: Arc<str>,
-    /// Most that its running tasks may hold together.
+    /// Largest total of resources that its running tasks may hold.
     pub quota: Resources,
-    /// Evictions of its tasks that are allowed in an hour.
+    /// Evictions of its tasks allowed in one hour.
     pub evictions_per_hour: u32,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Service>,
@@ -94,10 +94,10 @@
 }
 
 impl Template {
-    /// Reads a template from the text of an INI file; `file` is shown in mistakes.
+    /// Parses a template from the text of an INI file; `file` is the name that mistakes show.
     ///
     /// # Errors
-    /// Every mistake in the file at once.
+    /// Returns every mistake in the file.
     pub fn parse(file: &str, text: &str) -> Result<Self, Mistakes> {
         let mut document = Document::parse(file, text)?;
         let mut section = document.section("account");
@@ -105,7 +105,7 @@
         let evictions = section.count("evictions", Some(60), 0..=100_000);
         let quota = Resources {
             processors: section.processors("processors", Some(1_000_000_000)),
-            memory: section.size("memory", Some(MEMORY_MAX), 0..=MEMORY_MAX),
+            memory: section.size("memory", Some(MAX_MEMORY_BYTES), 0..=MAX_MEMORY_BYTES),
             accelerators: section.count("accelerators", Some(0), 0..=1_000_000),
         };
         let services = read_services(&mut document);
@@ -167,10 +167,10 @@
         let mut section = document.section(&title);
         let needs = Resources {
             processors: section.processors("processors", None),
-            memory: section.size("memory", None, 1..=MEMORY_MAX),
+            memory: section.size("memory", None, 1..=MAX_MEMORY_BYTES),
             accelerators: section.count("accelerators", Some(0), 0..=1024),
         };
-        let forever = section.flag("listener", Some(false));
+        let is_listener = section.flag("listener", Some(false));
         let length = section.duration("length", Some(HOUR), SECOND / 100..=30 * DAY);
         let job = Job {
             class: section
@@ -178,12 +178,12 @@
                 .unwrap_or(Class::Batch),
             resources: needs,
             tasks: section.count("tasks", Some(1), 1..=10_000),
-            run_time: (!forever).then_some(length),
+            run_time: (!is_listener).then_some(length),
             latency_target: section.optional_duration("target", SECOND / 1000..=HOUR),
             urgent: section.flag("urgent", Some(false)),
             max_attempts: section.count("attempts", Some(5), 1..=100),
         };
-        // A quota that could not be read has its own mistake.
+        // A quota that could not be read has already added its own mistake.
         if quota.processors > 0 && !job.resources.fits_within(quota) {
             let allowed = format!("at most the account's quota of {quota}");
             section.reject(
--- a/ashtiller/src/agreed/unit.rs
+++ b/ashtiller/src/agreed/unit.rs
@@ -1,11 +1,12 @@
-//! Values with units, as settings and templates write them.
+//! Parsing and formatting of values with units in settings and templates.
 
 use std::time::Duration;
 
-/// Durations that a setting may name: number and unit, such as `250ms`.
-const TIMES: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("min", 60_000), ("h", 3_600_000)];
-/// Sizes that a setting may name: number and unit, such as `64MiB`.
-const SIZES: [(&str, u64); 5] = [
+/// Units of durations such as `250ms`, with their length in milliseconds.
+const DURATION_UNITS: [(&str, u64); 4] =
+    [("ms", 1), ("s", 1_000), ("min", 60_000), ("h", 3_600_000)];
+/// Units of sizes such as `64MiB`, with their number of bytes.
+const SIZE_UNITS: [(&str, u64); 5] = [
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
@@ -13,19 +14,19 @@
     ("B", 1),
 ];
 
-/// Reads a duration in `ms`, `s`, `min` or `h`.
+/// Parses a duration in `ms`, `s`, `min` or `h`.
 #[must_use]
 pub fn parse_duration(text: &str) -> Option<Duration> {
-    parse_scaled(text, &TIMES).map(Duration::from_millis)
+    parse_scaled(text, &DURATION_UNITS).map(Duration::from_millis)
 }
 
-/// Reads a size in `B`, `KiB`, `MiB`, `GiB` or `TiB`; the result is in bytes.
+/// Parses a size in `B`, `KiB`, `MiB`, `GiB` or `TiB`; the result is in bytes.
 #[must_use]
 pub fn parse_size(text: &str) -> Option<u64> {
-    parse_scaled(text, &SIZES)
+    parse_scaled(text, &SIZE_UNITS)
 }
 
-/// Reads a number of processors such as `2` or `0.25`; the result is in thousandths.
+/// Parses a number of processors such as `2` or `0.25`; the result is in thousandths.
 #[must_use]
 pub fn parse_processors(text: &str) -> Option<u64> {
     let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
@@ -40,33 +41,33 @@
         .checked_add(thousandths)
 }
 
-/// Reads a share such as `20%`; the result is between 0 and 1.
+/// Parses a percentage such as `20%`; the result is between 0 and 1.
 #[must_use]
 pub fn parse_share(text: &str) -> Option<f64> {
     let number: f64 = text.strip_suffix('%')?.trim_end().parse().ok()?;
     (0.0..=100.0).contains(&number).then_some(number / 100.0)
 }
 
-/// Writes a duration with the largest unit that leaves no remainder.
+/// Formats a duration with the largest unit that leaves no remainder.
 #[must_use]
 pub fn format_duration(duration: Duration) -> String {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
-    let fits = TIMES
+    let exact_unit = DURATION_UNITS
         .iter()
         .rev()
         .find(|(_, scale)| millis >= *scale && millis.is_multiple_of(*scale));
-    let (unit, scale) = fits.unwrap_or(&TIMES[0]);
+    let (unit, scale) = exact_unit.unwrap_or(&DURATION_UNITS[0]);
     format!("{}{unit}", millis / scale)
 }
 
-/// Writes a size with the largest unit that leaves no remainder.
+/// Formats a size with the largest unit that leaves no remainder.
 #[must_use]
 pub fn format_size(bytes: u64) -> String {
-    let units = [SIZES[3], SIZES[2], SIZES[1], SIZES[0]];
-    let fits = units
+    let units = [SIZE_UNITS[3], SIZE_UNITS[2], SIZE_UNITS[1], SIZE_UNITS[0]];
+    let exact_unit = units
         .iter()
         .find(|(_, scale)| bytes >= *scale && bytes.is_multiple_of(*scale));
-    let (unit, scale) = fits.unwrap_or(&SIZES[4]);
+    let (unit, scale) = exact_unit.unwrap_or(&SIZE_UNITS[4]);
     format!("{}{unit}", bytes / scale)
 }
 
--- a/ashtiller/src/command.rs
+++ b/ashtiller/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands and their exit status: 0 done, 1 failed, 2 wrong use or settings.
+//! Commands and their exit status: 0 success, 1 failure, 2 invalid usage, settings or template.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -33,52 +33,52 @@
   ashtiller entry     [--settings FILE]        run an entry instance on the users' platform
   ashtiller gateway   --settings FILE          run a gateway until SIGTERM or SIGINT
   ashtiller scheduler --settings FILE          run a scheduler until SIGTERM or SIGINT
-  ashtiller check     --settings FILE          find every mistake in a settings or template file
+  ashtiller check     --settings FILE          list every mistake in a settings or template file
   ashtiller apply     --settings FILE [--dry-run] TEMPLATE...
-                                               put templates in force
+                                               apply templates
   ashtiller submit    --settings FILE --kind KIND [--tasks N] ACCOUNT JOB
   ashtiller show      --settings FILE ACCOUNT [JOB]
   ashtiller show      --settings FILE --cell CELL
   ashtiller cancel    --settings FILE ACCOUNT JOB
-  ashtiller dump      ADDRESS                  a process's whole state as JSON
-  ashtiller demo      [--seconds N]            everything in one process, with stand-ins
+  ashtiller dump      ADDRESS                  print a process's state as JSON
+  ashtiller demo      [--seconds N]            run a simulated deployment in one process
 
-`--gateway ADDRESS` names the operators' port that submit, show and cancel ask;
-without it they ask the one in the settings. Exit status: 0 done, 1 failed, 2 wrong
-use or settings. Logs go to standard error; ASHTILLER_LOG sets their filter.";
+submit, show and cancel call the operators' port of a gateway: that of `--gateway ADDRESS`,
+or by default the one in the settings. Exit status: 0 success, 1 failure, 2 invalid usage,
+settings or template. Logs go to standard error; ASHTILLER_LOG sets their filter.";
 
-/// Time limit of a command's call to a gateway.
-const LIMIT: Duration = Duration::from_secs(15);
-/// Time limit of a dump.
-const DUMP_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a command's call to a gateway.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout of a state dump.
+const DUMP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a command ended without success.
-enum Failed {
-    /// Wrong use or settings.
-    Wrong(String),
-    /// It could not be done.
+/// Why a command failed; it determines the exit status.
+enum CommandError {
+    /// Invalid usage, settings or template: exit status 2.
+    Usage(String),
+    /// Any other failure: exit status 1.
     Failed(anyhow::Error),
 }
 
-impl From<anyhow::Error> for Failed {
+impl From<anyhow::Error> for CommandError {
     fn from(error: anyhow::Error) -> Self {
         Self::Failed(error)
     }
 }
 
-impl From<Mistakes> for Failed {
+impl From<Mistakes> for CommandError {
     fn from(mistakes: Mistakes) -> Self {
-        Self::Wrong(mistakes.to_string())
+        Self::Usage(mistakes.to_string())
     }
 }
 
-impl From<pico_args::Error> for Failed {
+impl From<pico_args::Error> for CommandError {
     fn from(error: pico_args::Error) -> Self {
-        Self::Wrong(format!("{error}\n\n{USAGE}"))
+        Self::Usage(format!("{error}\n\n{USAGE}"))
     }
 }
 
-type Done = Result<(), Failed>;
+type CommandResult = Result<(), CommandError>;
 
 /// Runs the command that the arguments name.
 pub fn run(mut args: Arguments) -> ExitCode {
@@ -92,18 +92,18 @@
     }
     match run_command(args) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failed::Wrong(reason)) => {
+        Err(CommandError::Usage(reason)) => {
             eprintln!("{reason}");
             ExitCode::from(2)
         }
-        Err(Failed::Failed(error)) => {
+        Err(CommandError::Failed(error)) => {
             eprintln!("ashtiller: {error:#}");
             ExitCode::from(1)
         }
     }
 }
 
-fn run_command(mut args: Arguments) -> Done {
+fn run_command(mut args: Arguments) -> CommandResult {
     let command = args.subcommand()?.unwrap_or_default();
     match command.as_str() {
         "entry" => entry(args),
@@ -117,18 +117,18 @@
         "dump" => block_on(dump(args)),
         "demo" => {
             let seconds: u64 = args.opt_value_from_str("--seconds")?.unwrap_or(20);
-            finish(args, 0)?;
-            start_logs("warn");
+            positional(args, 0)?;
+            init_logs("warn");
             block_on(async { Ok(demo::run(Duration::from_secs(seconds)).await?) })
         }
-        "" => Err(Failed::Wrong(USAGE.to_owned())),
-        other => Err(Failed::Wrong(format!(
-            "there is no command `{other}`\n\n{USAGE}"
+        "" => Err(CommandError::Usage(USAGE.to_owned())),
+        other => Err(CommandError::Usage(format!(
+            "unknown command `{other}`\n\n{USAGE}"
         ))),
     }
 }
 
-fn block_on(work: impl Future<Output = Done>) -> Done {
+fn block_on(work: impl Future<Output = CommandResult>) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
@@ -136,7 +136,7 @@
     runtime.block_on(work)
 }
 
-fn start_logs(default: &str) {
+fn init_logs(default: &str) {
     let filter =
         EnvFilter::try_from_env("ASHTILLER_LOG").unwrap_or_else(|_| EnvFilter::new(default));
     tracing_subscriber::fmt()
@@ -146,32 +146,32 @@
         .init();
 }
 
-/// Takes the free arguments; `least` of them are needed.
-fn finish(args: Arguments, least: usize) -> Result<Vec<String>, Failed> {
+/// Returns the positional arguments; requires `min` or more of them, and none if `min` is 0.
+fn positional(args: Arguments, min: usize) -> Result<Vec<String>, CommandError> {
     let mut free = Vec::new();
     for word in args.finish() {
         let word = word.to_string_lossy().into_owned();
         if word.starts_with('-') {
-            return Err(Failed::Wrong(format!(
-                "there is no option `{word}` here\n\n{USAGE}"
+            return Err(CommandError::Usage(format!(
+                "unknown option `{word}`\n\n{USAGE}"
             )));
         }
         free.push(word);
     }
-    if free.len() < least || (least == 0 && !free.is_empty()) {
-        return Err(Failed::Wrong(format!(
+    if free.len() < min || (min == 0 && !free.is_empty()) {
+        return Err(CommandError::Usage(format!(
             "wrong number of arguments\n\n{USAGE}"
         )));
     }
     Ok(free)
 }
 
-fn read_file(path: &Path) -> Result<String, Failed> {
+fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path)
-        .map_err(|error| Failed::Wrong(format!("{}: {error}", path.display())))
+        .map_err(|error| CommandError::Usage(format!("{}: {error}", path.display())))
 }
 
-fn read_settings(args: &mut Arguments) -> Result<Settings, Failed> {
+fn read_settings(args: &mut Arguments) -> Result<Settings, CommandError> {
     let path: PathBuf = args.value_from_str("--settings")?;
     Ok(Settings::parse(
         &path.display().to_string(),
@@ -185,18 +185,18 @@
     Scheduler,
 }
 
-/// Runs an entry instance; its logs go to standard output.
-fn entry(mut args: Arguments) -> Done {
+/// Runs an entry instance, whose logs go to standard output.
+fn entry(mut args: Arguments) -> CommandResult {
     let path: Option<PathBuf> = args.opt_value_from_str("--settings")?;
-    finish(args, 0)?;
+    positional(args, 0)?;
     let logs = logs::open("info");
     Ok(platform::run(path, logs.dropped())?)
 }
 
-fn run_role(mut args: Arguments, role: Role) -> Done {
+fn run_role(mut args: Arguments, role: Role) -> CommandResult {
     let settings = read_settings(&mut args)?;
-    finish(args, 0)?;
-    start_logs("info");
+    positional(args, 0)?;
+    init_logs("info");
     block_on(async {
         let mut terminate = signal(SignalKind::terminate()).context("listening for SIGTERM")?;
         let mut interrupt = signal(SignalKind::interrupt()).context("listening for SIGINT")?;
@@ -205,7 +205,7 @@
                 _ = terminate.recv() => {}
                 _ = interrupt.recv() => {}
             }
-            tracing::info!("planned stop");
+            tracing::info!("shutting down");
         };
         match role {
             Role::Gateway => {
@@ -226,12 +226,13 @@
     })
 }
 
-fn check(mut args: Arguments) -> Done {
+fn check(mut args: Arguments) -> CommandResult {
     let path: PathBuf = args.value_from_str("--settings")?;
-    finish(args, 0)?;
+    positional(args, 0)?;
     let text = read_file(&path)?;
     let name = path.display().to_string();
-    // Only a template has an account; only settings have an instance.
+    // The sections show the kind of file: only templates have `[account]`, and only
+    // settings of entry instances have `[entry]`.
     if text.lines().any(|line| line.trim() == "[account]") {
         Template::parse(&name, &text)?;
     } else if text.lines().any(|line| line.trim() == "[entry]") {
@@ -243,13 +244,13 @@
     Ok(())
 }
 
-async fn apply(mut args: Arguments) -> Done {
+async fn apply(mut args: Arguments) -> CommandResult {
     let settings = read_settings(&mut args)?;
-    let dry = args.contains("--dry-run");
-    let paths = finish(args, 1)?;
+    let dry_run = args.contains("--dry-run");
+    let paths = positional(args, 1)?;
     let mut templates = Vec::new();
     let mut mistakes = Vec::new();
-    // Every file is checked before any is written.
+    // Every file is validated before any is written.
     for path in &paths {
         let text = read_file(Path::new(path))?;
         match Template::parse(path, &text) {
@@ -261,31 +262,34 @@
         return Err(Mistakes(mistakes).into());
     }
     let store = consul::open(settings.platform.store, settings.platform.timeout);
-    let mut raced = false;
+    let mut conflict = false;
     for (path, account, text) in templates {
         let base = apply::read(&*store, &account)
             .await
-            .context("reading what is in force")?;
-        let applied = apply::write(&*store, &account, &text, &base, dry).await;
-        match applied.with_context(|| format!("putting {path} in force"))? {
+            .context("reading the stored template")?;
+        let applied = apply::write(&*store, &account, &text, &base, dry_run).await;
+        match applied.with_context(|| format!("applying {path}"))? {
             Applied::Accepted(revision) => {
-                println!("{path}: {account} in force, revision {revision}");
+                println!("{path}: {account} applied, revision {revision}");
             }
             Applied::Unchanged(revision) => {
                 println!("{path}: {account} unchanged, revision {revision}");
             }
             Applied::DryRun(old) => show_change(path, old.as_deref().unwrap_or(""), &text),
             Applied::Conflict(revision, now) => {
-                raced = true;
-                println!("{path}: {account} was changed meanwhile, to revision {revision}");
+                conflict = true;
+                println!(
+                    "{path}: {account} was changed by another operator, to revision {revision}"
+                );
                 show_change(path, base.text().map_or("", |text| text), &now);
             }
         }
     }
-    if raced {
-        return Err(
-            anyhow::anyhow!("another operator was faster; nothing of theirs was undone").into(),
-        );
+    if conflict {
+        return Err(anyhow::anyhow!(
+            "another operator changed an account first; that change was kept"
+        )
+        .into());
     }
     Ok(())
 }
@@ -306,31 +310,43 @@
     }
 }
 
-async fn ask_gateway(args: &mut Arguments, method: Method, target: &str, good: bool) -> Done {
+async fn call_gateway(
+    args: &mut Arguments,
+    method: Method,
+    target: &str,
+    invalid_is_usage: bool,
+) -> CommandResult {
     let settings = read_settings(args)?;
     let given: Option<SocketAddr> = args.opt_value_from_str("--gateway")?;
     let address = given.unwrap_or(settings.gateway.operators);
     let client = web::Client::default();
-    let answer = client
-        .call("ask gateway", address, method, target, Bytes::new(), LIMIT)
+    let response = client
+        .call(
+            "call gateway",
+            address,
+            method,
+            target,
+            Bytes::new(),
+            CALL_TIMEOUT,
+        )
         .await
-        .map_err(|failure| Failed::Failed(failure.into()))?;
-    let body = String::from_utf8_lossy(&answer.body).into_owned();
+        .map_err(|failure| CommandError::Failed(failure.into()))?;
+    let body = String::from_utf8_lossy(&response.body).into_owned();
     println!("{body}");
-    if answer.status.is_success() {
+    if response.status.is_success() {
         return Ok(());
     }
-    let wrong = matches!(
-        answer.status,
+    let invalid = matches!(
+        response.status,
         StatusCode::BAD_REQUEST | StatusCode::UNPROCESSABLE_ENTITY
     );
-    if wrong && good {
-        return Err(Failed::Wrong(format!("refused: {}", answer.status)));
+    if invalid && invalid_is_usage {
+        return Err(CommandError::Usage(format!("refused: {}", response.status)));
     }
-    Err(anyhow::anyhow!("the gateway answered {}", answer.status).into())
+    Err(anyhow::anyhow!("the gateway responded with {}", response.status).into())
 }
 
-async fn submit(mut args: Arguments) -> Done {
+async fn submit(mut args: Arguments) -> CommandResult {
     let kind: String = args.value_from_str("--kind")?;
     let tasks: Option<u32> = args.opt_value_from_str("--tasks")?;
     let (mut rest, names) = split_names(args, 2)?;
@@ -338,16 +354,16 @@
         .map(|tasks| format!("&tasks={tasks}"))
         .unwrap_or_default();
     let target = format!("/v1/jobs/{}/{}?kind={kind}{tasks}", names[0], names[1]);
-    ask_gateway(&mut rest, Method::PUT, &target, true).await
+    call_gateway(&mut rest, Method::PUT, &target, true).await
 }
 
-async fn show(mut args: Arguments) -> Done {
+async fn show(mut args: Arguments) -> CommandResult {
     if let Some(cell) = args.opt_value_from_str::<_, String>("--cell")? {
         let (mut rest, _) = split_names(args, 0)?;
-        return ask_gateway(&mut rest, Method::GET, &format!("/v1/cells/{cell}"), false).await;
+        return call_gateway(&mut rest, Method::GET, &format!("/v1/cells/{cell}"), false).await;
     }
     let (mut rest, names) = split_names(args, 1)?;
-    ask_gateway(
+    call_gateway(
         &mut rest,
         Method::GET,
         &format!("/v1/jobs/{}", names.join("/")),
@@ -356,14 +372,14 @@
     .await
 }
 
-async fn cancel(args: Arguments) -> Done {
+async fn cancel(args: Arguments) -> CommandResult {
     let (mut rest, names) = split_names(args, 2)?;
     let target = format!("/v1/jobs/{}/{}", names[0], names[1]);
-    ask_gateway(&mut rest, Method::DELETE, &target, true).await
+    call_gateway(&mut rest, Method::DELETE, &target, true).await
 }
 
-/// Splits `--settings` and `--gateway` with their values from the names.
-fn split_names(args: Arguments, least: usize) -> Result<(Arguments, Vec<String>), Failed> {
+/// Separates `--settings` and `--gateway`, with their values, from the names.
+fn split_names(args: Arguments, min: usize) -> Result<(Arguments, Vec<String>), CommandError> {
     let mut options = Vec::new();
     let mut names = Vec::new();
     let mut words = args.finish().into_iter();
@@ -373,42 +389,42 @@
             options.push(word);
             options.extend(words.next());
         } else if text.starts_with('-') {
-            return Err(Failed::Wrong(format!(
-                "there is no option `{text}` here\n\n{USAGE}"
+            return Err(CommandError::Usage(format!(
+                "unknown option `{text}`\n\n{USAGE}"
             )));
         } else {
             names.push(text);
         }
     }
-    if names.len() < least
+    if names.len() < min
         || names
             .iter()
             .any(|name| !ashtiller::document::is_valid_name(name))
     {
-        return Err(Failed::Wrong(format!(
-            "wrong names or number of names\n\n{USAGE}"
+        return Err(CommandError::Usage(format!(
+            "invalid names or wrong number of names\n\n{USAGE}"
         )));
     }
     Ok((Arguments::from_vec(options), names))
 }
 
-async fn dump(args: Arguments) -> Done {
-    let words = finish(args, 1)?;
-    let address: SocketAddr = words[0]
-        .parse()
-        .map_err(|_| Failed::Wrong(format!("`{}` is no IP number and port", words[0])))?;
+async fn dump(args: Arguments) -> CommandResult {
+    let words = positional(args, 1)?;
+    let address: SocketAddr = words[0].parse().map_err(|_| {
+        CommandError::Usage(format!("`{}` is not an IP address with a port", words[0]))
+    })?;
     let client = web::Client::default();
-    let answer = client
+    let response = client
         .call(
             "dump",
             address,
             Method::GET,
             "/dump",
             Bytes::new(),
-            DUMP_LIMIT,
+            DUMP_TIMEOUT,
         )
         .await
-        .map_err(|failure| Failed::Failed(failure.into()))?;
-    println!("{}", String::from_utf8_lossy(&answer.body));
+        .map_err(|failure| CommandError::Failed(failure.into()))?;
+    println!("{}", String::from_utf8_lossy(&response.body));
     Ok(())
 }
--- a/ashtiller/src/demo.rs
+++ b/ashtiller/src/demo.rs
@@ -1,8 +1,8 @@
-//! `ashtiller demo`: the roles and stand-ins in one process.
+//! `ashtiller demo`: the roles and simulated services in one process.
 //!
-//! Requests and jobs run through the same code as in separate processes; a
-//! worker is killed in the middle. At the end a checker compares what callers
-//! were told with what endpoints and workers saw.
+//! Requests and jobs run through the same code as in separate processes. One worker is
+//! killed after a third of the time. At the end, the results that callers received are
+//! checked against what endpoints and workers ran.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,12 +37,13 @@
 const WORKERS: usize = 6;
 const ZONES: [&str; 2] = ["bern", "olten"];
 const CALLERS: usize = 24;
-const JOB_EVERY: Duration = Duration::from_millis(400);
-/// One job in so many is a listener, or a plan that makes others give way.
+const JOB_INTERVAL: Duration = Duration::from_millis(400);
+/// One job in 16 is a listener.
 const LISTENER_EVERY: usize = 16;
+/// One job in 10 is a large plan, whose tasks evict others.
 const PLAN_EVERY: usize = 10;
-const PRINT_EVERY: Duration = Duration::from_secs(2);
-const JOB_LIMIT: Duration = Duration::from_secs(10);
+const PRINT_INTERVAL: Duration = Duration::from_secs(2);
+const JOB_TIMEOUT: Duration = Duration::from_secs(10);
 
 const TEMPLATE: &str = "\
 [account]
@@ -76,26 +77,28 @@
 length = 1s
 ";
 
-/// What callers were told.
+/// Results that the callers received.
 #[derive(Default)]
-struct Told {
+struct CallerResults {
     answered: AtomicU64,
     not_run: AtomicU64,
     unknown: AtomicU64,
-    wrong_answer: AtomicU64,
-    requests: Mutex<BTreeMap<String, Fate>>,
+    wrong_response: AtomicU64,
+    requests: Mutex<BTreeMap<String, RequestResult>>,
     latency: Mutex<Option<Histogram<u64>>>,
 }
 
-/// What one caller was told about one request.
+/// Result that one caller received for one request; `once` marks requests that must not
+/// run twice.
 #[derive(Clone, Copy, PartialEq)]
-enum Fate {
+enum RequestResult {
     Answered { once: bool },
     NotRun,
     Unknown { once: bool },
 }
 
-struct World {
+/// Everything that the demo runs.
+struct Demo {
     store: Store,
     endpoints: Vec<Endpoint>,
     agents: Vec<Agent>,
@@ -104,32 +107,34 @@
     schedulers: Vec<Scheduler>,
 }
 
-/// Runs the demo for about `length`.
+/// Runs the demo for about `duration`.
 ///
 /// # Errors
-/// Something could not be started, or the checker found a violation.
-pub async fn run(length: Duration) -> anyhow::Result<()> {
-    println!("starting stand-ins, {GATEWAYS} gateways and {SCHEDULERS} schedulers on loopback");
-    let world = open().await?;
-    let told = Arc::new(Told::default());
-    *told.latency.lock() = Some(Histogram::new(3)?);
-    wait_ready(&world).await?;
+/// Something could not be started, or the check at the end found a violation.
+pub async fn run(duration: Duration) -> anyhow::Result<()> {
+    println!(
+        "starting simulated services, {GATEWAYS} gateways and {SCHEDULERS} schedulers on loopback"
+    );
+    let demo = open().await?;
+    let results = Arc::new(CallerResults::default());
+    *results.latency.lock() = Some(Histogram::new(3)?);
+    wait_ready(&demo).await?;
     let stop = Arc::new(AtomicBool::new(false));
-    let operators = world.gateways.iter().map(Gateway::operators).collect();
+    let operators = demo.gateways.iter().map(Gateway::operators).collect();
     let submitter = tokio::spawn(submit_jobs(operators, stop.clone()));
     let mut callers = JoinSet::new();
     for number in 0..CALLERS {
-        let address = world.gateways[number % GATEWAYS].callers();
-        callers.spawn(call(number, address, told.clone(), stop.clone()));
+        let address = demo.gateways[number % GATEWAYS].callers();
+        callers.spawn(call(number, address, results.clone(), stop.clone()));
     }
-    watch(&world, &told, length).await;
+    watch(&demo, &results, duration).await;
     stop.store(true, Ordering::SeqCst);
     callers.join_all().await;
     let refused = submitter.await.context("submitting jobs")?;
-    finish(world, &told, refused).await
+    finish(demo, &results, refused).await
 }
 
-async fn open() -> anyhow::Result<World> {
+async fn open() -> anyhow::Result<Demo> {
     let store = standin::store::bind("127.0.0.1:0").await?;
     let record = Arc::new(RunHistory::default());
     let mut endpoints = Vec::new();
@@ -153,7 +158,7 @@
     for number in 0..SCHEDULERS {
         schedulers.push(scheduler::spawn(settings(&store, number)?).await?);
     }
-    Ok(World {
+    Ok(Demo {
         store,
         endpoints,
         agents,
@@ -179,7 +184,7 @@
 
 fn list_endpoints(store: &Store, endpoints: &[Endpoint]) {
     let listed = endpoints.iter().enumerate().map(|(number, endpoint)| {
-        listing(
+        catalog_entry(
             &format!("runner-{number}"),
             endpoint.address(),
             number,
@@ -190,26 +195,35 @@
 }
 
 fn list_workers(store: &Store, agents: &[Agent]) {
-    let has = [
+    let capacity = [
         ("processors", "16"),
         ("memory", "60GiB"),
         ("accelerators", "0"),
     ];
-    let listed = agents
-        .iter()
-        .enumerate()
-        .map(|(number, agent)| listing(&format!("worker-{number}"), agent.address(), number, &has));
+    let listed = agents.iter().enumerate().map(|(number, agent)| {
+        catalog_entry(
+            &format!("worker-{number}"),
+            agent.address(),
+            number,
+            &capacity,
+        )
+    });
     store.set_instances("workers", listed.collect());
 }
 
-fn listing(name: &str, address: SocketAddr, number: usize, facts: &[(&str, &str)]) -> CatalogEntry {
+fn catalog_entry(
+    name: &str,
+    address: SocketAddr,
+    number: usize,
+    metadata: &[(&str, &str)],
+) -> CatalogEntry {
     let zone = ("zone", ZONES[number % ZONES.len()]);
-    let facts = facts.iter().copied().chain([zone, ("state", "live")]);
+    let metadata = metadata.iter().copied().chain([zone, ("state", "live")]);
     CatalogEntry {
         node: name.to_owned(),
         service_address: address.ip().to_string(),
         service_port: address.port(),
-        service_meta: facts
+        service_meta: metadata
             .map(|(key, value)| (key.to_owned(), value.to_owned()))
             .collect(),
     }
@@ -223,21 +237,24 @@
     Ok(())
 }
 
-async fn wait_ready(world: &World) -> anyhow::Result<()> {
+async fn wait_ready(demo: &Demo) -> anyhow::Result<()> {
     let client = web::Client::default();
-    let limit = Duration::from_secs(1);
-    for gateway in &world.gateways {
-        let until = Instant::now() + JOB_LIMIT;
+    let timeout = Duration::from_secs(1);
+    for gateway in &demo.gateways {
+        let until = Instant::now() + JOB_TIMEOUT;
         loop {
-            let asked = client.call(
+            let call = client.call(
                 "wait for gateway",
                 gateway.operators(),
                 Method::GET,
                 "/health",
                 Bytes::new(),
-                limit,
+                timeout,
             );
-            if asked.await.is_ok_and(|answer| answer.status.is_success()) {
+            if call
+                .await
+                .is_ok_and(|response| response.status.is_success())
+            {
                 break;
             }
             anyhow::ensure!(Instant::now() < until, "a gateway did not become ready");
@@ -247,7 +264,7 @@
     Ok(())
 }
 
-/// Submits a job now and then; one whose outcome is unknown is asked for again.
+/// Submits jobs at a fixed interval until `stop` is set; returns how many were not accepted.
 async fn submit_jobs(gateways: Vec<SocketAddr>, stop: Arc<AtomicBool>) -> usize {
     let client = web::Client::default();
     let mut refused = 0;
@@ -263,24 +280,33 @@
         let target = format!("/v1/jobs/dealer-north/night-{number}?kind={kind}");
         let address = gateways[number % gateways.len()];
         let method = Method::PUT;
-        let asked = client.call(
+        let call = client.call(
             "submit job",
             address,
             method,
             &target,
             Bytes::new(),
-            JOB_LIMIT,
+            JOB_TIMEOUT,
         );
-        if !asked.await.is_ok_and(|answer| answer.status.is_success()) {
+        if !call
+            .await
+            .is_ok_and(|response| response.status.is_success())
+        {
             refused += 1;
         }
-        time::sleep(JOB_EVERY).await;
+        time::sleep(JOB_INTERVAL).await;
     }
     refused
 }
 
-/// One caller: a request at a time on one connection, opened anew when it breaks.
-async fn call(number: usize, address: SocketAddr, told: Arc<Told>, stop: Arc<AtomicBool>) {
+/// Runs one caller, which sends one request at a time over one connection and reconnects
+/// when it breaks.
+async fn call(
+    number: usize,
+    address: SocketAddr,
+    results: Arc<CallerResults>,
+    stop: Arc<AtomicBool>,
+) {
     let mut sequence = 0;
     while !stop.load(Ordering::SeqCst) {
         let Ok(stream) = TcpStream::connect(address).await else {
@@ -296,8 +322,8 @@
             sequence += 1;
             let id = format!("{number}-{sequence}");
             let once = sequence % 3 == 0;
-            let fate = exchange(&mut sender, &id, once, &told).await;
-            told.requests.lock().insert(id, fate);
+            let result = exchange(&mut sender, &id, once, &results).await;
+            results.requests.lock().insert(id, result);
             time::sleep(Duration::from_millis(2)).await;
         }
     }
@@ -307,8 +333,8 @@
     sender: &mut http1::SendRequest<Full<Bytes>>,
     id: &str,
     once: bool,
-    told: &Told,
-) -> Fate {
+    results: &CallerResults,
+) -> RequestResult {
     let body = if once {
         format!("charge {id}")
     } else {
@@ -323,12 +349,12 @@
         .header("service-ms", "5")
         .body(Full::new(Bytes::from(body.clone())));
     let Ok(request) = request else {
-        return Fate::NotRun;
+        return RequestResult::NotRun;
     };
-    let began = Instant::now();
-    let answered = match sender.send_request(request).await {
-        Ok(answer) => {
-            let (head, payload) = answer.into_parts();
+    let started = Instant::now();
+    let response = match sender.send_request(request).await {
+        Ok(response) => {
+            let (head, payload) = response.into_parts();
             payload
                 .collect()
                 .await
@@ -337,9 +363,9 @@
         }
         Err(_) => None,
     };
-    let Some((head, payload)) = answered else {
-        told.unknown.fetch_add(1, Ordering::Relaxed);
-        return Fate::Unknown { once };
+    let Some((head, payload)) = response else {
+        results.unknown.fetch_add(1, Ordering::Relaxed);
+        return RequestResult::Unknown { once };
     };
     let outcome = head
         .headers
@@ -347,54 +373,54 @@
         .and_then(|value| value.to_str().ok());
     match outcome {
         Some("not-run") => {
-            told.not_run.fetch_add(1, Ordering::Relaxed);
-            Fate::NotRun
+            results.not_run.fetch_add(1, Ordering::Relaxed);
+            RequestResult::NotRun
         }
         Some(_) => {
-            told.unknown.fetch_add(1, Ordering::Relaxed);
-            Fate::Unknown { once }
+            results.unknown.fetch_add(1, Ordering::Relaxed);
+            RequestResult::Unknown { once }
         }
         None => {
-            told.answered.fetch_add(1, Ordering::Relaxed);
+            results.answered.fetch_add(1, Ordering::Relaxed);
             let own = head
                 .headers
                 .get("request-id")
                 .is_some_and(|found| found == id);
             if !own || (once && payload != body) {
-                told.wrong_answer.fetch_add(1, Ordering::Relaxed);
+                results.wrong_response.fetch_add(1, Ordering::Relaxed);
             }
-            let micros = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
-            if let Some(latency) = told.latency.lock().as_mut() {
-                // An auto-resizing histogram refuses nothing below its bound.
+            let micros = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
+            if let Some(latency) = results.latency.lock().as_mut() {
+                // Recording cannot fail: the histogram resizes automatically.
                 let _ = latency.record(micros);
             }
-            Fate::Answered { once }
+            RequestResult::Answered { once }
         }
     }
 }
 
-async fn watch(world: &World, told: &Told, length: Duration) {
-    let began = Instant::now();
+async fn watch(demo: &Demo, results: &CallerResults, duration: Duration) {
+    let started = Instant::now();
     let mut killed = false;
-    while began.elapsed() < length {
-        time::sleep(PRINT_EVERY.min(length)).await;
-        if !killed && began.elapsed() * 3 >= length {
+    while started.elapsed() < duration {
+        time::sleep(PRINT_INTERVAL.min(duration)).await;
+        if !killed && started.elapsed() * 3 >= duration {
             killed = true;
-            kill_busiest(world);
+            kill_busiest(demo);
         }
-        let running: usize = world.agents.iter().map(Agent::running).sum();
+        let running: usize = demo.agents.iter().map(Agent::running).sum();
         println!(
             "{:4.0} s: {} answered, {} not run, {} unknown; {running} tasks running",
-            began.elapsed().as_secs_f64(),
-            told.answered.load(Ordering::Relaxed),
-            told.not_run.load(Ordering::Relaxed),
-            told.unknown.load(Ordering::Relaxed),
+            started.elapsed().as_secs_f64(),
+            results.answered.load(Ordering::Relaxed),
+            results.not_run.load(Ordering::Relaxed),
+            results.unknown.load(Ordering::Relaxed),
         );
     }
 }
 
-fn kill_busiest(world: &World) {
-    let busiest = world
+fn kill_busiest(demo: &Demo) {
+    let busiest = demo
         .agents
         .iter()
         .enumerate()
@@ -408,9 +434,9 @@
     }
 }
 
-async fn finish(world: World, told: &Told, refused: usize) -> anyhow::Result<()> {
-    let runs = endpoint_runs(&world.endpoints);
-    let stretches = world.record.intervals();
+async fn finish(demo: Demo, results: &CallerResults, refused: usize) -> anyhow::Result<()> {
+    let runs = endpoint_runs(&demo.endpoints);
+    let stretches = demo.record.intervals();
     let count = |end: EndReason| {
         stretches
             .iter()
@@ -421,22 +447,22 @@
         .iter()
         .filter(|stretch| stretch.attempt > 1)
         .count();
-    let violations = check(told, &runs, &world.record);
-    let calls = world.store.calls();
-    let latency = told.latency.lock().take();
+    let violations = check(results, &runs, &demo.record);
+    let calls = demo.store.calls();
+    let latency = results.latency.lock().take();
     println!();
     let row = |name: &str, value: String| println!("{name:<32}{value:>12}");
     row(
         "requests answered",
-        told.answered.load(Ordering::Relaxed).to_string(),
+        results.answered.load(Ordering::Relaxed).to_string(),
     );
     row(
         "requests not run",
-        told.not_run.load(Ordering::Relaxed).to_string(),
+        results.not_run.load(Ordering::Relaxed).to_string(),
     );
     row(
         "requests unknown",
-        told.unknown.load(Ordering::Relaxed).to_string(),
+        results.unknown.load(Ordering::Relaxed).to_string(),
     );
     if let Some(latency) = latency {
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99), ("p99.9", 0.999)] {
@@ -460,10 +486,10 @@
         format!("{} / {}", calls.reads, calls.writes),
     );
     row("violations", violations.len().to_string());
-    for gateway in world.gateways {
+    for gateway in demo.gateways {
         gateway.stop().await;
     }
-    for scheduler in world.schedulers {
+    for scheduler in demo.schedulers {
         scheduler.stop().await;
     }
     anyhow::ensure!(
@@ -484,33 +510,40 @@
     runs
 }
 
-/// Compares what callers were told with what endpoints and workers saw.
-fn check(told: &Told, runs: &BTreeMap<String, u32>, record: &RunHistory) -> Vec<String> {
+/// Checks the callers' results against what endpoints and workers ran; returns a
+/// description of each violation.
+fn check(
+    results: &CallerResults,
+    runs: &BTreeMap<String, u32>,
+    record: &RunHistory,
+) -> Vec<String> {
     let mut violations = Vec::new();
-    let wrong = told.wrong_answer.load(Ordering::Relaxed);
+    let wrong = results.wrong_response.load(Ordering::Relaxed);
     if wrong > 0 {
         violations.push(format!(
-            "{wrong} callers got an answer that was not their own"
+            "{wrong} requests got a response that was not their own"
         ));
     }
-    for (id, fate) in told.requests.lock().iter() {
+    for (id, result) in results.requests.lock().iter() {
         let times = runs.get(id).copied().unwrap_or(0);
-        match fate {
-            Fate::NotRun if times > 0 => {
-                violations.push(format!("{id}: told not run, ran {times}"));
+        match result {
+            RequestResult::NotRun if times > 0 => {
+                violations.push(format!("{id}: reported as not run, but ran {times} times"));
             }
-            Fate::Answered { .. } if times == 0 => {
-                violations.push(format!("{id}: answered, never ran"));
+            RequestResult::Answered { .. } if times == 0 => {
+                violations.push(format!("{id}: answered, but never ran"));
             }
-            Fate::Answered { once: true } | Fate::Unknown { once: true } if times > 1 => {
-                violations.push(format!("{id}: may run once, ran {times} times"));
+            RequestResult::Answered { once: true } | RequestResult::Unknown { once: true }
+                if times > 1 =>
+            {
+                violations.push(format!("{id}: must not run twice, but ran {times} times"));
             }
             _ => {}
         }
     }
     for (one, other) in record.overlapping() {
         violations.push(format!(
-            "{} ran on {} and {} at once",
+            "{} ran on {} and {} at the same time",
             one.task, one.worker, other.worker
         ));
     }
--- a/ashtiller/src/lib.rs
+++ b/ashtiller/src/lib.rs
@@ -1,59 +1,60 @@
 //! A scheduler for colocated latency-critical and batch work.
 //!
-//! Two roles run on every entry instance, as separate processes: a [`gateway`]
-//! admits callers' requests and routes each to an endpoint; a [`scheduler`] owns
-//! cells of workers and runs client accounts' tasks on them. What must last is in
-//! the platform's key-value service ([`store`]); nothing lives on an instance.
+//! Two roles run on every entry instance, as separate processes: a [`gateway`] admits
+//! callers' requests and routes each to an endpoint; a [`scheduler`] owns cells of workers
+//! and runs client accounts' tasks on them. All durable state is in the platform's
+//! key-value store ([`store`]); instances keep none.
 //!
-//! Decisions are state machines that take an event and the time and return what to
+//! Decisions are made by state machines that take an event and the time and return what to
 //! do next. They can be driven without sockets:
 //!
 //! ```
 //! use std::time::Duration;
 //!
 //! use ashtiller::balance::Kind;
-//! use ashtiller::dispatch::{self, Limits, Next};
+//! use ashtiller::dispatch::{self, Admission, Limits};
 //! use ashtiller::endpoint::{Listing, Phase};
-//! use ashtiller::line::Ticket;
+//! use ashtiller::request_queue::AdmissionRequest;
 //! use ashtiller::template::Class;
 //!
-//! let limits = Limits { connections: 6, ejected: 0.3 };
-//! let mut fleet = dispatch::open(Kind::Dealt, 1, limits);
-//! fleet.list(&[Listing {
+//! let limits = Limits { max_connections: 6, max_ejected_share: 0.3 };
+//! let mut fleet = dispatch::build(Kind::Dealt, 1, limits);
+//! fleet.update_listings(&[Listing {
 //!     name: "runner-1".into(),
 //!     address: "127.0.0.1:9001".parse()?,
 //!     slots: 8,
 //!     phase: Phase::Live,
 //! }]);
-//! fleet.deal(&["entry-1".into()], "entry-1");
+//! fleet.allocate_slots(&["entry-1".into()], "entry-1");
 //!
-//! let sweep = Ticket {
+//! let request = AdmissionRequest {
 //!     id: 1,
 //!     account: "dealer-north".into(),
 //!     class: Class::LatencyCritical,
 //!     deadline: Duration::from_secs(2),
-//!     limit: 64,
-//!     queue: 128,
+//!     max_in_flight: 64,
+//!     max_queued: 128,
 //!     avoid: None,
 //! };
-//! assert!(matches!(fleet.offer(sweep, Duration::ZERO), Next::Send(_)));
+//! assert!(matches!(fleet.admit(request, Duration::ZERO), Admission::Send(_)));
 //! # Ok::<(), std::net::AddrParseError>(())
 //! ```
 //!
-//! On the users' platform all of it is one process, [`workflow`], that owns or follows a
-//! log of jobs made of dependent steps.
+//! On the users' platform a single process, [`workflow`], takes the place of both roles; it
+//! owns or follows a log of jobs that consist of dependent steps.
 //!
-//! The modules, by folder, in the order in which to read them:
+//! The modules by folder, in the suggested reading order:
 //!
 //! - [`workflow`]: jobs of steps, decided in [`workflow::core`];
-//! - [`request`]: [`dispatch`], [`mod@line`], [`balance`], [`slots`], [`health`] decide;
-//!   [`front`], [`router`], [`desk`], [`pool`], [`claims`], [`lender`], [`prober`]
-//!   carry out;
-//! - [`task`]: [`fact`], [`cell`], [`plan`], [`evict`], [`session`], [`reconcile`]
-//!   decide; [`journal`], [`owner`], [`agent`] carry out;
-//! - [`interference`]: [`harm`], [`guard`], [`watch`], [`fit`];
-//! - [`agreed`]: [`ledger`], [`config`], [`apply`], [`members`], [`membership`];
-//! - [`net`], the edges: [`store`], [`roster`], [`consul`], [`peer`], [`wire`], [`ops`].
+//! - [`request`]: decisions in [`dispatch`], [`request_queue`], [`balance`], [`slots`] and
+//!   [`health`], carried out by [`listener`], [`router`], [`service_dispatcher`], [`pool`],
+//!   [`claims`], [`slot_borrower`] and [`prober`];
+//! - [`task`]: decisions in [`fact`], [`cell`], [`plan`], [`evict`], [`session`] and
+//!   [`reconcile`], carried out by [`journal`], [`owner`] and [`agent`];
+//! - [`interference`]: [`interference_model`], [`throttling`], [`worker_report`],
+//!   [`placement`];
+//! - [`agreed`]: [`config_state`], [`config`], [`apply`], [`members`], [`membership`];
+//! - [`net`]: [`store`], [`service_catalog`], [`consul`], [`peer`], [`rpc`], [`ops`].
 
 pub mod agreed;
 pub mod base;
@@ -63,7 +64,7 @@
 pub mod task;
 pub mod workflow;
 
-// Modules are named by what they are, wherever their folder is.
+// Re-exported so that paths do not depend on the folder of a module.
 pub use agreed::{
     apply, config, config_state, document, members, membership, mistake, settings, template, unit,
 };
--- a/ashtiller/src/main.rs
+++ b/ashtiller/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The `ashtiller` command line program.
 
 mod command;
 mod demo;
--- a/ashtiller/src/net/codec.rs
+++ b/ashtiller/src/net/codec.rs
@@ -1,4 +1,4 @@
-//! Messages of [`peer`](crate::peer) to and from their schema.
+//! Conversion of the messages of [`peer`](crate::peer) to and from Cap'n Proto.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use crate::schema::peer_capnp as schema;
 use crate::template::Class;
 
-/// Length of a list in a message.
+/// Converts a list's length to the type that Cap'n Proto uses, saturating at `u32::MAX`.
 #[must_use]
 pub fn length(size: usize) -> u32 {
     u32::try_from(size).unwrap_or(u32::MAX)
 }
 
-/// Reads a name.
+/// Reads a text field.
 ///
 /// # Errors
 /// The text is not UTF-8.
@@ -23,13 +23,13 @@
 }
 
 /// Writes a heartbeat.
-pub fn write_greeting(mut to: schema::greeting::Builder, greeting: &Heartbeat) {
-    to.set_name(&*greeting.name);
-    to.set_role(&*greeting.role);
-    to.set_revision(greeting.revision);
-    to.set_leaving(greeting.leaving);
-    let mut cells = to.init_cells(length(greeting.cells.len()));
-    for (index, cell) in (0..).zip(&greeting.cells) {
+pub fn write_heartbeat(mut to: schema::greeting::Builder, heartbeat: &Heartbeat) {
+    to.set_name(&*heartbeat.name);
+    to.set_role(&*heartbeat.role);
+    to.set_revision(heartbeat.revision);
+    to.set_leaving(heartbeat.leaving);
+    let mut cells = to.init_cells(length(heartbeat.cells.len()));
+    for (index, cell) in (0..).zip(&heartbeat.cells) {
         cells.set(index, &**cell);
     }
 }
@@ -37,8 +37,8 @@
 /// Reads a heartbeat.
 ///
 /// # Errors
-/// A field is damaged.
-pub fn read_greeting(from: schema::greeting::Reader) -> Result<Heartbeat, capnp::Error> {
+/// A field cannot be decoded.
+pub fn read_heartbeat(from: schema::greeting::Reader) -> Result<Heartbeat, capnp::Error> {
     let cells: Result<Vec<_>, capnp::Error> = from
         .get_cells()?
         .iter()
@@ -53,7 +53,7 @@
     })
 }
 
-/// Writes loans.
+/// Writes lent slots as pairs of endpoint and count.
 pub fn write_loans(mut to: capnp::struct_list::Builder<schema::loan::Owned>, loans: &[(u64, u32)]) {
     for (index, (endpoint, count)) in (0..).zip(loans) {
         let mut loan = to.reborrow().get(index);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads loans.
+/// Reads lent slots as pairs of endpoint and count.
 #[must_use]
 pub fn read_loans(from: capnp::struct_list::Reader<schema::loan::Owned>) -> Vec<(u64, u32)> {
     from.iter()
@@ -70,20 +70,20 @@
         .collect()
 }
 
-/// Writes a question for slots.
-pub fn write_ask(mut to: schema::ask::Builder, ask: &LoanRequest) {
-    to.set_service(&*ask.service);
-    to.set_borrower(&*ask.borrower);
-    to.set_want(u16::try_from(ask.want).unwrap_or(u16::MAX));
-    to.set_settles(ask.replaces_loan);
-    write_loans(to.init_keep(length(ask.keep.len())), &ask.keep);
+/// Writes a request to borrow slots.
+pub fn write_loan_request(mut to: schema::ask::Builder, request: &LoanRequest) {
+    to.set_service(&*request.service);
+    to.set_borrower(&*request.borrower);
+    to.set_want(u16::try_from(request.want).unwrap_or(u16::MAX));
+    to.set_settles(request.replaces_loan);
+    write_loans(to.init_keep(length(request.keep.len())), &request.keep);
 }
 
-/// Reads a question for slots.
+/// Reads a request to borrow slots.
 ///
 /// # Errors
-/// A field is damaged.
-pub fn read_ask(from: schema::ask::Reader) -> Result<LoanRequest, capnp::Error> {
+/// A field cannot be decoded.
+pub fn read_loan_request(from: schema::ask::Reader) -> Result<LoanRequest, capnp::Error> {
     Ok(LoanRequest {
         service: read_name(from.get_service()?)?,
         borrower: read_name(from.get_borrower()?)?,
@@ -93,7 +93,7 @@
     })
 }
 
-/// Writes a job.
+/// Writes a job submission; a run time or latency target of 0 stands for none.
 pub fn write_submission(mut to: schema::submission::Builder, job: &Submission) {
     to.set_account(&*job.account);
     to.set_job(&*job.job);
@@ -115,17 +115,17 @@
     to.set_evictions(job.evictions);
 }
 
-/// Reads a job.
+/// Reads a job submission; a run time or latency target of 0 stands for none.
 ///
 /// # Errors
-/// A field is damaged.
+/// A field cannot be decoded.
 pub fn read_submission(from: schema::submission::Reader) -> Result<Submission, capnp::Error> {
-    let critical = from.get_latency_critical();
+    let latency_critical = from.get_latency_critical();
     Ok(Submission {
         account: read_name(from.get_account()?)?,
         job: read_name(from.get_job()?)?,
         kind: read_name(from.get_kind()?)?,
-        class: if critical {
+        class: if latency_critical {
             Class::LatencyCritical
         } else {
             Class::Batch
@@ -153,9 +153,9 @@
     })
 }
 
-/// Writes a verdict.
-pub fn write_verdict(mut to: schema::verdict::Builder, verdict: &JobReply) {
-    match verdict {
+/// Writes the reply to a submission or cancellation.
+pub fn write_job_reply(mut to: schema::verdict::Builder, reply: &JobReply) {
+    match reply {
         JobReply::Accepted => to.set_accepted(()),
         JobReply::Known => to.set_known(()),
         JobReply::Conflict(reason) => to.set_conflict(&**reason),
@@ -166,11 +166,11 @@
     }
 }
 
-/// Reads a verdict.
+/// Reads the reply to a submission or cancellation.
 ///
 /// # Errors
-/// A field is damaged or not known to this version.
-pub fn read_verdict(from: schema::verdict::Reader) -> Result<JobReply, capnp::Error> {
+/// A field cannot be decoded, or this version does not know the reply's variant.
+pub fn read_job_reply(from: schema::verdict::Reader) -> Result<JobReply, capnp::Error> {
     use schema::verdict::Which;
     Ok(match from.which()? {
         Which::Accepted(()) => JobReply::Accepted,
--- a/ashtiller/src/net/consul.rs
+++ b/ashtiller/src/net/consul.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service and list of instances over the published
+//! Client of the platform's key-value store and service catalog, over the published
 //! Consul HTTP API (`/v1/kv`, `/v1/txn`, `/v1/session`, `/v1/catalog`).
 
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 use crate::unit;
 use crate::web;
 
-/// Time beyond a watch's own wait before it is given up.
+/// Time that a watch may take beyond its own wait before the call times out.
 const WATCH_SLACK: Duration = Duration::from_secs(2);
 
 #[derive(Deserialize)]
@@ -42,25 +42,25 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Failed {
-    errors: Vec<FailedStep>,
+struct TxnFailure {
+    errors: Vec<TxnError>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct FailedStep {
+struct TxnError {
     op_index: usize,
 }
 
 #[derive(Serialize)]
-struct Step<'a> {
+struct TxnOp<'a> {
     #[serde(rename = "KV")]
-    kv: StepBody<'a>,
+    kv: KvOp<'a>,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-struct StepBody<'a> {
+struct KvOp<'a> {
     verb: &'static str,
     key: &'a str,
     value: String,
@@ -69,7 +69,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Listed {
+struct CatalogEntry {
     node: String,
     service_address: String,
     service_port: u16,
@@ -77,18 +77,18 @@
     service_meta: BTreeMap<String, String>,
 }
 
-/// Calls made to the store since the start.
+/// Counts of the calls made since the process started.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     /// Reads and watches.
     pub reads: AtomicU64,
     /// Writes and lease calls.
     pub writes: AtomicU64,
-    /// Calls that failed.
+    /// Calls that got no response, among the reads and writes.
     pub failed: AtomicU64,
 }
 
-/// A client of the key-value service.
+/// A client of the key-value store and the service catalog.
 pub struct Consul {
     address: SocketAddr,
     timeout: Duration,
@@ -96,7 +96,7 @@
     calls: Arc<CallCounts>,
 }
 
-/// Opens a client; no connection is made yet.
+/// Creates a client; it connects with its first call. `timeout` bounds each call but a watch.
 #[must_use]
 pub fn open(address: SocketAddr, timeout: Duration) -> Arc<Consul> {
     Arc::new(Consul {
@@ -108,7 +108,7 @@
 }
 
 impl Consul {
-    /// Calls made so far.
+    /// Returns the counts of the calls made so far.
     #[must_use]
     pub fn calls(&self) -> &Arc<CallCounts> {
         &self.calls
@@ -120,7 +120,7 @@
         method: Method,
         target: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<web::Response, Failure> {
         let count = if method == Method::GET {
             &self.calls.reads
@@ -128,33 +128,33 @@
             &self.calls.writes
         };
         count.fetch_add(1, Ordering::Relaxed);
-        let answer = self
+        let response = self
             .client
-            .call(step, self.address, method, target, body, limit)
+            .call(step, self.address, method, target, body, timeout)
             .await;
-        if answer.is_err() {
+        if response.is_err() {
             self.calls.failed.fetch_add(1, Ordering::Relaxed);
         }
-        answer
+        response
     }
 
     async fn read(
         &self,
         step: &'static str,
         target: &str,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<View, Failure> {
-        let answer = self
-            .call(step, Method::GET, target, Bytes::new(), limit)
+        let response = self
+            .call(step, Method::GET, target, Bytes::new(), timeout)
             .await?;
-        let index = answer.index.unwrap_or(0);
-        match answer.status {
+        let index = response.index.unwrap_or(0);
+        match response.status {
             StatusCode::NOT_FOUND => Ok(View {
                 items: Vec::new(),
                 index,
             }),
             StatusCode::OK => {
-                let pairs: Vec<Pair> = self.decode(step, &answer.body)?;
+                let pairs: Vec<Pair> = self.decode(step, &response.body)?;
                 let items: Result<_, Failure> = pairs
                     .into_iter()
                     .map(|pair| self.item(step, pair))
@@ -195,9 +195,9 @@
         target: &str,
         body: Bytes,
     ) -> Result<bool, Failure> {
-        let answer = self.call(step, method, target, body, self.timeout).await?;
-        match answer.status {
-            StatusCode::OK => Ok(answer.body.trim_ascii() == b"true"),
+        let response = self.call(step, method, target, body, self.timeout).await?;
+        match response.status {
+            StatusCode::OK => Ok(response.body.trim_ascii() == b"true"),
             status => Err(Failure::unknown_effect(step, self.address, status)),
         }
     }
@@ -247,18 +247,18 @@
 
     fn commit<'a>(&'a self, writes: &'a [Write]) -> CallFuture<'a, Commit> {
         Box::pin(async move {
-            let steps: Vec<Step> = writes.iter().map(step_of).collect();
-            let body = serde_json::to_vec(&steps)
+            let ops: Vec<TxnOp> = writes.iter().map(txn_op).collect();
+            let body = serde_json::to_vec(&ops)
                 .map_err(|error| Failure::no_effect("commit", self.address, error))?;
-            let answer = self
+            let response = self
                 .call("commit", Method::PUT, "/v1/txn", body.into(), self.timeout)
                 .await?;
-            match answer.status {
+            match response.status {
                 StatusCode::OK => Ok(Commit::Done),
                 StatusCode::CONFLICT => {
-                    let failed: Failed = self.decode("commit", &answer.body)?;
+                    let failure: TxnFailure = self.decode("commit", &response.body)?;
                     Ok(Commit::Conflict(
-                        failed.errors.iter().map(|step| step.op_index).collect(),
+                        failure.errors.iter().map(|error| error.op_index).collect(),
                     ))
                 }
                 status => Err(Failure::unknown_effect("commit", self.address, status)),
@@ -288,10 +288,10 @@
             let ttl = format!("{}ms", ttl.as_millis());
             let body = serde_json::json!({ "TTL": ttl, "Behavior": "delete" }).to_string();
             let target = "/v1/session/create";
-            let answer = self
+            let response = self
                 .call("lease", Method::PUT, target, body.into(), self.timeout)
                 .await?;
-            let session: Session = self.decode("lease", &answer.body)?;
+            let session: Session = self.decode("lease", &response.body)?;
             Ok(session.id.into())
         })
     }
@@ -299,10 +299,10 @@
     fn renew<'a>(&'a self, lease: &'a str) -> CallFuture<'a, bool> {
         Box::pin(async move {
             let target = format!("/v1/session/renew/{lease}");
-            let answer = self
+            let response = self
                 .call("renew", Method::PUT, &target, Bytes::new(), self.timeout)
                 .await?;
-            match answer.status {
+            match response.status {
                 StatusCode::OK => Ok(true),
                 StatusCode::NOT_FOUND => Ok(false),
                 status => Err(Failure::unknown_effect("renew", self.address, status)),
@@ -337,53 +337,57 @@
         Box::pin(async move {
             let millis = wait.as_millis();
             let target = format!("/v1/catalog/service/{service}?index={index}&wait={millis}ms");
-            let limit = if index == 0 {
+            let timeout = if index == 0 {
                 self.timeout
             } else {
                 wait + WATCH_SLACK
             };
-            let answer = self
-                .call("instances", Method::GET, &target, Bytes::new(), limit)
+            let response = self
+                .call("instances", Method::GET, &target, Bytes::new(), timeout)
                 .await?;
-            if answer.status != StatusCode::OK {
-                return Err(Failure::no_effect("instances", self.address, answer.status));
+            if response.status != StatusCode::OK {
+                return Err(Failure::no_effect(
+                    "instances",
+                    self.address,
+                    response.status,
+                ));
             }
-            let listed: Vec<Listed> = self.decode("instances", &answer.body)?;
-            let instances = listed.iter().filter_map(instance_of).collect();
+            let entries: Vec<CatalogEntry> = self.decode("instances", &response.body)?;
+            let instances = entries.iter().filter_map(instance_of).collect();
             Ok(service_catalog::InstanceList {
                 instances,
-                index: answer.index.unwrap_or(0),
+                index: response.index.unwrap_or(0),
             })
         })
     }
 }
 
-fn step_of(write: &Write) -> Step<'_> {
+fn txn_op(write: &Write) -> TxnOp<'_> {
     let kv = match write {
-        Write::CompareAndSwap { key, value, index } => StepBody {
+        Write::CompareAndSwap { key, value, index } => KvOp {
             verb: "cas",
             key,
             value: STANDARD.encode(value),
             index: *index,
         },
-        Write::CheckAbsent { key } => StepBody {
+        Write::CheckAbsent { key } => KvOp {
             verb: "check-not-exists",
             key,
             value: String::new(),
             index: 0,
         },
     };
-    Step { kv }
+    TxnOp { kv }
 }
 
-/// An instance without a usable address is passed over.
-fn instance_of(listed: &Listed) -> Option<service_catalog::Instance> {
-    let ip: IpAddr = listed.service_address.parse().ok()?;
-    let meta = |name: &str| listed.service_meta.get(name).map_or("", String::as_str);
+/// Converts a catalog entry; returns `None` when its address is not an IP address.
+fn instance_of(entry: &CatalogEntry) -> Option<service_catalog::Instance> {
+    let ip: IpAddr = entry.service_address.parse().ok()?;
+    let meta = |name: &str| entry.service_meta.get(name).map_or("", String::as_str);
     let leaving = meta("state") == "leaving";
     Some(service_catalog::Instance {
-        name: listed.node.as_str().into(),
-        address: SocketAddr::new(ip, listed.service_port),
+        name: entry.node.as_str().into(),
+        address: SocketAddr::new(ip, entry.service_port),
         phase: if leaving { Phase::Leaving } else { Phase::Live },
         zone: meta("zone").into(),
         rack: meta("rack").into(),
--- a/ashtiller/src/net/meter.rs
+++ b/ashtiller/src/net/meter.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes that pass through a connection between processes.
+//! Counts the bytes sent and received on connections between processes.
 
 use std::io;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes of all connections of one process with its peers.
+/// Byte counts of all connections between one process and its peers.
 #[derive(Debug, Default)]
 pub struct ByteCounts {
     /// Bytes received.
@@ -25,7 +25,7 @@
 }
 
 impl<S> CountedStream<S> {
-    /// Counts what passes through `stream`.
+    /// Wraps `stream` and adds the bytes read and written to `bytes`.
     pub fn new(stream: S, bytes: Arc<ByteCounts>) -> Self {
         Self { stream, bytes }
     }
@@ -37,11 +37,11 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
-        let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let read = (buffer.filled().len() - before) as u64;
+        let filled_before = buffer.filled().len();
+        let result = Pin::new(&mut self.stream).poll_read(context, buffer);
+        let read = (buffer.filled().len() - filled_before) as u64;
         self.bytes.received.fetch_add(read, Ordering::Relaxed);
-        polled
+        result
     }
 }
 
@@ -51,13 +51,13 @@
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let polled = Pin::new(&mut self.stream).poll_write(context, buffer);
-        if let Poll::Ready(Ok(written)) = &polled {
+        let result = Pin::new(&mut self.stream).poll_write(context, buffer);
+        if let Poll::Ready(Ok(written)) = &result {
             self.bytes
                 .sent
                 .fetch_add(*written as u64, Ordering::Relaxed);
         }
-        polled
+        result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/ashtiller/src/net/mod.rs
+++ b/ashtiller/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to other processes and to the platform, and who listens.
+//! Network access: calls to other processes and to the platform, and the ports served.
 
 pub mod codec;
 pub mod consul;
--- a/ashtiller/src/net/ops.rs
+++ b/ashtiller/src/net/ops.rs
@@ -1,4 +1,4 @@
-//! The port where operators connect: metrics, health, dump and role commands.
+//! The operators' HTTP port: metrics, health, state dump and commands of the role.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,28 +20,28 @@
 
 use crate::failure::Failure;
 
-/// Answer to the balancer's and the operators' question for health.
+/// Response to a health check of the load balancer or an operator.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Health {
-    /// Whether the process can do its work.
+    /// Whether the process is ready to work.
     pub ready: bool,
-    /// Whether a planned stop has begun.
+    /// Whether a planned shutdown has begun.
     pub leaving: bool,
 }
 
-/// A command of an operator.
+/// An operator's command: a request for any path but `/metrics`, `/health` and `/dump`.
 #[derive(Clone, Debug)]
 pub struct Command {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path, split at its slashes.
+    /// Segments of the path.
     pub path: Vec<Arc<str>>,
-    /// Query.
+    /// Query string; empty if there is none.
     pub query: Arc<str>,
 }
 
 impl Command {
-    /// The value of a query parameter.
+    /// Returns the value of a query parameter, not percent-decoded.
     #[must_use]
     pub fn param(&self, name: &str) -> Option<&str> {
         let pairs = self
@@ -55,29 +55,29 @@
     }
 }
 
-/// Status and JSON body of an answer to an operator.
+/// Status and JSON body of the response to a command.
 pub type CommandReply = (StatusCode, String);
 
-/// A role as operators see it.
+/// What a role provides on the operators' port.
 pub trait OperatorApi: Send + Sync {
-    /// Health.
+    /// Returns the result of a health check.
     fn health(&self) -> Health;
-    /// Metrics.
+    /// Returns the registry of the role's metrics.
     fn registry(&self) -> &Registry;
-    /// The whole state, bounded in size.
+    /// Returns the role's state as JSON, bounded in size.
     fn dump(&self) -> BoxFuture<'_, String>;
-    /// A command of the role; `None` when there is no such command.
+    /// Runs a command; returns `None` when the role has no such command.
     fn command(&self, command: Command) -> BoxFuture<'_, Option<CommandReply>>;
 }
 
-/// A running operators' port.
+/// A running operators' port; dropping it closes the port and its connections.
 pub struct OperatorServer {
     address: SocketAddr,
     listener: JoinHandle<()>,
 }
 
 impl OperatorServer {
-    /// The address that the kernel gave.
+    /// Returns the bound address, with the port that the kernel chose for port 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -90,7 +90,7 @@
     }
 }
 
-/// Listens for operators.
+/// Binds the operators' port and serves `role` on it.
 ///
 /// # Errors
 /// The port cannot be bound.
@@ -98,15 +98,15 @@
     address: SocketAddr,
     role: Arc<dyn OperatorApi>,
 ) -> Result<OperatorServer, Failure> {
-    let failed = |error| Failure::no_effect("bind operators' port", address, error);
-    let listener = TcpListener::bind(address).await.map_err(failed)?;
-    let address = listener.local_addr().map_err(failed)?;
+    let bind_error = |error| Failure::no_effect("bind operators' port", address, error);
+    let listener = TcpListener::bind(address).await.map_err(bind_error)?;
+    let address = listener.local_addr().map_err(bind_error)?;
     let listener = tokio::spawn(accept(listener, role));
     Ok(OperatorServer { address, listener })
 }
 
 async fn accept(listener: TcpListener, role: Arc<dyn OperatorApi>) {
-    // Held here so that the end of this task ends every connection.
+    // Owned by this task, so that aborting it closes every connection.
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
@@ -114,7 +114,7 @@
             continue;
         };
         let role = role.clone();
-        let service = service::service_fn(move |request| answer(role.clone(), request));
+        let service = service::service_fn(move |request| respond(role.clone(), request));
         connections.spawn(async move {
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
@@ -123,33 +123,35 @@
     }
 }
 
-async fn answer(
+async fn respond(
     role: Arc<dyn OperatorApi>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let json = "application/json";
     Ok(match (request.method(), request.uri().path()) {
-        (&Method::GET, "/metrics") => {
-            text(StatusCode::OK, "text/plain; version=0.0.4", metrics(&*role))
-        }
+        (&Method::GET, "/metrics") => response_of(
+            StatusCode::OK,
+            "text/plain; version=0.0.4",
+            encode_metrics(&*role),
+        ),
         (&Method::GET, "/health") => {
             let health = role.health();
-            let good = health.ready && !health.leaving;
-            let status = if good {
+            let healthy = health.ready && !health.leaving;
+            let status = if healthy {
                 StatusCode::OK
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            text(
+            response_of(
                 status,
                 json,
                 serde_json::to_string(&health).unwrap_or_default(),
             )
         }
-        (&Method::GET, "/dump") => text(StatusCode::OK, json, role.dump().await),
-        _ => match role.command(command_of(&request)).await {
-            Some((status, body)) => text(status, json, body),
-            None => text(
+        (&Method::GET, "/dump") => response_of(StatusCode::OK, json, role.dump().await),
+        _ => match role.command(parse_command(&request)).await {
+            Some((status, body)) => response_of(status, json, body),
+            None => response_of(
                 StatusCode::NOT_FOUND,
                 json,
                 r#"{"error":"no such command"}"#.to_owned(),
@@ -158,7 +160,7 @@
     })
 }
 
-fn command_of(request: &Request<Incoming>) -> Command {
+fn parse_command(request: &Request<Incoming>) -> Command {
     Command {
         method: request.method().clone(),
         path: request
@@ -172,7 +174,7 @@
     }
 }
 
-fn metrics(role: &dyn OperatorApi) -> String {
+fn encode_metrics(role: &dyn OperatorApi) -> String {
     let mut buffer = Vec::new();
     match TextEncoder::new().encode(&role.registry().gather(), &mut buffer) {
         Ok(()) => String::from_utf8_lossy(&buffer).into_owned(),
@@ -180,11 +182,15 @@
     }
 }
 
-fn text(status: StatusCode, kind: &'static str, body: String) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::new(Bytes::from(body)));
-    *answer.status_mut() = status;
-    answer
+fn response_of(
+    status: StatusCode,
+    content_type: &'static str,
+    body: String,
+) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(body)));
+    *response.status_mut() = status;
+    response
         .headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
-    answer
+        .insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
+    response
 }
--- a/ashtiller/src/net/peer.rs
+++ b/ashtiller/src/net/peer.rs
@@ -1,4 +1,4 @@
-//! What the project's processes ask of each other.
+//! Messages and calls between the gateways and schedulers of a deployment.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 use crate::store::CallFuture;
 use crate::template::Class;
 
-/// The roles of a process.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Takes requests and routes them to endpoints.
+    /// Accepts requests and routes them to endpoints.
     Gateway,
     /// Owns cells and runs their tasks.
     Scheduler,
 }
 
 impl Role {
-    /// Reads a role's name.
+    /// Parses a role's name.
     #[must_use]
     pub fn parse(name: &str) -> Option<Self> {
         [Self::Gateway, Self::Scheduler]
@@ -28,7 +28,7 @@
             .find(|role| role.name() == name)
     }
 
-    /// The role's name in settings, keys and messages.
+    /// Returns the role's name in settings, keys and messages.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -41,41 +41,41 @@
 /// A heartbeat between two processes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Heartbeat {
-    /// Sender.
+    /// Name of the sender.
     pub name: Arc<str>,
     /// Role of the sender.
     pub role: Arc<str>,
     /// Newest configuration revision known to the sender.
     pub revision: u64,
-    /// Whether the sender is stopping.
+    /// Whether the sender is shutting down.
     pub leaving: bool,
     /// Cells that the sender owns.
     pub cells: Vec<Arc<str>>,
 }
 
-/// A gateway asks another for slots.
+/// Request of one gateway to borrow endpoint slots from another.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoanRequest {
-    /// Service.
+    /// Service whose endpoints have the slots.
     pub service: Arc<str>,
-    /// Gateway that asks.
+    /// Gateway that borrows.
     pub borrower: Arc<str>,
-    /// Whether `keep` replaces the loan; otherwise the loan goes on and grows.
+    /// Whether `keep` replaces the current loan; otherwise `want` is added to it.
     pub replaces_loan: bool,
-    /// Slots that it keeps from earlier, by endpoint.
+    /// Slots of the current loan that the borrower keeps, by endpoint.
     pub keep: Vec<(u64, u32)>,
-    /// Further slots that it wants.
+    /// Number of further slots wanted.
     pub want: u32,
 }
 
-/// A job on its way to its cell, with its account's quota.
+/// A job as submitted to its cell, with its account's quota.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Submission {
     /// Client account.
     pub account: Arc<str>,
     /// Name of the job, chosen by the caller; the same name is the same job.
     pub job: Arc<str>,
-    /// Job section of the template.
+    /// Name of the job's section in the template.
     pub kind: Arc<str>,
     /// Class of its tasks.
     pub class: Class,
@@ -83,47 +83,47 @@
     pub urgent: bool,
     /// Number of tasks.
     pub tasks: u32,
-    /// What one task needs.
+    /// Resources that one task needs.
     pub needs: Resources,
     /// Declared run time; `None` runs until it is cancelled.
     pub length: Option<Duration>,
-    /// Latency that its tasks should keep, if they serve requests.
+    /// Latency target of its tasks, if they serve requests.
     pub target: Option<Duration>,
-    /// Attempts that may fail before a task is given up.
+    /// Failed attempts after which a task is not retried.
     pub attempts: u32,
     /// Quota of the account.
     pub quota: Resources,
-    /// Evictions allowed to the account in an hour.
+    /// Evictions of the account's tasks that are allowed in an hour.
     pub evictions: u32,
 }
 
-/// The answer to a job's submission or cancellation.
+/// Reply to the submission or cancellation of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobReply {
     /// Recorded; it will be carried out.
     Accepted,
-    /// The same request was recorded before.
+    /// The same request was already recorded.
     Known,
-    /// The name is taken by a job with another body.
+    /// The name is used by a job with a different body.
     Conflict(Arc<str>),
-    /// It can never run, for this reason.
+    /// The job can never run, for this reason.
     Never(Arc<str>),
-    /// This process does not own the cell; nothing was done.
+    /// This process does not own the cell; the request had no effect.
     NotOwner(Arc<str>),
-    /// It may or may not have been recorded; ask again under the same name.
+    /// It may or may not have been recorded; the caller retries under the same name.
     Unknown(Arc<str>),
-    /// No such job.
+    /// There is no such job.
     Missing,
 }
 
-/// Another process, or the own one as others see it.
+/// A process of the deployment: a remote one, or this one as others call it.
 pub trait Peer: Send + Sync {
     /// Exchanges heartbeats.
     fn heartbeat(&self, mine: Heartbeat) -> CallFuture<'_, Heartbeat>;
 
-    /// Lends slots; the answer is what was added to the loan.
-    fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>>;
+    /// Borrows slots; returns the slots added to the loan, by endpoint.
+    fn lend(&self, request: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>>;
 
     /// Submits a job to a cell.
     fn submit(&self, cell: Arc<str>, job: Submission) -> CallFuture<'_, JobReply>;
@@ -131,6 +131,6 @@
     /// Cancels a job in a cell.
     fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, JobReply>;
 
-    /// Shows a cell, an account or a job as JSON; empty names show all.
+    /// Returns the state of a cell, an account or a job as JSON; empty names select all.
     fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, String>;
 }
--- a/ashtiller/src/net/peer_calls.rs
+++ b/ashtiller/src/net/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to other processes, carried out on the wire's thread.
+//! Outgoing RPC calls to other processes, run on the RPC thread.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,35 +23,35 @@
 use crate::peer::{Heartbeat, JobReply, LoanRequest, Submission};
 use crate::schema::peer_capnp::peer;
 
-/// Where an answer goes.
+/// Sender through which the result of a call is returned.
 pub type ReplySender<T> = oneshot::Sender<Result<T, Failure>>;
 
-/// A call that waits for the wire's thread.
+/// A call queued for the RPC thread.
 pub enum Call {
-    /// Heartbeat.
+    /// Exchange of heartbeats.
     Heartbeat(Heartbeat, ReplySender<Heartbeat>),
-    /// Question for slots.
+    /// Request to borrow slots.
     Lend(LoanRequest, ReplySender<Vec<(u64, u32)>>),
-    /// A job for a cell.
+    /// Submission of a job to the named cell.
     Submit(Arc<str>, Box<Submission>, ReplySender<JobReply>),
-    /// Cancellation of cell, account, job.
+    /// Cancellation of a job, named by cell, account and job.
     Cancel([Arc<str>; 3], ReplySender<JobReply>),
-    /// State of cell, account, job.
+    /// State of a cell, an account or a job; empty names select all.
     Show([Arc<str>; 3], ReplySender<String>),
 }
 
-/// A connection as the library sees it.
+/// A connection as `capnp-rpc` uses it.
 pub type Network<R = OwnedReadHalf> = twoparty::VatNetwork<Compat<CountedStream<R>>>;
 
-/// One connection, counted and without delay.
+/// Prepares a TCP connection for RPC: counts its bytes and turns off Nagle's algorithm.
 pub fn tcp_network(stream: TcpStream, side: Side, bytes: &Arc<meter::ByteCounts>) -> Network {
-    // A delayed small message would cost more than the saved packet.
+    // Delaying a small message costs more than the packet it saves.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     network_over(reader, writer, side, bytes)
 }
 
-/// One connection over any pair of streams, counted.
+/// Prepares any pair of streams for RPC and counts their bytes.
 pub fn network_over<R, W>(
     reader: R,
     writer: W,
@@ -67,43 +67,48 @@
     twoparty::VatNetwork::new(reader, writer, side, capnp::message::ReaderOptions::new())
 }
 
-/// Carries out queued calls until the queue is closed; each may take `limit`.
+/// Runs queued calls concurrently until the queue is closed; each fails after `timeout`.
 pub async fn run(
     mut received: mpsc::Receiver<(SocketAddr, Call)>,
-    limit: Duration,
+    timeout: Duration,
     bytes: Arc<meter::ByteCounts>,
 ) {
-    let links = Rc::new(Links {
+    let connections = Rc::new(Connections {
         open: RefCell::default(),
         bytes,
     });
     while let Some((address, call)) = received.recv().await {
-        task::spawn_local(perform(links.clone(), address, call, limit));
+        task::spawn_local(run_call(connections.clone(), address, call, timeout));
     }
 }
 
-struct Links {
-    open: RefCell<HashMap<SocketAddr, Rc<Link>>>,
+/// Open connections to other processes, by address.
+struct Connections {
+    open: RefCell<HashMap<SocketAddr, Rc<Connection>>>,
     bytes: Arc<meter::ByteCounts>,
 }
 
 /// One connection to another process; dropping it closes it.
-struct Link {
+struct Connection {
     client: peer::Client,
     driver: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
-        // A silent peer never ends it.
+        // While the peer is silent, the driver does not end by itself.
         self.driver.abort();
     }
 }
 
-impl Links {
-    async fn connect(&self, step: &'static str, address: SocketAddr) -> Result<Rc<Link>, Failure> {
-        if let Some(link) = self.open.borrow().get(&address) {
-            return Ok(link.clone());
+impl Connections {
+    async fn connect(
+        &self,
+        step: &'static str,
+        address: SocketAddr,
+    ) -> Result<Rc<Connection>, Failure> {
+        if let Some(connection) = self.open.borrow().get(&address) {
+            return Ok(connection.clone());
         }
         let stream = TcpStream::connect(address)
             .await
@@ -114,89 +119,103 @@
         );
         let client: peer::Client = system.bootstrap(Side::Server);
         let driver = task::spawn_local(system).abort_handle();
-        let link = Rc::new(Link { client, driver });
-        self.open.borrow_mut().insert(address, link.clone());
-        Ok(link)
+        let connection = Rc::new(Connection { client, driver });
+        self.open.borrow_mut().insert(address, connection.clone());
+        Ok(connection)
     }
 
-    /// Drops a connection, unless a newer one has replaced it already.
-    fn forget(&self, address: SocketAddr, link: &Rc<Link>) {
+    /// Removes a connection, unless a newer one has replaced it already.
+    fn remove(&self, address: SocketAddr, connection: &Rc<Connection>) {
         let mut open = self.open.borrow_mut();
         if open
             .get(&address)
-            .is_some_and(|known| Rc::ptr_eq(known, link))
+            .is_some_and(|current| Rc::ptr_eq(current, connection))
         {
             open.remove(&address);
         }
     }
 }
 
-async fn perform(links: Rc<Links>, address: SocketAddr, asked: Call, limit: Duration) {
-    match asked {
-        Call::Heartbeat(mine, asked) => {
-            let done = within(&links, "greet", address, limit, |client| {
-                greet(client, mine)
+async fn run_call(
+    connections: Rc<Connections>,
+    address: SocketAddr,
+    queued: Call,
+    timeout: Duration,
+) {
+    match queued {
+        Call::Heartbeat(mine, reply) => {
+            let result = call_with_timeout(&connections, "greet", address, timeout, |client| {
+                exchange_heartbeat(client, mine)
             });
-            let _ = asked.send(done.await);
+            let _ = reply.send(result.await);
         }
-        Call::Lend(ask, asked) => {
-            let done = within(&links, "lend", address, limit, |client| lend(client, ask));
-            let _ = asked.send(done.await);
+        Call::Lend(wanted, reply) => {
+            let result = call_with_timeout(&connections, "lend", address, timeout, |client| {
+                lend(client, wanted)
+            });
+            let _ = reply.send(result.await);
         }
-        Call::Submit(cell, job, asked) => {
-            let done = within(&links, "submit", address, limit, |client| {
+        Call::Submit(cell, job, reply) => {
+            let result = call_with_timeout(&connections, "submit", address, timeout, |client| {
                 submit(client, cell, job)
             });
-            let _ = asked.send(done.await);
+            let _ = reply.send(result.await);
         }
-        Call::Cancel(names, asked) => {
-            let done = within(&links, "cancel", address, limit, |client| {
+        Call::Cancel(names, reply) => {
+            let result = call_with_timeout(&connections, "cancel", address, timeout, |client| {
                 cancel(client, names)
             });
-            let _ = asked.send(done.await);
+            let _ = reply.send(result.await);
         }
-        Call::Show(names, asked) => {
-            let done = within(&links, "show", address, limit, |client| show(client, names));
-            let _ = asked.send(done.await);
+        Call::Show(names, reply) => {
+            let result = call_with_timeout(&connections, "show", address, timeout, |client| {
+                show(client, names)
+            });
+            let _ = reply.send(result.await);
         }
     }
 }
 
-async fn within<T, F>(
-    links: &Links,
+/// Makes one call over the connection to `address`. A connection on which a call failed is
+/// not used again.
+async fn call_with_timeout<T, F>(
+    connections: &Connections,
     step: &'static str,
     address: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
     call: impl FnOnce(peer::Client) -> F,
 ) -> Result<T, Failure>
 where
     F: Future<Output = Result<T, capnp::Error>>,
 {
     let started = time::Instant::now();
-    let late = |_| Failure::no_effect(step, address, "no connection in time");
-    let link = time::timeout(limit, links.connect(step, address))
+    let timed_out = |_| Failure::no_effect(step, address, "connecting timed out");
+    let connection = time::timeout(timeout, connections.connect(step, address))
         .await
-        .map_err(late)??;
-    let left = limit.saturating_sub(started.elapsed());
-    let failure = match time::timeout(left, call(link.client.clone())).await {
+        .map_err(timed_out)??;
+    let remaining = timeout.saturating_sub(started.elapsed());
+    let failure = match time::timeout(remaining, call(connection.client.clone())).await {
         Ok(Ok(value)) => return Ok(value),
         Ok(Err(error)) => Failure::unknown_effect(step, address, error),
-        Err(_) => Failure::unknown_effect(step, address, "no answer in time"),
+        Err(_) => Failure::unknown_effect(step, address, "no response before the timeout"),
     };
-    links.forget(address, &link);
+    connections.remove(address, &connection);
     Err(failure)
 }
 
-async fn greet(client: peer::Client, mine: Heartbeat) -> Result<Heartbeat, capnp::Error> {
+async fn exchange_heartbeat(
+    client: peer::Client,
+    mine: Heartbeat,
+) -> Result<Heartbeat, capnp::Error> {
     let mut request = client.greet_request();
-    codec::write_greeting(request.get().init_mine(), &mine);
+    codec::write_heartbeat(request.get().init_mine(), &mine);
     let response = request.send().promise.await?;
-    codec::read_greeting(response.get()?.get_yours()?)
+    codec::read_heartbeat(response.get()?.get_yours()?)
 }
 
-async fn lend(client: peer::Client, ask: LoanRequest) -> Result<Vec<(u64, u32)>, capnp::Error> {
+async fn lend(client: peer::Client, wanted: LoanRequest) -> Result<Vec<(u64, u32)>, capnp::Error> {
     let mut request = client.lend_request();
-    codec::write_ask(request.get().init_ask(), &ask);
+    codec::write_loan_request(request.get().init_ask(), &wanted);
     let response = request.send().promise.await?;
     Ok(codec::read_loans(response.get()?.get_loans()?))
 }
@@ -210,7 +229,7 @@
     request.get().set_cell(&*cell);
     codec::write_submission(request.get().init_job(), &job);
     let response = request.send().promise.await?;
-    codec::read_verdict(response.get()?.get_verdict()?)
+    codec::read_job_reply(response.get()?.get_verdict()?)
 }
 
 async fn cancel(client: peer::Client, names: [Arc<str>; 3]) -> Result<JobReply, capnp::Error> {
@@ -219,7 +238,7 @@
     request.get().set_account(&*names[1]);
     request.get().set_job(&*names[2]);
     let response = request.send().promise.await?;
-    codec::read_verdict(response.get()?.get_verdict()?)
+    codec::read_job_reply(response.get()?.get_verdict()?)
 }
 
 async fn show(client: peer::Client, names: [Arc<str>; 3]) -> Result<String, capnp::Error> {
--- a/ashtiller/src/net/peer_client.rs
+++ b/ashtiller/src/net/peer_client.rs
@@ -1,4 +1,4 @@
-//! Another process, reached through the wire's thread.
+//! A remote process, called through the RPC thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,30 +12,36 @@
 use crate::rpc::RpcClient;
 use crate::store::CallFuture;
 
-/// A [`Peer`] that stands for the process at an address.
+/// A [`Peer`] that calls the process at an address.
 pub struct PeerClient {
-    /// The wire's thread.
+    /// Handle to the RPC thread.
     pub rpc: RpcClient,
-    /// Where the process listens.
+    /// Address at which the process serves its peers.
     pub address: SocketAddr,
 }
 
 impl PeerClient {
-    async fn ask<T>(
+    async fn call<T>(
         &self,
         step: &'static str,
-        call: impl FnOnce(ReplySender<T>) -> Call,
+        make_call: impl FnOnce(ReplySender<T>) -> Call,
     ) -> Result<T, Failure> {
-        let (asked, answer) = oneshot::channel();
-        let sent = self.rpc.send(self.address, call(asked));
-        sent.map_err(|()| Failure::no_effect(step, self.address, "the wire is busy"))?;
-        // The thread's own limit comes first; this one covers a stuck thread.
-        match time::timeout(self.rpc.call_timeout() * 2, answer).await {
-            Ok(Ok(done)) => done,
+        let (reply, result) = oneshot::channel();
+        let sent = self.rpc.send(self.address, make_call(reply));
+        sent.map_err(|()| {
+            Failure::no_effect(
+                step,
+                self.address,
+                "the queue of RPC calls is full or closed",
+            )
+        })?;
+        // The RPC thread applies the call's timeout; twice that time covers a stuck thread.
+        match time::timeout(self.rpc.call_timeout() * 2, result).await {
+            Ok(Ok(result)) => result,
             _ => Err(Failure::unknown_effect(
                 step,
                 self.address,
-                "the wire gave no answer",
+                "the RPC thread returned no result",
             )),
         }
     }
@@ -43,22 +49,22 @@
 
 impl Peer for PeerClient {
     fn heartbeat(&self, mine: Heartbeat) -> CallFuture<'_, Heartbeat> {
-        Box::pin(self.ask("greet", |asked| Call::Heartbeat(mine, asked)))
+        Box::pin(self.call("greet", |reply| Call::Heartbeat(mine, reply)))
     }
 
-    fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
-        Box::pin(self.ask("lend", |asked| Call::Lend(ask, asked)))
+    fn lend(&self, request: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
+        Box::pin(self.call("lend", |reply| Call::Lend(request, reply)))
     }
 
     fn submit(&self, cell: Arc<str>, job: Submission) -> CallFuture<'_, JobReply> {
-        Box::pin(self.ask("submit", |asked| Call::Submit(cell, Box::new(job), asked)))
+        Box::pin(self.call("submit", |reply| Call::Submit(cell, Box::new(job), reply)))
     }
 
     fn cancel(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, JobReply> {
-        Box::pin(self.ask("cancel", |asked| Call::Cancel([cell, account, job], asked)))
+        Box::pin(self.call("cancel", |reply| Call::Cancel([cell, account, job], reply)))
     }
 
     fn show(&self, cell: Arc<str>, account: Arc<str>, job: Arc<str>) -> CallFuture<'_, String> {
-        Box::pin(self.ask("show", |asked| Call::Show([cell, account, job], asked)))
+        Box::pin(self.call("show", |reply| Call::Show([cell, account, job], reply)))
     }
 }
--- a/ashtiller/src/net/peer_server.rs
+++ b/ashtiller/src/net/peer_server.rs
@@ -1,4 +1,4 @@
-//! The own process as others see it over `capnp-rpc`.
+//! Serves this process to its peers over `capnp-rpc`.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 use crate::peer::Peer;
 use crate::schema::peer_capnp::peer;
 
-/// Serves a [`Peer`] to other processes.
+/// RPC server that passes other processes' calls to a [`Peer`].
 pub struct PeerServer {
-    /// The own process.
+    /// This process.
     pub peer: Arc<dyn Peer>,
 }
 
-fn remote_error(failure: &Failure) -> capnp::Error {
+fn rpc_error(failure: &Failure) -> capnp::Error {
     capnp::Error::failed(failure.to_string())
 }
 
@@ -24,13 +24,13 @@
         params: peer::GreetParams,
         mut results: peer::GreetResults,
     ) -> Result<(), capnp::Error> {
-        let mine = codec::read_greeting(params.get()?.get_mine()?)?;
+        let mine = codec::read_heartbeat(params.get()?.get_mine()?)?;
         let yours = self
             .peer
             .heartbeat(mine)
             .await
-            .map_err(|failure| remote_error(&failure))?;
-        codec::write_greeting(results.get().init_yours(), &yours);
+            .map_err(|failure| rpc_error(&failure))?;
+        codec::write_heartbeat(results.get().init_yours(), &yours);
         Ok(())
     }
 
@@ -39,12 +39,12 @@
         params: peer::LendParams,
         mut results: peer::LendResults,
     ) -> Result<(), capnp::Error> {
-        let ask = codec::read_ask(params.get()?.get_ask()?)?;
+        let wanted = codec::read_loan_request(params.get()?.get_ask()?)?;
         let loans = self
             .peer
-            .lend(ask)
+            .lend(wanted)
             .await
-            .map_err(|failure| remote_error(&failure))?;
+            .map_err(|failure| rpc_error(&failure))?;
         codec::write_loans(results.get().init_loans(codec::length(loans.len())), &loans);
         Ok(())
     }
@@ -56,12 +56,12 @@
     ) -> Result<(), capnp::Error> {
         let cell = codec::read_name(params.get()?.get_cell()?)?;
         let job = codec::read_submission(params.get()?.get_job()?)?;
-        let verdict = self
+        let reply = self
             .peer
             .submit(cell, job)
             .await
-            .map_err(|failure| remote_error(&failure))?;
-        codec::write_verdict(results.get().init_verdict(), &verdict);
+            .map_err(|failure| rpc_error(&failure))?;
+        codec::write_job_reply(results.get().init_verdict(), &reply);
         Ok(())
     }
 
@@ -74,12 +74,12 @@
         let cell = codec::read_name(names.get_cell()?)?;
         let account = codec::read_name(names.get_account()?)?;
         let job = codec::read_name(names.get_job()?)?;
-        let verdict = self
+        let reply = self
             .peer
             .cancel(cell, account, job)
             .await
-            .map_err(|failure| remote_error(&failure))?;
-        codec::write_verdict(results.get().init_verdict(), &verdict);
+            .map_err(|failure| rpc_error(&failure))?;
+        codec::write_job_reply(results.get().init_verdict(), &reply);
         Ok(())
     }
 
@@ -96,7 +96,7 @@
             .peer
             .show(cell, account, job)
             .await
-            .map_err(|failure| remote_error(&failure))?;
+            .map_err(|failure| rpc_error(&failure))?;
         results.get().set_json(&*json);
         Ok(())
     }
--- a/ashtiller/src/net/rpc.rs
+++ b/ashtiller/src/net/rpc.rs
@@ -1,8 +1,8 @@
-//! The thread that speaks `capnp-rpc` for a process.
+//! The thread that runs `capnp-rpc` for a process.
 //!
-//! The library's futures stay on one thread, so both sides live on a thread of
-//! their own: [`bind`] serves a [`Peer`] to others, [`Wire::connect`] yields a
-//! [`Peer`] that stands for another process. Requests cross by channels.
+//! The library's futures cannot move between threads, so server and client run on a
+//! thread of their own: [`bind`] serves a [`Peer`] to others, [`RpcClient::connect`]
+//! returns a [`Peer`] that calls another process. Channels pass calls to the thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,10 +23,10 @@
 use crate::peer_server;
 use crate::schema::peer_capnp::peer;
 
-/// Calls that may wait for the wire's thread.
-const BACKLOG: usize = 1024;
+/// Calls that may wait for the RPC thread; further ones fail.
+const MAX_QUEUED_CALLS: usize = 1024;
 
-/// A handle to the wire's thread.
+/// A handle to the RPC thread, for calls to other processes.
 #[derive(Clone)]
 pub struct RpcClient {
     calls: mpsc::Sender<(SocketAddr, Call)>,
@@ -35,7 +35,7 @@
 }
 
 impl RpcClient {
-    /// A peer that stands for the process at `address`; connects when first asked.
+    /// Returns a peer that calls the process at `address`; it connects with its first call.
     #[must_use]
     pub fn connect(&self, address: SocketAddr) -> Arc<dyn Peer> {
         Arc::new(peer_client::PeerClient {
@@ -44,77 +44,77 @@
         })
     }
 
-    /// Queues a call; fails when too many wait or the thread has ended.
+    /// Queues a call; fails when too many wait or the thread has stopped.
     pub(crate) fn send(&self, address: SocketAddr, call: Call) -> Result<(), ()> {
         self.calls.try_send((address, call)).map_err(|_| ())
     }
 
-    /// Time limit of one call.
+    /// Returns the timeout of one call.
     #[must_use]
     pub fn call_timeout(&self) -> Duration {
         self.call_timeout
     }
 }
 
-/// A served port; dropping it closes the port and its connections.
+/// The port served to other processes; dropping it closes the port and its connections.
 pub struct RpcServer {
     address: SocketAddr,
     client: RpcClient,
-    /// Dropped with this handle, which ends the thread.
-    _alive: oneshot::Sender<()>,
+    /// Ends the RPC thread when it is dropped with this handle.
+    _stop: oneshot::Sender<()>,
 }
 
 impl RpcServer {
-    /// The address that the kernel gave.
+    /// Returns the bound address, with the port that the kernel chose for port 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes that passed to and from other processes.
+    /// Returns the counts of bytes exchanged with other processes.
     #[must_use]
     pub fn bytes(&self) -> &Arc<meter::ByteCounts> {
         &self.client.bytes
     }
 
-    /// The wire through which other processes are reached.
+    /// Returns the client for calls to other processes.
     #[must_use]
     pub fn client(&self) -> &RpcClient {
         &self.client
     }
 }
 
-/// Serves `local` on `address`; each outgoing call may take `limit`.
+/// Serves `local` on `address`; each outgoing call fails after `call_timeout`.
 ///
 /// # Errors
-/// The port cannot be bound, or the thread not be started.
+/// The port cannot be bound, or the thread cannot be started.
 pub async fn bind(
     address: SocketAddr,
-    limit: Duration,
+    call_timeout: Duration,
     local: Arc<dyn Peer>,
 ) -> anyhow::Result<RpcServer> {
     let listener = std::net::TcpListener::bind(address)
         .map_err(|error| Failure::no_effect("bind peers' port", address, error))?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
-    let (calls, received) = mpsc::channel(BACKLOG);
+    let (calls, received) = mpsc::channel(MAX_QUEUED_CALLS);
     let (ready, started) = oneshot::channel();
     let bytes = Arc::new(meter::ByteCounts::default());
-    let counted = bytes.clone();
-    let (alive, ended) = oneshot::channel();
+    let thread_bytes = bytes.clone();
+    let (stop, stopped) = oneshot::channel();
     std::thread::Builder::new()
         .name("wire".to_owned())
         .spawn(move || {
             run(
                 listener,
                 received,
-                Terms {
-                    limit,
+                ThreadArgs {
+                    call_timeout,
                     local,
-                    bytes: counted,
+                    bytes: thread_bytes,
                 },
                 ready,
-                ended,
+                stopped,
             );
         })?;
     started.await??;
@@ -122,16 +122,16 @@
         address,
         client: RpcClient {
             calls,
-            call_timeout: limit,
+            call_timeout,
             bytes,
         },
-        _alive: alive,
+        _stop: stop,
     })
 }
 
-/// What the thread needs.
-struct Terms {
-    limit: Duration,
+/// What the RPC thread needs.
+struct ThreadArgs {
+    call_timeout: Duration,
     local: Arc<dyn Peer>,
     bytes: Arc<meter::ByteCounts>,
 }
@@ -139,9 +139,9 @@
 fn run(
     listener: std::net::TcpListener,
     received: mpsc::Receiver<(SocketAddr, Call)>,
-    terms: Terms,
+    args: ThreadArgs,
     ready: oneshot::Sender<std::io::Result<()>>,
-    ended: oneshot::Receiver<()>,
+    stopped: oneshot::Receiver<()>,
 ) {
     let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
@@ -153,9 +153,9 @@
     let _ = ready.send(Ok(()));
     LocalSet::new().block_on(&runtime, async move {
         tokio::select! {
-            () = accept(listener, terms.local, terms.bytes.clone()) => {}
-            () = peer_calls::run(received, terms.limit, terms.bytes) => {}
-            _ = ended => {}
+            () = accept(listener, args.local, args.bytes.clone()) => {}
+            () = peer_calls::run(received, args.call_timeout, args.bytes) => {}
+            _ = stopped => {}
         }
     });
 }
@@ -170,7 +170,8 @@
     };
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors, most likely; those in use will be given back.
+            // Most likely the process is out of file descriptors; it retries once others
+            // may have been closed.
             time::sleep(Duration::from_millis(50)).await;
             continue;
         };
--- a/ashtiller/src/net/schema.rs
+++ b/ashtiller/src/net/schema.rs
@@ -1,4 +1,4 @@
-//! Code generated from `schema/peer.capnp`; `CONTRIBUTING.md` says how.
+//! Code generated from `schema/peer.capnp` and `schema/entry.capnp`; see `CONTRIBUTING.md`.
 
 #[allow(missing_docs, clippy::all, clippy::pedantic, reason = "generated")]
 #[rustfmt::skip]
--- a/ashtiller/src/net/service_catalog.rs
+++ b/ashtiller/src/net/service_catalog.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving instances.
+//! The platform's service catalog: live and leaving instances, known with some delay.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,35 +11,35 @@
 /// One listed instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Instance {
-    /// Name.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Whether it is live or leaving.
     pub phase: Phase,
     /// Availability zone.
     pub zone: Arc<str>,
     /// Rack.
     pub rack: Arc<str>,
-    /// Requests that an endpoint runs at a time; 0 for other instances.
+    /// Requests that an endpoint serves concurrently; 0 for other instances.
     pub slots: u32,
-    /// What a worker has; nothing for other instances.
+    /// Capacity of a worker; zero for other instances.
     pub resources: Resources,
 }
 
-/// Instances of one service, and the position from which to watch on.
+/// Instances of one service and the index from which to continue watching.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct InstanceList {
-    /// Instances as last listed.
+    /// Instances listed for the service.
     pub instances: Vec<Instance>,
-    /// Position to pass to the next [`Roster::watch`].
+    /// Index to pass to the next [`ServiceCatalog::watch`].
     pub index: u64,
 }
 
-/// The list of instances.
+/// The platform's list of instances.
 pub trait ServiceCatalog: Send + Sync {
-    /// Waits until the instances of a service differ from position `index`, at most
-    /// `wait`, and reads them; position 0 reads at once.
+    /// Waits until the instances of a service have changed since `index`, at most
+    /// `wait`, and reads them; index 0 reads at once.
     fn watch<'a>(
         &'a self,
         service: &'a str,
--- a/ashtiller/src/net/web.rs
+++ b/ashtiller/src/net/web.rs
@@ -1,9 +1,9 @@
-//! A small HTTP/1.1 client for calls whose bodies are short and read whole.
+//! A small HTTP/1.1 client for calls with short bodies that are read as a whole.
 //!
 //! A few idle connections are kept for each peer. A connection on which a call was
-//! given up is closed, so that no late answer can meet a later call. Connections go
-//! silent together: when a call got no answer in time, no idle connection to its peer
-//! is used again.
+//! abandoned is closed, so that a late response cannot be taken for that of a later call.
+//! Connections to a peer often go silent together: after a call got no response in time,
+//! none of the idle connections to its peer is used again.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,59 +24,59 @@
 
 use crate::failure::Failure;
 
-/// Largest answer that is read.
-const ANSWER_MAX: usize = 64 << 20;
+/// Largest response body that is read.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Idle connections kept for one peer.
-const IDLE_MAX: usize = 4;
-/// Time after which unacknowledged bytes break a connection: no answer of a peer
-/// that is up takes so long to be acknowledged.
-const USER_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// Time after which unacknowledged bytes break a connection (`TCP_USER_TIMEOUT`); a peer
+/// that is up acknowledges sooner.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Connections of this process on which a call got no answer in time.
-static SILENT: LazyLock<IntCounter> = LazyLock::new(|| {
+/// Number of connections of this process on which a call got no response in time.
+static SILENT_CONNECTIONS: LazyLock<IntCounter> = LazyLock::new(|| {
     IntCounter::new(
         "ashtiller_web_silent_links",
         "connections on which a call got no answer in time",
     )
-    .expect("a name and a help text")
+    .expect("valid metric name and help text")
 });
 
-/// Counts the connections on which a call got no answer in time, of all clients of this
-/// process.
+/// Returns the counter of connections on which a call got no response in time, of all
+/// clients of this process.
 #[must_use]
 pub fn silent_connections() -> IntCounter {
-    SILENT.clone()
+    SILENT_CONNECTIONS.clone()
 }
 
-/// An answer read as a whole.
+/// A response read as a whole.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// Status code.
     pub status: StatusCode,
-    /// Value of `X-Consul-Index`, if there is one.
+    /// Value of the `X-Consul-Index` header, if there is one.
     pub index: Option<u64>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// What is called.
+/// Request of one call.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: &'a str,
-    /// Headers beside the host.
+    /// Headers other than `host`.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
-    /// Whether it goes over a new connection though idle ones may be there, as it stands
-    /// in for a call whose connection may have gone silent.
+    /// Whether to open a new connection even if idle ones exist: the call retries one
+    /// whose connection may have gone silent.
     pub new_connection: bool,
 }
 
 impl<'a> Call<'a> {
-    /// A call without further headers.
+    /// Builds a call without further headers.
     #[must_use]
     pub fn new(method: Method, target: &'a str, body: Bytes) -> Self {
         Self {
@@ -89,38 +89,39 @@
     }
 }
 
-struct Link {
+struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    /// When it last answered, or was opened.
-    answered: Instant,
+    /// Time of the last response, or of the opening before the first.
+    last_response: Instant,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// Connections to one peer.
+/// Idle connections to one peer.
 #[derive(Default)]
-struct Links {
-    idle: Vec<Link>,
-    /// When the connection that went silent had last answered, until one answers again.
-    silent: Option<Instant>,
+struct PeerConnections {
+    idle: Vec<Connection>,
+    /// Time of the last response on the connection that went silent; `None` once any
+    /// connection responds again.
+    silent_since: Option<Instant>,
 }
 
-/// A client with a few idle connections.
+/// An HTTP client that keeps a few idle connections for each peer.
 #[derive(Default)]
 pub struct Client {
-    links: Mutex<HashMap<SocketAddr, Links>>,
+    peers: Mutex<HashMap<SocketAddr, PeerConnections>>,
 }
 
 impl Client {
-    /// Makes one call within `limit`.
+    /// Makes one call within `timeout`.
     ///
     /// # Errors
-    /// No connection (no effect), or no whole answer in time (unknown effect).
+    /// No connection (no effect), or no complete response in time (unknown effect).
     pub async fn call(
         &self,
         step: &'static str,
@@ -128,118 +129,122 @@
         method: Method,
         target: &str,
         body: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, Failure> {
-        self.call_with(step, peer, Call::new(method, target, body), limit)
+        self.call_with(step, peer, Call::new(method, target, body), timeout)
             .await
     }
 
-    /// Makes one call with headers within `limit`.
+    /// Makes one call with headers within `timeout`.
     ///
     /// # Errors
-    /// No connection (no effect), or no whole answer in time (unknown effect).
+    /// No connection (no effect), or no complete response in time (unknown effect).
     pub async fn call_with(
         &self,
         step: &'static str,
         peer: SocketAddr,
         call: Call<'_>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response, Failure> {
         let started = Instant::now();
-        let timed_out = |_| Failure::no_effect(step, peer, "no connection in time");
-        let link = time::timeout(limit, self.connect(step, peer, call.new_connection))
+        let timed_out = |_| Failure::no_effect(step, peer, "connecting timed out");
+        let connection = time::timeout(timeout, self.connect(step, peer, call.new_connection))
             .await
             .map_err(timed_out)??;
-        let left = limit.saturating_sub(started.elapsed());
-        let answered = link.answered;
-        let exchange = exchange(step, peer, link, call);
-        let Ok(done) = time::timeout(left, exchange).await else {
-            self.distrust(step, peer, answered);
-            return Err(Failure::unknown_effect(step, peer, "no answer in time"));
+        let remaining = timeout.saturating_sub(started.elapsed());
+        let last_response = connection.last_response;
+        let exchange = exchange(step, peer, connection, call);
+        let Ok(result) = time::timeout(remaining, exchange).await else {
+            self.discard_idle(step, peer, last_response);
+            return Err(Failure::unknown_effect(
+                step,
+                peer,
+                "no response before the timeout",
+            ));
         };
-        let (answer, link) = done?;
-        self.keep(peer, link);
-        Ok(answer)
+        let (response, connection) = result?;
+        self.put_idle(peer, connection);
+        Ok(response)
     }
 
     async fn connect(
         &self,
         step: &'static str,
         peer: SocketAddr,
-        apart: bool,
-    ) -> Result<Link, Failure> {
-        while !apart && let Some(link) = self.take(peer) {
-            if link.sender.is_ready() {
-                return Ok(link);
+        new_connection: bool,
+    ) -> Result<Connection, Failure> {
+        while !new_connection && let Some(connection) = self.take_idle(peer) {
+            if connection.sender.is_ready() {
+                return Ok(connection);
             }
         }
         open(step, peer).await
     }
 
-    fn take(&self, peer: SocketAddr) -> Option<Link> {
-        self.links.lock().get_mut(&peer)?.idle.pop()
+    fn take_idle(&self, peer: SocketAddr) -> Option<Connection> {
+        self.peers.lock().get_mut(&peer)?.idle.pop()
     }
 
-    /// Keeps a connection that has answered.
-    fn keep(&self, peer: SocketAddr, mut link: Link) {
-        link.answered = Instant::now();
-        let mut all = self.links.lock();
-        let links = all.entry(peer).or_default();
-        if let Some(since) = links.silent.take() {
+    /// Puts a connection that has responded among the idle ones.
+    fn put_idle(&self, peer: SocketAddr, mut connection: Connection) {
+        connection.last_response = Instant::now();
+        let mut peers = self.peers.lock();
+        let connections = peers.entry(peer).or_default();
+        if let Some(since) = connections.silent_since.take() {
             let age = since.elapsed().as_millis();
-            tracing::info!(%peer, age_ms = age, "peer answers again");
+            tracing::info!(%peer, age_ms = age, "peer responds again");
         }
-        if links.idle.len() < IDLE_MAX {
-            links.idle.push(link);
+        if connections.idle.len() < MAX_IDLE_CONNECTIONS {
+            connections.idle.push(connection);
         }
     }
 
-    /// Drops all idle connections to a peer after one of them, which had last answered
-    /// at `answered`, gave no answer in time: what silenced it may have silenced them,
-    /// and trying each in turn would cost a call's limit each time.
-    fn distrust(&self, step: &'static str, peer: SocketAddr, answered: Instant) {
-        SILENT.inc();
-        let mut all = self.links.lock();
-        let links = all.entry(peer).or_default();
-        let idle = std::mem::take(&mut links.idle);
-        if links.silent.is_none() {
-            links.silent = Some(answered);
-            let age = answered.elapsed().as_millis();
-            tracing::info!(step, %peer, age_ms = age, dropped = idle.len(), "link is silent");
+    /// Drops all idle connections to a peer after a connection that had last responded at
+    /// `last_response` gave no response in time. The same fault may have silenced them
+    /// all, and trying each in turn would cost one timeout each.
+    fn discard_idle(&self, step: &'static str, peer: SocketAddr, last_response: Instant) {
+        SILENT_CONNECTIONS.inc();
+        let mut peers = self.peers.lock();
+        let connections = peers.entry(peer).or_default();
+        let idle = std::mem::take(&mut connections.idle);
+        if connections.silent_since.is_none() {
+            connections.silent_since = Some(last_response);
+            let age = last_response.elapsed().as_millis();
+            tracing::info!(step, %peer, age_ms = age, dropped = idle.len(), "peer is silent");
         }
     }
 }
 
 /// Opens a connection.
-async fn open(step: &'static str, peer: SocketAddr) -> Result<Link, Failure> {
+async fn open(step: &'static str, peer: SocketAddr) -> Result<Connection, Failure> {
     let failed = |error: &dyn std::fmt::Display| Failure::no_effect(step, peer, error);
     let stream = TcpStream::connect(peer)
         .await
         .map_err(|error| failed(&error))?;
     stream.set_nodelay(true).map_err(|error| failed(&error))?;
     SockRef::from(&stream)
-        .set_tcp_user_timeout(Some(USER_TIMEOUT))
+        .set_tcp_user_timeout(Some(UNACKED_TIMEOUT))
         .map_err(|error| failed(&error))?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| failed(&error))?;
     let driver = tokio::spawn(async move {
-        // The caller sees the same error through the sender.
+        // The sender reports the same error to the caller.
         let _ = connection.await;
     });
-    Ok(Link {
+    Ok(Connection {
         sender,
         driver: driver.abort_handle(),
-        answered: Instant::now(),
+        last_response: Instant::now(),
     })
 }
 
 async fn exchange(
     step: &'static str,
     peer: SocketAddr,
-    mut link: Link,
+    mut connection: Connection,
     call: Call<'_>,
-) -> Result<(Response, Link), Failure> {
+) -> Result<(Response, Connection), Failure> {
     let failed = |error: &dyn std::fmt::Display| Failure::unknown_effect(step, peer, error);
     let mut request = Request::builder()
         .method(call.method)
@@ -251,13 +256,13 @@
     let request = request
         .body(Full::new(call.body))
         .map_err(|error| Failure::no_effect(step, peer, error))?;
-    let response = link
+    let response = connection
         .sender
         .send_request(request)
         .await
         .map_err(|error| failed(&error))?;
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, ANSWER_MAX)
+    let body = Limited::new(body, MAX_RESPONSE_BYTES)
         .collect()
         .await
         .map_err(|error| failed(&error))?;
@@ -265,13 +270,17 @@
         .headers
         .get("x-consul-index")
         .and_then(|index| index.to_str().ok()?.parse().ok());
-    link.sender.ready().await.map_err(|error| failed(&error))?;
+    connection
+        .sender
+        .ready()
+        .await
+        .map_err(|error| failed(&error))?;
     Ok((
         Response {
             status: head.status,
             index,
             body: body.to_bytes(),
         },
-        link,
+        connection,
     ))
 }
