--- a/ashtiller/src/request/gateway.rs
+++ b/ashtiller/src/request/gateway.rs
@@ -123,7 +123,7 @@
         rpc: served.client().clone(),
         config: config.clone(),
         clock,
-        heartbeat: greeting_source(&shared),
+        heartbeat: heartbeat_source(&shared),
     }));
     let jobs = JobForwarder {
         store,
@@ -206,18 +206,18 @@
     }
 }
 
-fn greeting_source(shared: &Arc<Shared>) -> Arc<dyn Fn() -> Heartbeat + Send + Sync> {
+fn heartbeat_source(shared: &Arc<Shared>) -> Arc<dyn Fn() -> Heartbeat + Send + Sync> {
     let shared = Arc::downgrade(shared);
     Arc::new(move || {
         shared
             .upgrade()
-            .map(|shared| shared.greeting())
+            .map(|shared| shared.heartbeat())
             .unwrap_or_default()
     })
 }
 
 impl Shared {
-    fn greeting(&self) -> Heartbeat {
+    fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
             name: self.settings.instance.name.clone(),
             role: Role::Gateway.name().into(),
@@ -274,7 +274,7 @@
 async fn follow_templates(
     shared: Arc<Shared>,
     roster: Arc<dyn ServiceCatalog>,
-    wire: rpc::RpcClient,
+    rpc: rpc::RpcClient,
     metrics: Arc<GatewayMetrics>,
 ) {
     let mut tasks = JoinSet::new();
@@ -296,7 +296,7 @@
                     dispatcher.clone(),
                     roster.clone(),
                 ));
-                if let Some(borrower) = slot_borrower_of(&shared, &dispatcher, &wire, &metrics) {
+                if let Some(borrower) = slot_borrower_of(&shared, &dispatcher, &rpc, &metrics) {
                     tasks.spawn(borrower.run());
                 }
             }
@@ -327,7 +327,7 @@
 fn slot_borrower_of(
     shared: &Shared,
     service: &Arc<ServiceDispatcher>,
-    wire: &rpc::RpcClient,
+    rpc: &rpc::RpcClient,
     metrics: &Arc<GatewayMetrics>,
 ) -> Option<SlotBorrower> {
     let parts = shared.parts.get()?;
@@ -336,7 +336,7 @@
         service: service.clone(),
         own: shared.settings.instance.name.clone(),
         membership: parts.membership.clone(),
-        wire: wire.clone(),
+        rpc: rpc.clone(),
         metrics: metrics.clone(),
     })
 }
@@ -376,16 +376,16 @@
                 .membership
                 .receive_heartbeat(mine, self.shared.clock.now());
         }
-        Box::pin(async { Ok(self.shared.greeting()) })
+        Box::pin(async { Ok(self.shared.heartbeat()) })
     }
 
-    fn lend(&self, ask: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
+    fn lend(&self, request: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
         Box::pin(async move {
-            let Some(service) = self.shared.router.service(&ask.service) else {
+            let Some(service) = self.shared.router.service(&request.service) else {
                 return Ok(Vec::new());
             };
             let term = slot_borrower::LOAN_TERM;
-            Ok(service.with_dispatch(|dispatch, now| dispatch.lend(&ask, now + term, now)))
+            Ok(service.with_dispatch(|dispatch, now| dispatch.lend(&request, now + term, now)))
         })
     }
 
--- a/ashtiller/src/request/gateway_metrics.rs
+++ b/ashtiller/src/request/gateway_metrics.rs
@@ -33,8 +33,8 @@
     pub claimed: IntCounter,
     /// Requests rejected because their key had been claimed before.
     pub duplicates: IntCounter,
-    /// Borrow requests sent to other gateways.
-    pub borrow_requests: IntCounter,
+    /// Loan requests sent to other gateways.
+    pub loan_requests: IntCounter,
     /// Time from a request's head to the response's head, in seconds.
     pub latency: Histogram,
 }
@@ -69,7 +69,7 @@
             claimed: counters.register_counter("claims_total", "Idempotency keys claimed.")?,
             duplicates: counters
                 .register_counter("repeats_total", "Requests whose key was claimed before.")?,
-            borrow_requests: counters
+            loan_requests: counters
                 .register_counter("slot_asks_total", "Questions for slots sent.")?,
             latency: register_latency(registry)?,
         })
--- a/ashtiller/src/request/listener.rs
+++ b/ashtiller/src/request/listener.rs
@@ -44,14 +44,14 @@
     stage: watch::Sender<Stage>,
     tracker: TaskTracker,
     accept_task: JoinHandle<()>,
-    kill: watch::Sender<bool>,
+    abort: watch::Sender<bool>,
 }
 
 struct Shared {
     router: Arc<Router>,
     metrics: Arc<GatewayMetrics>,
     stage: watch::Receiver<Stage>,
-    kill: watch::Receiver<bool>,
+    abort: watch::Receiver<bool>,
     head: usize,
 }
 
@@ -68,13 +68,13 @@
     let listener = TcpListener::bind(settings.callers).await.map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
     let (stage, stage_changes) = watch::channel(Stage::Open);
-    let (kill, killed) = watch::channel(false);
+    let (abort, aborted) = watch::channel(false);
     let head = usize::try_from(settings.max_head_bytes).unwrap_or(usize::MAX);
     let shared = Arc::new(Shared {
         router,
         metrics,
         stage: stage_changes,
-        kill: killed,
+        abort: aborted,
         head,
     });
     let tracker = TaskTracker::new();
@@ -85,7 +85,7 @@
         stage,
         tracker,
         accept_task,
-        kill,
+        abort,
     })
 }
 
@@ -109,7 +109,7 @@
     /// Closes every connection at once, as a killed process does.
     pub fn abort(&self) {
         self.accept_task.abort();
-        self.kill.send_replace(true);
+        self.abort.send_replace(true);
     }
 
     /// Returns whether a graceful shutdown has begun.
@@ -155,7 +155,7 @@
 async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
     let _ = stream.set_nodelay(true);
     shared.metrics.callers.inc();
-    let (mut stage, mut kill) = (shared.stage.clone(), shared.kill.clone());
+    let (mut stage, mut abort) = (shared.stage.clone(), shared.abort.clone());
     let service = service::service_fn({
         let shared = shared.clone();
         move |request| serve(shared.clone(), request)
@@ -166,8 +166,8 @@
         .max_buf_size(shared.head)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let killed = wait_until(&mut kill, true);
-    tokio::pin!(killed);
+    let aborted = wait_until(&mut abort, true);
+    tokio::pin!(aborted);
     let closing = tokio::select! {
         ended = connection.as_mut() => {
             // hyper has already responded to a request that it could not parse.
@@ -177,13 +177,13 @@
             false
         }
         () = wait_until(&mut stage, Stage::Closing) => true,
-        () = killed.as_mut() => false,
+        () = aborted.as_mut() => false,
     };
     if closing {
         connection.as_mut().graceful_shutdown();
         tokio::select! {
             _ = connection.as_mut() => {}
-            () = killed.as_mut() => {}
+            () = aborted.as_mut() => {}
         }
     }
     shared.metrics.callers.dec();
--- a/ashtiller/src/request/loans.rs
+++ b/ashtiller/src/request/loans.rs
@@ -56,14 +56,19 @@
     }
 
     /// Renews the loan to the borrower until `until`, reduced to `keep` if the request
-    /// settles the loan, and adds up to `want` slots, at most half of those free beyond a
+    /// replaces it, and adds up to `want` slots, at most half of those free beyond a
     /// reserve. Returns the added slots by endpoint id.
-    pub fn lend(&mut self, ask: &LoanRequest, until: Duration, now: Duration) -> Vec<(u64, u32)> {
-        let peer = &ask.borrower;
+    pub fn lend(
+        &mut self,
+        request: &LoanRequest,
+        until: Duration,
+        now: Duration,
+    ) -> Vec<(u64, u32)> {
+        let peer = &request.borrower;
         for endpoint in &mut self.endpoints {
             let mut lent = endpoint.slots.lent_to(peer, now);
-            if ask.replaces_loan {
-                let kept = ask.keep.iter().find(|(id, _)| *id == endpoint.id);
+            if request.replaces_loan {
+                let kept = request.keep.iter().find(|(id, _)| *id == endpoint.id);
                 lent = lent.min(kept.map_or(0, |(_, count)| *count));
             }
             endpoint.slots.set_lent(peer, lent, until);
@@ -77,7 +82,7 @@
         };
         let mut added = Vec::new();
         for endpoint in &mut self.endpoints {
-            if added.len() >= ask.want.min(spare) as usize {
+            if added.len() >= request.want.min(spare) as usize {
                 break;
             }
             if endpoint.accepts(self.limits.max_connections) && endpoint.free_slots(now) > 0 {
--- a/ashtiller/src/request/slot_borrower.rs
+++ b/ashtiller/src/request/slot_borrower.rs
@@ -20,7 +20,7 @@
 pub const LOAN_TERM: Duration = Duration::from_secs(6);
 /// Interval at which loans are renewed and idle slots returned.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(2500);
-/// Largest number of slots in one borrow request.
+/// Largest number of slots in one loan request.
 const SLOTS_PER_REQUEST_MAX: u32 = 32;
 /// Gateways asked in one round.
 const LENDERS_PER_ROUND_MAX: usize = 3;
@@ -38,7 +38,7 @@
     /// Membership that lists the other gateways.
     pub membership: Arc<Membership>,
     /// Transport to the other gateways.
-    pub wire: RpcClient,
+    pub rpc: RpcClient,
     /// Metrics of this gateway.
     pub metrics: Arc<GatewayMetrics>,
 }
@@ -139,19 +139,19 @@
     async fn send_request(
         &self,
         lender: &Member,
-        settles: bool,
+        replaces_loan: bool,
         keep: Vec<(u64, u32)>,
         want: u32,
     ) -> Option<Vec<(u64, u32)>> {
-        self.metrics.borrow_requests.inc();
+        self.metrics.loan_requests.inc();
         let (service, borrower) = (self.service.name.clone(), self.own.clone());
-        let ask = LoanRequest {
+        let request = LoanRequest {
             service,
             borrower,
-            replaces_loan: settles,
+            replaces_loan,
             keep,
             want,
         };
-        self.wire.connect(lender.peers).lend(ask).await.ok()
+        self.rpc.connect(lender.peers).lend(request).await.ok()
     }
 }
