--- a/ashtiller/src/request/pool.rs
+++ b/ashtiller/src/request/pool.rs
@@ -197,7 +197,7 @@
             .idle
             .retain(|connection| connection.last_used > since);
         let dropped = size_before - connections.idle.len();
-        tracing::debug!(%endpoint, dropped, "no response from endpoint; closed its idle connections");
+        tracing::debug!(%endpoint, dropped, "no response from endpoint; closed suspect idle connections");
     }
 
     /// Closes connections that exceed the idle timeout, and all connections to endpoints
