--- a/ashtiller/src/demo.rs
+++ b/ashtiller/src/demo.rs
@@ -436,16 +436,16 @@
 
 async fn finish(demo: Demo, results: &CallerResults, refused: usize) -> anyhow::Result<()> {
     let runs = endpoint_runs(&demo.endpoints);
-    let stretches = demo.record.intervals();
+    let intervals = demo.record.intervals();
     let count = |end: EndReason| {
-        stretches
+        intervals
             .iter()
-            .filter(|stretch| stretch.end == Some(end))
+            .filter(|interval| interval.end == Some(end))
             .count()
     };
-    let resumed = stretches
+    let resumed = intervals
         .iter()
-        .filter(|stretch| stretch.attempt > 1)
+        .filter(|interval| interval.attempt > 1)
         .count();
     let violations = check(results, &runs, &demo.record);
     let calls = demo.store.calls();
@@ -474,7 +474,7 @@
         }
     }
     row("jobs refused", refused.to_string());
-    row("task attempts started", stretches.len().to_string());
+    row("task attempts started", intervals.len().to_string());
     row(
         "task attempts finished",
         count(EndReason::Finished).to_string(),
@@ -548,12 +548,12 @@
         ));
     }
     let mut finished = BTreeMap::new();
-    for stretch in record
+    for interval in record
         .intervals()
         .iter()
-        .filter(|stretch| stretch.end == Some(EndReason::Finished))
+        .filter(|interval| interval.end == Some(EndReason::Finished))
     {
-        *finished.entry(stretch.task.clone()).or_insert(0_u32) += 1;
+        *finished.entry(interval.task.clone()).or_insert(0_u32) += 1;
     }
     for (task, times) in finished.iter().filter(|(_, times)| **times > 1) {
         violations.push(format!("{task} finished {times} times"));
