--- a/ashtiller/src/net/peer_calls.rs
+++ b/ashtiller/src/net/peer_calls.rs
@@ -189,7 +189,7 @@
     F: Future<Output = Result<T, capnp::Error>>,
 {
     let started = time::Instant::now();
-    let timed_out = |_| Failure::no_effect(step, address, "connecting timed out");
+    let timed_out = |_| Failure::no_effect(step, address, "no connection in time");
     let connection = time::timeout(timeout, connections.connect(step, address))
         .await
         .map_err(timed_out)??;
@@ -197,7 +197,7 @@
     let failure = match time::timeout(remaining, call(connection.client.clone())).await {
         Ok(Ok(value)) => return Ok(value),
         Ok(Err(error)) => Failure::unknown_effect(step, address, error),
-        Err(_) => Failure::unknown_effect(step, address, "no response before the timeout"),
+        Err(_) => Failure::unknown_effect(step, address, "no answer in time"),
     };
     connections.remove(address, &connection);
     Err(failure)
--- a/ashtiller/src/net/web.rs
+++ b/ashtiller/src/net/web.rs
@@ -147,7 +147,7 @@
         timeout: Duration,
     ) -> Result<Response, Failure> {
         let started = Instant::now();
-        let timed_out = |_| Failure::no_effect(step, peer, "connecting timed out");
+        let timed_out = |_| Failure::no_effect(step, peer, "no connection in time");
         let connection = time::timeout(timeout, self.connect(step, peer, call.new_connection))
             .await
             .map_err(timed_out)??;
@@ -156,11 +156,7 @@
         let exchange = exchange(step, peer, connection, call);
         let Ok(result) = time::timeout(remaining, exchange).await else {
             self.discard_idle(step, peer, last_response);
-            return Err(Failure::unknown_effect(
-                step,
-                peer,
-                "no response before the timeout",
-            ));
+            return Err(Failure::unknown_effect(step, peer, "no answer in time"));
         };
         let (response, connection) = result?;
         self.put_idle(peer, connection);
--- a/ashtiller/src/request/pool.rs
+++ b/ashtiller/src/request/pool.rs
@@ -110,7 +110,7 @@
                 return Ok(connection);
             }
         }
-        let late = |_| Failure::no_effect("connect", endpoint, "connecting timed out");
+        let late = |_| Failure::no_effect("connect", endpoint, "no connection in time");
         time::timeout(self.connect_timeout, self.open(endpoint))
             .await
             .map_err(late)?
