--- a/standin/src/agent.rs
+++ b/standin/src/agent.rs
@@ -1,11 +1,11 @@
-//! A stand-in for a worker: it runs tasks under one lease and reports them.
+//! Stand-in for a worker that runs tasks under one lease and reports them.
 //!
-//! `POST /v1/sync` is the only call. Its body carries the caller's epoch, a
-//! sequence number, the end of the lease on the worker's own clock, commands and
-//! acknowledgements; the answer is a report. An epoch below the highest seen, or
-//! a sequence number that is not new, or a boot number of another life, is refused
-//! with status 409 and changes nothing. At the end of the lease every task is stopped. Ended attempts stay
-//! in the report until they are acknowledged.
+//! `POST /v1/sync` is the only call. Its body carries the caller's epoch, a sequence number, the
+//! expiry of the lease on the worker's clock, commands and acknowledgements; the answer is a
+//! report. A request is refused with status 409 and changes nothing if its epoch is below the
+//! highest seen, its sequence number is not new, or its boot number is that of another
+//! incarnation. When the lease expires, all tasks are stopped. Ended attempts stay in the report
+//! until they are acknowledged.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -19,14 +19,14 @@
 use crate::faults::Faults;
 use crate::serve::{self, Call, Reply};
 
-/// How often ends of tasks and leases are looked for.
-const TICK: Duration = Duration::from_millis(5);
+/// Interval of checks for finished tasks and an expired lease.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a caller asks of a task.
+/// Command about a task.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Command {
-    /// Run an attempt.
+    /// Starts an attempt.
     Start {
         /// Task.
         task: String,
@@ -37,32 +37,32 @@
         /// Run time that the work takes, in milliseconds; 0 runs until stopped.
         length: u64,
     },
-    /// Write a checkpoint and stop.
+    /// Writes a checkpoint and stops.
     Evict {
         /// Task.
         task: String,
         /// Attempt.
         attempt: u32,
     },
-    /// Stop without a checkpoint.
+    /// Stops without a checkpoint.
     Stop {
         /// Task.
         task: String,
         /// Attempt.
         attempt: u32,
     },
-    /// Run at a share of full speed, in percent.
+    /// Limits the speed of an attempt.
     Throttle {
         /// Task.
         task: String,
         /// Attempt.
         attempt: u32,
-        /// Share of full speed, 1 to 100.
+        /// Percent of full speed, 1 to 100.
         percent: u32,
     },
 }
 
-/// A caller's request.
+/// Request of a caller.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct SyncRequest {
@@ -72,9 +72,9 @@
     pub seq: u64,
     /// Boot number that the caller expects; 0 for any.
     pub boot: u64,
-    /// End of the lease on the worker's clock, in milliseconds.
+    /// Expiry of the lease on the worker's clock, in milliseconds.
     pub until: u64,
-    /// Digest that the caller knows; 0 for none.
+    /// Digest of the last report that the caller has; 0 for none.
     pub known: u64,
     /// Commands, in order.
     pub commands: Vec<Command>,
@@ -82,23 +82,23 @@
     pub acks: Vec<(String, u32)>,
 }
 
-/// How an attempt ended.
+/// Reason for the end of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndReason {
-    /// All of its work is done.
+    /// The attempt completed its work.
     Finished,
-    /// It failed by itself.
+    /// The attempt failed.
     Failed,
-    /// It was stopped after a checkpoint.
+    /// The attempt was stopped after a checkpoint.
     Evicted,
-    /// It was stopped on command.
+    /// The attempt was stopped by a command.
     Stopped,
-    /// The lease ended.
+    /// The lease expired.
     Lapsed,
 }
 
-/// A running attempt.
+/// Running attempt.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RunningAttempt {
     /// Task.
@@ -111,20 +111,20 @@
     pub speed: u32,
 }
 
-/// An ended attempt.
+/// Ended attempt.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EndedAttempt {
     /// Task.
     pub task: String,
     /// Attempt.
     pub attempt: u32,
-    /// How it ended.
+    /// Reason for its end.
     pub end: EndReason,
     /// Progress that a later attempt can resume from, in milliseconds.
     pub progress: u64,
 }
 
-/// The answer to a [`Sync`].
+/// Answer to a [`SyncRequest`].
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Report {
     /// Changes whenever the worker restarts.
@@ -137,7 +137,7 @@
     pub seq: u64,
     /// Digest of the running attempts and their speeds.
     pub digest: u64,
-    /// Whether the caller knows them; then they are not listed.
+    /// Whether the caller has the same digest; running attempts are not listed then.
     pub unchanged: bool,
     /// Running attempts.
     pub running: Vec<RunningAttempt>,
@@ -145,7 +145,7 @@
     pub ended: Vec<EndedAttempt>,
 }
 
-/// One stretch in which an attempt ran, in the worker's own record.
+/// Interval in which an attempt ran, as recorded by the worker.
 #[derive(Clone, Debug)]
 pub struct RunInterval {
     /// Worker.
@@ -156,54 +156,54 @@
     pub attempt: u32,
     /// Progress at its start.
     pub progress: u64,
-    /// When it began.
+    /// Start of the interval.
     pub from: Instant,
-    /// When it ended, if it has.
+    /// End of the interval, if it is over.
     pub to: Option<Instant>,
-    /// How it ended.
+    /// Reason for the end, if there was one.
     pub end: Option<EndReason>,
 }
 
-/// What workers themselves saw; shared by all workers of a test.
+/// Intervals in which workers ran tasks; shared by all workers of a test.
 #[derive(Debug, Default)]
 pub struct RunHistory {
-    stretches: Mutex<Vec<RunInterval>>,
+    intervals: Mutex<Vec<RunInterval>>,
 }
 
 impl RunHistory {
-    /// All stretches so far.
+    /// Returns all intervals so far.
     #[must_use]
     pub fn intervals(&self) -> Vec<RunInterval> {
-        self.stretches.lock().clone()
+        self.intervals.lock().clone()
     }
 
-    /// Pairs of stretches in which one task ran in two places at once.
+    /// Returns pairs of overlapping intervals of the same task.
     #[must_use]
     pub fn overlapping(&self) -> Vec<(RunInterval, RunInterval)> {
-        let stretches = self.intervals();
-        let mut doubles = Vec::new();
-        for (index, one) in stretches.iter().enumerate() {
-            for other in &stretches[index + 1..] {
-                let apart = one.to.is_some_and(|end| end <= other.from)
-                    || other.to.is_some_and(|end| end <= one.from);
-                if one.task == other.task && !apart {
-                    doubles.push((one.clone(), other.clone()));
+        let intervals = self.intervals();
+        let mut pairs = Vec::new();
+        for (index, first) in intervals.iter().enumerate() {
+            for second in &intervals[index + 1..] {
+                let disjoint = first.to.is_some_and(|end| end <= second.from)
+                    || second.to.is_some_and(|end| end <= first.from);
+                if first.task == second.task && !disjoint {
+                    pairs.push((first.clone(), second.clone()));
                 }
             }
         }
-        doubles
+        pairs
     }
 
-    fn open(&self, stretch: RunInterval) -> usize {
-        let mut stretches = self.stretches.lock();
-        stretches.push(stretch);
-        stretches.len() - 1
+    fn open(&self, interval: RunInterval) -> usize {
+        let mut intervals = self.intervals.lock();
+        intervals.push(interval);
+        intervals.len() - 1
     }
 
     fn close(&self, index: usize, end: Option<EndReason>) {
-        let mut stretches = self.stretches.lock();
-        stretches[index].to = Some(Instant::now());
-        stretches[index].end = end;
+        let mut intervals = self.intervals.lock();
+        intervals[index].to = Some(Instant::now());
+        intervals[index].end = end;
     }
 }
 
@@ -248,26 +248,26 @@
     record: Arc<RunHistory>,
 }
 
-/// A running worker stand-in.
+/// Running worker stand-in.
 pub struct Agent {
     server: serve::Server,
     shared: Arc<Shared>,
 }
 
 impl Agent {
-    /// The address that the kernel gave.
+    /// Returns the address assigned by the kernel.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// The fault switches.
+    /// Returns the fault switches.
     #[must_use]
     pub fn faults(&self) -> &Faults {
         &self.shared.faults
     }
 
-    /// Kills the worker: its tasks end and its port closes.
+    /// Kills the worker: ends its tasks and closes its port.
     pub fn kill(&self) {
         self.server.kill();
         let mut state = self.shared.state.lock();
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Restarts the worker in place: tasks are gone, and it has a new boot number.
+    /// Restarts the worker in place, without its tasks and with a new boot number.
     pub fn restart(&self) {
         let mut state = self.shared.state.lock();
         for (_, attempt) in std::mem::take(&mut state.running) {
@@ -287,12 +287,12 @@
         state.fail_all = fail_all;
     }
 
-    /// Makes every attempt fail at once, or not.
+    /// Sets whether every attempt fails at once.
     pub fn set_fail_all(&self, fail: bool) {
         self.shared.state.lock().fail_all = fail;
     }
 
-    /// Number of running attempts.
+    /// Returns the number of running attempts.
     #[must_use]
     pub fn running(&self) -> usize {
         self.shared.state.lock().running.len()
@@ -340,7 +340,7 @@
 
     fn advance(&mut self, record: &RunHistory, now: Instant) {
         let lapsed = self.clock(now) >= self.until;
-        let over: Vec<(String, EndReason)> = self
+        let ended: Vec<(String, EndReason)> = self
             .running
             .iter()
             .filter_map(|(task, attempt)| {
@@ -353,13 +353,13 @@
                 }
             })
             .collect();
-        for (task, end) in over {
+        for (task, end) in ended {
             self.end(record, &task, end, now);
         }
     }
 
-    /// An attempt that never came here is recorded as stopped, so that it cannot
-    /// start later.
+    /// Ends an attempt. An attempt that is not running here is recorded as stopped, so that it
+    /// cannot start later.
     fn stop(
         &mut self,
         record: &RunHistory,
@@ -368,11 +368,11 @@
         end: EndReason,
         now: Instant,
     ) {
-        if self.holds(task, attempt) {
+        if self.is_running(task, attempt) {
             self.end(record, task, end, now);
             return;
         }
-        let never = EndedAttempt {
+        let stopped = EndedAttempt {
             task: task.to_owned(),
             attempt,
             end: EndReason::Stopped,
@@ -380,16 +380,16 @@
         };
         self.ended
             .entry((task.to_owned(), attempt))
-            .or_insert(never);
+            .or_insert(stopped);
     }
 
-    fn holds(&self, task: &str, attempt: u32) -> bool {
+    fn is_running(&self, task: &str, attempt: u32) -> bool {
         self.running
             .get(task)
             .is_some_and(|running| running.number == attempt)
     }
 
-    fn obey(&mut self, shared: &Shared, command: Command, now: Instant) {
+    fn execute(&mut self, shared: &Shared, command: Command, now: Instant) {
         match command {
             Command::Start {
                 task,
@@ -410,7 +410,7 @@
                 attempt,
                 percent,
             } => {
-                if !self.holds(&task, attempt) {
+                if !self.is_running(&task, attempt) {
                     return;
                 }
                 if let Some(running) = self.running.get_mut(&task) {
@@ -433,8 +433,8 @@
         length: u64,
         now: Instant,
     ) {
-        let over = self.ended.contains_key(&(task.clone(), attempt));
-        if over || self.running.contains_key(&task) || self.clock(now) >= self.until {
+        let ended = self.ended.contains_key(&(task.clone(), attempt));
+        if ended || self.running.contains_key(&task) || self.clock(now) >= self.until {
             return;
         }
         let index = shared.record.open(RunInterval {
@@ -493,10 +493,10 @@
     }
 }
 
-/// Starts a worker on `address`; `boot` differs from that of an earlier life.
+/// Starts a worker on `address`; `boot` must differ from that of earlier incarnations.
 ///
 /// # Errors
-/// The port cannot be bound.
+/// Fails if the port cannot be bound.
 pub async fn bind(
     address: &str,
     name: &str,
@@ -514,12 +514,12 @@
         move |call| handle(shared.clone(), call)
     })
     .await?;
-    tokio::spawn(tick(Arc::downgrade(&shared)));
+    tokio::spawn(check_periodically(Arc::downgrade(&shared)));
     Ok(Agent { server, shared })
 }
 
-async fn tick(shared: std::sync::Weak<Shared>) {
-    let mut ticks = time::interval(TICK);
+async fn check_periodically(shared: std::sync::Weak<Shared>) {
+    let mut ticks = time::interval(CHECK_INTERVAL);
     loop {
         ticks.tick().await;
         let Some(shared) = shared.upgrade() else {
@@ -545,20 +545,20 @@
         Ok(sync) => sync,
         Err(error) => return Reply::Send(serve::text(400, error.to_string())),
     };
-    let answer = obey(&shared, sync);
+    let answer = execute(&shared, sync);
     if shared.faults.take_lost_answer() || shared.faults.get().down {
         return Reply::CloseConnection;
     }
     Reply::Send(answer)
 }
 
-fn obey(shared: &Shared, sync: SyncRequest) -> serve::Answer {
+fn execute(shared: &Shared, sync: SyncRequest) -> serve::Answer {
     let now = Instant::now();
     let mut state = shared.state.lock();
     state.advance(&shared.record, now);
-    let old = (sync.epoch, sync.seq) <= (state.epoch, state.seq);
-    let other_life = sync.boot != 0 && sync.boot != state.boot;
-    if old || other_life {
+    let outdated = (sync.epoch, sync.seq) <= (state.epoch, state.seq);
+    let other_incarnation = sync.boot != 0 && sync.boot != state.boot;
+    if outdated || other_incarnation {
         let mut answer = serve::json(&state.report(now, sync.known));
         *answer.status_mut() = hyper::StatusCode::CONFLICT;
         return answer;
@@ -571,7 +571,7 @@
     }
     let known = sync.known;
     for command in sync.commands {
-        state.obey(shared, command, now);
+        state.execute(shared, command, now);
     }
     serve::json(&state.report(now, known))
 }
--- a/standin/src/endpoint.rs
+++ b/standin/src/endpoint.rs
@@ -1,8 +1,8 @@
-//! A stand-in for an endpoint: a few slots, a service time, and switches.
+//! Stand-in for an endpoint with a limited number of slots, a service time and fault switches.
 //!
-//! A request's `service-ms` header sets how long it holds a slot (default 1 ms).
-//! The answer repeats the request's `request-id` and body, so that a caller can
-//! tell its own answer from another's. `leave` makes it refuse further work.
+//! A request's `service-ms` header sets how long it occupies a slot (default 1 ms). The answer
+//! repeats the request's `request-id` and body, so that a caller can tell its own answer from
+//! another's. [`Endpoint::drain`] makes it refuse further work.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,75 +17,75 @@
 use crate::faults::{Faults, Switches};
 use crate::serve::{self, Answer, Call, Payload, Reply};
 
-/// Header in which an endpoint says that it did not run a request.
-const OUTCOME: &str = "ashtiller-outcome";
-/// Published header for load reports (Open Request Cost Aggregation).
-const LOAD: &str = "endpoint-load-metrics";
+/// Header by which an endpoint reports that it did not run a request.
+const OUTCOME_HEADER: &str = "ashtiller-outcome";
+/// Header of load reports, as published by Open Request Cost Aggregation (ORCA).
+const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// What an endpoint counted.
+/// Counters of an endpoint.
 #[derive(Debug, Default)]
 pub struct Counts {
     /// Requests whose handler ran.
     pub run: AtomicU64,
-    /// Requests that found every slot taken.
+    /// Requests that arrived while all slots were taken.
     pub queued: AtomicU64,
-    /// Requests refused while leaving.
+    /// Requests refused while draining.
     pub refused: AtomicU64,
 }
 
 struct Shared {
     slots: Semaphore,
-    size: usize,
-    leaving: AtomicBool,
+    slot_count: usize,
+    draining: AtomicBool,
     slowdown: Mutex<f64>,
     faults: Faults,
     counts: Counts,
-    runs: Mutex<BTreeMap<String, u32>>,
-    last: Mutex<HeaderMap>,
+    run_counts: Mutex<BTreeMap<String, u32>>,
+    last_headers: Mutex<HeaderMap>,
     record: bool,
     name: String,
 }
 
-/// A running endpoint stand-in.
+/// Running endpoint stand-in.
 pub struct Endpoint {
     server: serve::Server,
     shared: Arc<Shared>,
 }
 
 impl Endpoint {
-    /// The address that the kernel gave.
+    /// Returns the address assigned by the kernel.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// The fault switches.
+    /// Returns the fault switches.
     #[must_use]
     pub fn faults(&self) -> &Faults {
         &self.shared.faults
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     #[must_use]
     pub fn counts(&self) -> &Counts {
         &self.shared.counts
     }
 
-    /// How often the handler ran for each `request-id`.
+    /// Returns how often the handler ran for each `request-id`.
     #[must_use]
     pub fn run_counts(&self) -> BTreeMap<String, u32> {
-        self.shared.runs.lock().clone()
+        self.shared.run_counts.lock().clone()
     }
 
-    /// Header fields of the last request that ran.
+    /// Returns the header fields of the last request that ran.
     #[must_use]
     pub fn last_headers(&self) -> HeaderMap {
-        self.shared.last.lock().clone()
+        self.shared.last_headers.lock().clone()
     }
 
-    /// Refuses further work, as an endpoint that is about to leave.
+    /// Refuses further work, as an endpoint does before it shuts down.
     pub fn drain(&self) {
-        self.shared.leaving.store(true, Ordering::SeqCst);
+        self.shared.draining.store(true, Ordering::SeqCst);
     }
 
     /// Multiplies every service time.
@@ -99,10 +99,11 @@
     }
 }
 
-/// Starts an endpoint with `slots` slots; `record` keeps every `request-id` seen.
+/// Starts an endpoint with `slots` slots; `record` keeps the headers of the last request and counts
+/// runs by `request-id`.
 ///
 /// # Errors
-/// The port cannot be bound.
+/// Fails if the port cannot be bound.
 pub async fn bind(
     address: &str,
     name: &str,
@@ -111,13 +112,13 @@
 ) -> anyhow::Result<Endpoint> {
     let shared = Arc::new(Shared {
         slots: Semaphore::new(slots),
-        size: slots,
-        leaving: AtomicBool::new(false),
+        slot_count: slots,
+        draining: AtomicBool::new(false),
         slowdown: Mutex::new(1.0),
         faults: Faults::default(),
         counts: Counts::default(),
-        runs: Mutex::default(),
-        last: Mutex::default(),
+        run_counts: Mutex::default(),
+        last_headers: Mutex::default(),
         record,
         name: name.to_owned(),
     });
@@ -141,27 +142,27 @@
         std::future::pending::<()>().await;
     }
     if call.path == "/health" {
-        let leaving = shared.leaving.load(Ordering::SeqCst);
-        let status = if leaving || switches.failing {
+        let draining = shared.draining.load(Ordering::SeqCst);
+        let status = if draining || switches.failing {
             503
         } else {
             200
         };
         return Reply::Send(serve::text(status, "{}"));
     }
-    if shared.leaving.load(Ordering::SeqCst) {
+    if shared.draining.load(Ordering::SeqCst) {
         shared.counts.refused.fetch_add(1, Ordering::Relaxed);
         let mut answer = serve::text(503, "leaving");
         answer
             .headers_mut()
-            .insert(OUTCOME, HeaderValue::from_static("not-run"));
+            .insert(OUTCOME_HEADER, HeaderValue::from_static("not-run"));
         answer
             .headers_mut()
             .insert("connection", HeaderValue::from_static("close"));
         return Reply::Send(answer);
     }
     if switches.failing {
-        note_run(&shared, &call.headers);
+        record_run(&shared, &call.headers);
         return Reply::Send(serve::text(500, "failing"));
     }
     if shared.slots.available_permits() == 0 {
@@ -170,7 +171,7 @@
     let Ok(_slot) = shared.slots.acquire().await else {
         return Reply::CloseConnection;
     };
-    note_run(&shared, &call.headers);
+    record_run(&shared, &call.headers);
     let factor = *shared.slowdown.lock();
     time::sleep(service_time(&call.headers).mul_f64(factor)).await;
     if shared.faults.get().down || shared.faults.take_lost_answer() {
@@ -179,14 +180,14 @@
     Reply::Send(echo(&shared, &call, &switches))
 }
 
-fn note_run(shared: &Shared, headers: &HeaderMap) {
+fn record_run(shared: &Shared, headers: &HeaderMap) {
     shared.counts.run.fetch_add(1, Ordering::Relaxed);
     if !shared.record {
         return;
     }
-    shared.last.lock().clone_from(headers);
+    shared.last_headers.lock().clone_from(headers);
     if let Some(id) = headers.get("request-id").and_then(|id| id.to_str().ok()) {
-        *shared.runs.lock().entry(id.to_owned()).or_default() += 1;
+        *shared.run_counts.lock().entry(id.to_owned()).or_default() += 1;
     }
 }
 
@@ -213,10 +214,12 @@
     if let Some(id) = call.headers.get("request-id") {
         answer.headers_mut().insert("request-id", id.clone());
     }
-    let taken = shared.size.saturating_sub(shared.slots.available_permits());
+    let taken = shared
+        .slot_count
+        .saturating_sub(shared.slots.available_permits());
     let load = format!("TEXT named_metrics.in_flight={taken}");
     if let Ok(load) = HeaderValue::from_str(&load) {
-        answer.headers_mut().insert(LOAD, load);
+        answer.headers_mut().insert(LOAD_HEADER, load);
     }
     if let Ok(name) = HeaderValue::from_str(&shared.name) {
         answer.headers_mut().insert("endpoint-name", name);
--- a/standin/src/faults.rs
+++ b/standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Switches for the faults that the brief names.
+//! Fault switches of the stand-ins.
 
 use std::time::Duration;
 
@@ -7,44 +7,44 @@
 
 use crate::serve::{self, Answer, Call};
 
-/// The state of a stand-in's switches.
+/// State of a stand-in's fault switches.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each switch is a fault of its own"
+    reason = "each switch is an independent fault"
 )]
 pub struct Switches {
-    /// Every connection is closed without an answer.
+    /// Closes every connection without an answer.
     pub down: bool,
-    /// Every answer waits this many milliseconds.
+    /// Delay of every answer in milliseconds.
     pub slow_ms: u64,
-    /// This many of the next writes take effect and lose their answer.
+    /// Number of the next writes that take effect but lose their answer.
     #[serde(rename = "lose")]
     pub lose_answers: u32,
-    /// Watches never wake.
+    /// Watches report no changes before their timeout.
     pub stuck: bool,
-    /// Requests are taken and never answered.
+    /// Accepts requests and never answers them.
     pub frozen: bool,
-    /// Every request is answered at once with status 500.
+    /// Answers every request at once with status 500.
     pub failing: bool,
-    /// The body is cut after its first half.
+    /// Truncates the body after its first half.
     pub cut_body: bool,
-    /// A body is sent in chunks, without its length.
+    /// Sends a body in chunks, without its length.
     pub chunked: bool,
     /// The next transaction takes effect, loses its answer, and the service goes down.
     #[serde(rename = "fall")]
     pub down_after_txn: bool,
 }
 
-/// Switches shared between a stand-in and its test.
+/// Fault switches shared between a stand-in and its test.
 #[derive(Debug, Default)]
 pub struct Faults {
     switches: Mutex<Switches>,
 }
 
 impl Faults {
-    /// Returns the switches as they stand.
+    /// Returns the current switches.
     #[must_use]
     pub fn get(&self) -> Switches {
         self.switches.lock().clone()
@@ -55,21 +55,21 @@
         *self.switches.lock() = switches;
     }
 
-    /// Takes the stand-in down or brings it back.
+    /// Sets whether the stand-in is down.
     pub fn set_down(&self, down: bool) {
         let mut switches = self.get();
         switches.down = down;
         self.set(switches);
     }
 
-    /// Delays every answer.
+    /// Sets the delay of every answer.
     pub fn set_slow(&self, delay: Duration) {
         let mut switches = self.get();
         switches.slow_ms = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         self.set(switches);
     }
 
-    /// Consumes one lost answer; true when the answer must be lost.
+    /// Returns whether the current answer must be lost, and counts it.
     #[must_use]
     pub fn take_lost_answer(&self) -> bool {
         let mut switches = self.switches.lock();
@@ -78,7 +78,7 @@
         lose
     }
 
-    /// Takes switches from the body of a request to `/fault`.
+    /// Replaces all switches by the body of a request to `/fault`.
     #[must_use]
     pub fn set_from_request(&self, call: &Call) -> Answer {
         match serde_json::from_slice(&call.body) {
--- a/standin/src/keys.rs
+++ b/standin/src/keys.rs
@@ -1,11 +1,11 @@
-//! The keys of the key-value stand-in: compare-and-swap, sessions, revisions.
+//! Keys of the key-value stand-in, with compare-and-swap, sessions and revisions.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 
-/// A stored value and its revisions.
+/// Stored value with its revisions.
 #[derive(Clone, Debug)]
 pub struct Item {
     /// Opaque value.
@@ -18,10 +18,10 @@
     pub session: Option<String>,
 }
 
-/// One step of a transaction.
+/// Operation of a transaction.
 #[derive(Clone, Debug)]
 pub enum TxnOp {
-    /// Write when the key's revision equals `index`; 0 means the key is absent.
+    /// Writes the key if its revision equals `index`; 0 stands for an absent key.
     Cas {
         /// Key to write.
         key: String,
@@ -30,56 +30,56 @@
         /// Expected revision.
         index: u64,
     },
-    /// Fail when the key exists.
+    /// Fails if the key exists.
     Absent {
         /// Key to check.
         key: String,
     },
 }
 
-/// The whole content of the stand-in.
+/// Contents of the key-value stand-in.
 #[derive(Clone, Debug, Default)]
 pub struct KeySpace {
     items: BTreeMap<String, Item>,
-    dropped: BTreeMap<String, u64>,
+    deleted: BTreeMap<String, u64>,
     sessions: BTreeMap<String, (Duration, Instant)>,
     revision: u64,
 }
 
 impl KeySpace {
-    /// Revision of the last write anywhere.
+    /// Returns the revision of the last write to any key.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Revision of the newest write or deletion below `prefix`, at least 1.
+    /// Returns the revision of the latest write or deletion below `prefix`, at least 1.
     #[must_use]
     pub fn latest_revision(&self, prefix: &str) -> u64 {
         let written = self.range(prefix).map(|(_, item)| item.modified).max();
-        let dropped = self
-            .dropped
+        let deleted = self
+            .deleted
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
             .map(|(_, revision)| *revision)
             .max();
-        written.max(dropped).unwrap_or(1)
+        written.max(deleted).unwrap_or(1)
     }
 
-    /// Items whose key starts with `prefix`.
+    /// Returns the items whose key starts with `prefix`.
     pub fn range<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a String, &'a Item)> {
         self.items
             .range(prefix.to_owned()..)
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// One item.
+    /// Returns the item of a key.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// Writes a key; false when the comparison or the session forbids it.
+    /// Writes a key; returns false if the comparison or the session forbids it.
     pub fn put(
         &mut self,
         key: &str,
@@ -120,20 +120,20 @@
         self.items.insert(key.to_owned(), item);
     }
 
-    /// Applies all steps or none; returns the positions of the steps that failed.
-    pub fn commit(&mut self, steps: &[TxnOp]) -> Vec<usize> {
-        let failed: Vec<usize> = steps
+    /// Applies all operations or none; returns the positions of those that failed.
+    pub fn commit(&mut self, ops: &[TxnOp]) -> Vec<usize> {
+        let failed: Vec<usize> = ops
             .iter()
             .enumerate()
-            .filter(|(_, step)| match step {
+            .filter(|(_, op)| match op {
                 TxnOp::Cas { key, index, .. } => !self.matches(key, *index),
                 TxnOp::Absent { key } => self.items.contains_key(key),
             })
             .map(|(position, _)| position)
             .collect();
         if failed.is_empty() {
-            for step in steps {
-                if let TxnOp::Cas { key, value, .. } = step {
+            for op in ops {
+                if let TxnOp::Cas { key, value, .. } = op {
                     self.write(key, value.clone(), None);
                 }
             }
@@ -141,12 +141,12 @@
         failed
     }
 
-    /// Deletes one key, or all keys with a prefix.
+    /// Deletes one key, or all keys with a prefix; returns false if the comparison forbids it.
     pub fn delete(&mut self, key: &str, recurse: bool, cas: Option<u64>) -> bool {
         if cas.is_some_and(|index| !self.matches(key, index)) {
             return false;
         }
-        self.drop_where(|name, _| {
+        self.delete_where(|name, _| {
             if recurse {
                 name.starts_with(key)
             } else {
@@ -156,26 +156,26 @@
         true
     }
 
-    fn drop_where(&mut self, matches: impl Fn(&str, &Item) -> bool) {
-        let gone: Vec<String> = self
+    fn delete_where(&mut self, matches: impl Fn(&str, &Item) -> bool) {
+        let names: Vec<String> = self
             .items
             .iter()
             .filter(|(name, item)| matches(name, item))
             .map(|(name, _)| name.clone())
             .collect();
-        for name in gone {
+        for name in names {
             self.revision += 1;
             self.items.remove(&name);
-            self.dropped.insert(name, self.revision);
+            self.deleted.insert(name, self.revision);
         }
     }
 
-    /// Opens a session that lapses unless renewed within `ttl`.
+    /// Opens a session that expires unless it is renewed within `ttl`.
     pub fn open_session(&mut self, id: &str, ttl: Duration, now: Instant) {
         self.sessions.insert(id.to_owned(), (ttl, now + ttl));
     }
 
-    /// Renews a session; false when it has lapsed.
+    /// Renews a session; returns false if it has expired.
     pub fn renew(&mut self, id: &str, now: Instant) -> bool {
         let Some((ttl, until)) = self.sessions.get_mut(id) else {
             return false;
@@ -184,23 +184,23 @@
         true
     }
 
-    /// Ends a session and deletes what it holds.
+    /// Ends a session and deletes the keys that it holds.
     pub fn end_session(&mut self, id: &str) {
         self.sessions.remove(id);
-        self.drop_where(|_, item| item.session.as_deref() == Some(id));
+        self.delete_where(|_, item| item.session.as_deref() == Some(id));
     }
 
-    /// Ends the sessions that have lapsed; true when any did.
+    /// Ends the expired sessions; returns whether there were any.
     pub fn expire_sessions(&mut self, now: Instant) -> bool {
-        let lapsed: Vec<String> = self
+        let expired: Vec<String> = self
             .sessions
             .iter()
             .filter(|(_, (_, until))| *until <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &lapsed {
+        for id in &expired {
             self.end_session(id);
         }
-        !lapsed.is_empty()
+        !expired.is_empty()
     }
 }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,9 +1,8 @@
-//! Small stand-ins for what surrounds ashtiller: the platform's key-value
-//! service with its catalog of instances, workers, and endpoints.
+//! Small stand-ins for the systems around ashtiller: the platform's key-value service with its
+//! catalog of instances, workers, and endpoints.
 //!
-//! Each listens on a loopback port, keeps everything in memory, and takes
-//! switches for the faults that the real thing shows. None of it is published
-//! or meant to carry load outside tests.
+//! Each listens on a loopback port, keeps all state in memory, and has switches for the faults that
+//! the real system shows. They are not published, and not meant to carry load outside tests.
 //!
 //! ```no_run
 //! # async fn example() -> anyhow::Result<()> {
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! The accept loop that the stand-ins share.
+//! HTTP server shared by the stand-ins.
 
 use std::future::{self, Future};
 use std::io;
@@ -16,48 +16,48 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// Time between the first half of a body and its cut.
-const CUT_AFTER: time::Duration = time::Duration::from_millis(30);
+/// Delay between sending the first half of a truncated body and closing the connection.
+const TRUNCATE_DELAY: time::Duration = time::Duration::from_millis(30);
 
-/// An answer of a stand-in.
+/// Answer of a stand-in.
 pub type Answer = Response<Payload>;
 
-/// The body of an answer: sent whole, or cut after a part.
+/// Body of an answer, sent completely or truncated.
 #[derive(Debug)]
 pub struct Payload {
-    left: Option<Bytes>,
+    remaining: Option<Bytes>,
     size: Option<u64>,
-    /// Ends a body that is to be cut; the delay lets the first half be sent.
-    cut: Option<pin::Pin<Box<time::Sleep>>>,
+    /// Delay before a truncated body fails, so that its first half is sent.
+    failure_delay: Option<pin::Pin<Box<time::Sleep>>>,
 }
 
 impl Payload {
-    /// A body that is sent whole.
+    /// Creates a body that is sent completely.
     #[must_use]
     pub fn complete(body: Bytes) -> Self {
         let size = Some(body.len() as u64);
         Self {
-            left: Some(body),
+            remaining: Some(body),
             size,
-            cut: None,
+            failure_delay: None,
         }
     }
 
-    /// The same body without its length, so that it is sent in chunks.
+    /// Removes the length, so that the body is sent in chunks.
     #[must_use]
     pub fn in_chunks(mut self) -> Self {
         self.size = None;
         self
     }
 
-    /// A body whose second half never comes, though its length was promised.
+    /// Creates a body that announces its full length but ends after the first half.
     #[must_use]
     pub fn truncated(body: &Bytes) -> Self {
         let size = Some(body.len() as u64);
         Self {
-            left: Some(body.slice(..body.len() / 2)),
+            remaining: Some(body.slice(..body.len() / 2)),
             size,
-            cut: Some(Box::pin(time::sleep(CUT_AFTER))),
+            failure_delay: Some(Box::pin(time::sleep(TRUNCATE_DELAY))),
         }
     }
 }
@@ -70,19 +70,20 @@
         mut self: pin::Pin<&mut Self>,
         context: &mut task::Context<'_>,
     ) -> task::Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if let Some(part) = self.left.take().filter(|part| !part.is_empty()) {
-            return task::Poll::Ready(Some(Ok(Frame::data(part))));
+        if let Some(chunk) = self.remaining.take().filter(|chunk| !chunk.is_empty()) {
+            return task::Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
-        let Some(cut) = &mut self.cut else {
+        let Some(failure_delay) = &mut self.failure_delay else {
             return task::Poll::Ready(None);
         };
-        cut.as_mut()
+        failure_delay
+            .as_mut()
             .poll(context)
-            .map(|()| Some(Err(io::Error::other("cut by a switch"))))
+            .map(|()| Some(Err(io::Error::other("body truncated by a fault switch"))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left.is_none() && self.cut.is_none()
+        self.remaining.is_none() && self.failure_delay.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -91,7 +92,7 @@
     }
 }
 
-/// A request whose body has been read as a whole.
+/// Request with its complete body.
 #[derive(Debug)]
 pub struct Call {
     /// Upper-case method.
@@ -102,7 +103,7 @@
     pub query: String,
     /// Header fields as received.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
@@ -118,16 +119,16 @@
     }
 }
 
-/// What a handler does with a connection after a request.
+/// Reaction of a handler to a request.
 #[derive(Debug)]
 pub enum Reply {
-    /// Send this answer.
+    /// Sends this answer.
     Send(Answer),
-    /// Close the connection without an answer.
+    /// Closes the connection without an answer.
     CloseConnection,
 }
 
-/// A listening stand-in; dropping it closes the port and every connection.
+/// Running server; dropping it closes the port and all connections.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
@@ -135,13 +136,13 @@
 }
 
 impl Server {
-    /// The address that the kernel gave.
+    /// Returns the address assigned by the kernel.
     #[must_use]
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Closes the port and every connection at once, as a kill does.
+    /// Closes the port and all connections at once, as if the process were killed.
     pub fn kill(&self) {
         self.stop.send_replace(true);
     }
@@ -153,11 +154,11 @@
     }
 }
 
-/// Listens on `address` and answers each request by `handle`.
+/// Listens on `address` and answers each request with `handler`.
 ///
 /// # Errors
-/// The port cannot be bound.
-pub async fn bind<H, F>(address: &str, handle: H) -> anyhow::Result<Server>
+/// Fails if the port cannot be bound.
+pub async fn bind<H, F>(address: &str, handler: H) -> anyhow::Result<Server>
 where
     H: Fn(Call) -> F + Send + Sync + 'static,
     F: future::Future<Output = Reply> + Send + 'static,
@@ -165,14 +166,14 @@
     let listener = tokio::net::TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     let (stop, stopped) = watch::channel(false);
-    let handle = sync::Arc::new(handle);
-    tokio::spawn(accept(listener, handle, stopped));
+    let handler = sync::Arc::new(handler);
+    tokio::spawn(accept(listener, handler, stopped));
     Ok(Server { address, stop })
 }
 
 async fn accept<H, F>(
     listener: tokio::net::TcpListener,
-    handle: sync::Arc<H>,
+    handler: sync::Arc<H>,
     mut stopped: watch::Receiver<bool>,
 ) where
     H: Fn(Call) -> F + Send + Sync + 'static,
@@ -185,19 +186,19 @@
         };
         let Ok((stream, _)) = accepted else { continue };
         let _ = stream.set_nodelay(true);
-        tokio::spawn(converse(stream, handle.clone(), stopped.clone()));
+        tokio::spawn(serve_connection(stream, handler.clone(), stopped.clone()));
     }
 }
 
-async fn converse<H, F>(
+async fn serve_connection<H, F>(
     stream: tokio::net::TcpStream,
-    handle: sync::Arc<H>,
+    handler: sync::Arc<H>,
     mut stopped: watch::Receiver<bool>,
 ) where
     H: Fn(Call) -> F + Send + Sync + 'static,
     F: future::Future<Output = Reply> + Send + 'static,
 {
-    let service = hyper::service::service_fn(move |request| answer(request, handle.clone()));
+    let service = hyper::service::service_fn(move |request| answer(request, handler.clone()));
     let connection = hyper::server::conn::http1::Builder::new()
         .serve_connection(rt::TokioIo::new(stream), service);
     tokio::select! {
@@ -206,7 +207,7 @@
     }
 }
 
-async fn answer<H, F>(request: Request<Incoming>, handle: sync::Arc<H>) -> anyhow::Result<Answer>
+async fn answer<H, F>(request: Request<Incoming>, handler: sync::Arc<H>) -> anyhow::Result<Answer>
 where
     H: Fn(Call) -> F,
     F: future::Future<Output = Reply>,
@@ -219,9 +220,9 @@
         headers: head.headers,
         body: body.collect().await?.to_bytes(),
     };
-    match handle(call).await {
+    match handler(call).await {
         Reply::Send(answer) => Ok(answer),
-        Reply::CloseConnection => anyhow::bail!("connection cut by a switch"),
+        Reply::CloseConnection => anyhow::bail!("connection closed by a fault switch"),
     }
 }
 
--- a/standin/src/store.rs
+++ b/standin/src/store.rs
@@ -1,9 +1,8 @@
-//! A stand-in for the platform's key-value service and its catalog.
+//! Stand-in for the platform's key-value service and its catalog.
 //!
-//! It speaks the parts of the published Consul HTTP API that ashtiller uses:
-//! `/v1/kv`, `/v1/txn`, `/v1/session` and `/v1/catalog/service`. The catalog
-//! lags by a set delay. `PUT /fault` takes [`faults::Switches`] as JSON;
-//! `PUT /catalog` replaces the catalog.
+//! It implements the parts of the published Consul HTTP API that ashtiller uses: `/v1/kv`,
+//! `/v1/txn`, `/v1/session` and `/v1/catalog/service`. The catalog lags by a configurable delay.
+//! `PUT /fault` takes [`Switches`] as JSON; `PUT /catalog` replaces the catalog.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -20,14 +19,14 @@
 use crate::keys::{KeySpace, TxnOp};
 use crate::serve::{self, Answer, Call, Reply};
 
-/// How often lapsed sessions are looked for.
-const LAPSE_EVERY: Duration = Duration::from_millis(100);
-/// How often a waiting read of the catalog looks for a change.
-const CATALOG_LOOK: Duration = Duration::from_millis(20);
-/// Longest time a watch may wait.
+/// Interval of checks for expired sessions.
+const SESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which a waiting read of the catalog checks for a change.
+const CATALOG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest wait of a watch.
 const WAIT_MAX: Duration = Duration::from_mins(5);
 
-/// One instance in the catalog, as the published API writes it.
+/// Instance in the catalog, in the format of the published API.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct CatalogEntry {
@@ -37,7 +36,7 @@
     pub service_address: String,
     /// Port.
     pub service_port: u16,
-    /// Free-form facts: `state`, `zone`, `rack`, `slots`, `processors`, …
+    /// Free-form metadata: `state`, `zone`, `rack`, `slots`, `processors`, …
     pub service_meta: BTreeMap<String, String>,
 }
 
@@ -54,14 +53,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct TxnStep {
+struct WireTxnOp {
     #[serde(rename = "KV")]
-    kv: TxnKv,
+    kv: WireTxnKv,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct TxnKv {
+struct WireTxnKv {
     verb: String,
     key: String,
     #[serde(default)]
@@ -77,14 +76,14 @@
     keys: KeySpace,
     saved: Option<KeySpace>,
     catalog: VecDeque<(Instant, Catalog)>,
-    /// Versions of the catalog that show no more.
-    dropped: u64,
+    /// Number of superseded versions of the catalog.
+    superseded: u64,
     session: u64,
     reads: u64,
     writes: u64,
 }
 
-/// Calls counted since the start; a waiting watch counts as one read.
+/// Number of calls since the start; a waiting watch counts as one read.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct CallCounts {
     /// Reads and watches.
@@ -106,26 +105,26 @@
     }
 }
 
-/// A running key-value stand-in.
+/// Running key-value stand-in.
 pub struct Store {
     server: serve::Server,
     shared: Arc<Shared>,
 }
 
 impl Store {
-    /// The address that the kernel gave.
+    /// Returns the address assigned by the kernel.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address()
     }
 
-    /// The fault switches.
+    /// Returns the fault switches.
     #[must_use]
     pub fn faults(&self) -> &Faults {
         &self.shared.faults
     }
 
-    /// Calls counted since the start.
+    /// Returns the number of calls since the start.
     #[must_use]
     pub fn calls(&self) -> CallCounts {
         let state = self.shared.lock();
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Replaces the catalog's entry for a service; it shows after the lag.
+    /// Replaces the instances of a service; the change is visible after the lag.
     pub fn set_instances(&self, service: &str, instances: Vec<CatalogEntry>) {
         let mut state = self.shared.lock();
         let mut catalog = state
@@ -147,18 +146,18 @@
         state.catalog.push_back((Instant::now(), catalog));
     }
 
-    /// Sets how far the catalog lags.
+    /// Sets the lag of the catalog.
     pub fn set_lag(&self, lag: Duration) {
         *self.shared.lag.lock() = lag;
     }
 
-    /// Remembers all keys for a later [`Store::restore`].
+    /// Saves all keys for a later [`Store::restore`].
     pub fn save(&self) {
         let mut state = self.shared.lock();
         state.saved = Some(state.keys.clone());
     }
 
-    /// Puts the saved keys back, as a service restored from an old backup does.
+    /// Restores the saved keys, as a service restored from an old backup does.
     pub fn restore(&self) {
         let mut state = self.shared.lock();
         if let Some(saved) = state.saved.clone() {
@@ -168,13 +167,13 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Writes a key past every comparison, as damage does.
+    /// Overwrites a key without any comparison, as data corruption does.
     pub fn overwrite(&self, key: &str, value: bytes::Bytes) {
         self.shared.lock().keys.put(key, value, None, None);
         self.shared.changed.notify_waiters();
     }
 
-    /// Values below a prefix, in key order, for a test's checks.
+    /// Returns the keys and values below a prefix, in key order, for checks in tests.
     #[must_use]
     pub fn values(&self, prefix: &str) -> Vec<(String, bytes::Bytes)> {
         let state = self.shared.lock();
@@ -189,7 +188,7 @@
 /// Starts a key-value stand-in on `address`.
 ///
 /// # Errors
-/// The port cannot be bound.
+/// Fails if the port cannot be bound.
 pub async fn bind(address: &str) -> anyhow::Result<Store> {
     let shared = Arc::new(Shared {
         state: Mutex::default(),
@@ -202,12 +201,12 @@
         move |call| handle(shared.clone(), call)
     })
     .await?;
-    tokio::spawn(lapse(Arc::downgrade(&shared)));
+    tokio::spawn(expire_sessions(Arc::downgrade(&shared)));
     Ok(Store { server, shared })
 }
 
-async fn lapse(shared: std::sync::Weak<Shared>) {
-    let mut ticks = time::interval(LAPSE_EVERY);
+async fn expire_sessions(shared: std::sync::Weak<Shared>) {
+    let mut ticks = time::interval(SESSION_CHECK_INTERVAL);
     loop {
         ticks.tick().await;
         let Some(shared) = shared.upgrade() else {
@@ -239,7 +238,7 @@
     let answer = route(&shared, &call).await;
     if write {
         shared.changed.notify_waiters();
-        if shared.faults.take_lost_answer() || fall(&shared, &call) {
+        if shared.faults.take_lost_answer() || go_down(&shared, &call) {
             return Reply::CloseConnection;
         }
     }
@@ -249,17 +248,17 @@
     Reply::Send(answer)
 }
 
-/// Goes down after a transaction, if the switch says so.
-fn fall(shared: &Shared, call: &Call) -> bool {
+/// Takes the stand-in down after a transaction if the switch is set; returns whether it did.
+fn go_down(shared: &Shared, call: &Call) -> bool {
     let switches = shared.faults.get();
-    let falls = switches.down_after_txn && call.path == "/v1/txn";
-    if falls {
+    let goes_down = switches.down_after_txn && call.path == "/v1/txn";
+    if goes_down {
         shared.faults.set(Switches {
             down: true,
             ..Switches::default()
         });
     }
-    falls
+    goes_down
 }
 
 async fn route(shared: &Shared, call: &Call) -> Answer {
@@ -308,8 +307,8 @@
         tokio::pin!(changed);
         changed.as_mut().enable();
         let (newest, pairs) = collect(shared, key, call.param("recurse").is_some());
-        let fresh = newest != index && !shared.faults.get().stuck;
-        if index == 0 || fresh {
+        let is_new = newest != index && !shared.faults.get().stuck;
+        if index == 0 || is_new {
             return pairs_answer(newest, &pairs);
         }
         if time::timeout_at(until, changed).await.is_err() {
@@ -396,17 +395,16 @@
 }
 
 fn txn(shared: &Shared, call: &Call) -> Answer {
-    let steps: Vec<TxnStep> = match serde_json::from_slice(&call.body) {
-        Ok(steps) => steps,
+    let ops: Vec<WireTxnOp> = match serde_json::from_slice(&call.body) {
+        Ok(ops) => ops,
         Err(error) => return serve::text(400, error.to_string()),
     };
-    let steps: Result<Vec<TxnOp>, String> =
-        steps.into_iter().map(|step| step_of(step.kv)).collect();
-    let steps = match steps {
-        Ok(steps) => steps,
+    let ops: Result<Vec<TxnOp>, String> = ops.into_iter().map(|op| op_from(op.kv)).collect();
+    let ops = match ops {
+        Ok(ops) => ops,
         Err(error) => return serve::text(400, error),
     };
-    let failed = shared.lock().keys.commit(&steps);
+    let failed = shared.lock().keys.commit(&ops);
     if failed.is_empty() {
         return serve::json(&serde_json::json!({ "Results": [], "Errors": null }));
     }
@@ -419,7 +417,7 @@
     answer
 }
 
-fn step_of(kv: TxnKv) -> Result<TxnOp, String> {
+fn op_from(kv: WireTxnKv) -> Result<TxnOp, String> {
     match kv.verb.as_str() {
         "cas" => {
             let value = STANDARD
@@ -436,7 +434,7 @@
     }
 }
 
-/// A waiting read of the catalog; its position is the number of the shown version.
+/// Answers a blocking read of the catalog; its index is the number of the visible version.
 async fn catalog(shared: &Shared, call: &Call, service: &str) -> Answer {
     let index: u64 = call
         .param("index")
@@ -449,7 +447,7 @@
         .min(WAIT_MAX);
     let until = time::Instant::now() + wait;
     loop {
-        let (version, instances) = shown(shared, service);
+        let (version, instances) = visible_instances(shared, service);
         if index == 0 || version != index || time::Instant::now() >= until {
             let mut answer = serve::json(&instances);
             answer
@@ -457,24 +455,24 @@
                 .insert("x-consul-index", version.into());
             return answer;
         }
-        // The list lags, so a change shows by time passing and not by an event.
-        time::sleep(CATALOG_LOOK).await;
+        // The catalog lags, so a change becomes visible after a time and not with an event.
+        time::sleep(CATALOG_CHECK_INTERVAL).await;
     }
 }
 
-/// The instances of a service that show now, and the version's number.
-fn shown(shared: &Shared, service: &str) -> (u64, Vec<CatalogEntry>) {
+/// Returns the number of the visible catalog version and the instances of a service in it.
+fn visible_instances(shared: &Shared, service: &str) -> (u64, Vec<CatalogEntry>) {
     let lag = *shared.lag.lock();
     let mut state = shared.lock();
     let now = Instant::now();
     while state.catalog.len() > 1 && state.catalog[1].0 + lag <= now {
         state.catalog.pop_front();
-        state.dropped += 1;
+        state.superseded += 1;
     }
     let first = state.catalog.front().filter(|(at, _)| *at + lag <= now);
     let instances = first.and_then(|(_, catalog)| catalog.get(service)).cloned();
     (
-        state.dropped + 1 + u64::from(first.is_some()),
+        state.superseded + 1 + u64::from(first.is_some()),
         instances.unwrap_or_default(),
     )
 }
