--- a/ashtiller/tests/clock.rs
+++ b/ashtiller/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Moments, by which proofs are judged.
+//! Moments, from which the ages of proofs (of ownership, for example) are computed.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use tokio::time;
 
 #[test]
-fn moments_never_fall() {
+fn moments_never_decrease() {
     let mut last = Moment::now();
     for _ in 0..100_000 {
         let now = Moment::now();
@@ -17,15 +17,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn moments_follow_timers_while_a_machine_is_awake() {
-    let began = Moment::now();
+    let started = Moment::now();
     time::sleep(Duration::from_secs(10)).await;
-    let spent = began.elapsed();
-    assert!(spent >= Duration::from_secs(10), "{spent:?}");
-    assert!(spent < Duration::from_secs(11), "{spent:?}");
+    let elapsed = started.elapsed();
+    assert!(elapsed >= Duration::from_secs(10), "{elapsed:?}");
+    assert!(elapsed < Duration::from_secs(11), "{elapsed:?}");
 }
 
 #[test]
-fn an_earlier_moment_is_no_time_after_a_later_one() {
+fn the_time_since_a_later_moment_is_zero() {
     let now = Moment::now();
     let later = now.plus(Duration::from_secs(1));
     assert_eq!(now.since(later), Duration::ZERO);
--- a/ashtiller/tests/configuration.rs
+++ b/ashtiller/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Accepted templates are in force everywhere and never revert.
+//! An accepted template reaches every gateway and never reverts.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use ashtiller::consul;
 use standin::faults::Switches;
 use standin::store::Store;
-use support::{Ask, World, apply_text, template, until};
+use support::{TestRequest, World, apply_text, template, wait_until};
 
 async fn revision_of(store: &Store) -> u64 {
     let client = consul::open(store.address(), Duration::from_secs(2));
@@ -22,10 +22,15 @@
     }
 }
 
-/// Whether every gateway has a template without the service `fleet`.
+/// Returns whether every gateway applies a template without the service `fleet`.
 async fn all_without_service(world: &World) -> bool {
     for number in 0..world.gateways.len() {
-        if Ask::get("g").send(world.callers(number)).await.status() != 404 {
+        if TestRequest::get("g")
+            .send(world.callers(number))
+            .await
+            .status()
+            != 404
+        {
             return false;
         }
     }
@@ -39,40 +44,43 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_reaches_every_gateway() {
     let world = World::open(3, 1).await;
-    assert_eq!(Ask::get("g").send(world.callers(0)).await.status(), 200);
+    assert_eq!(
+        TestRequest::get("g").send(world.callers(0)).await.status(),
+        200
+    );
     apply_text(&world.store, "dealer-north", &without_service()).await;
-    until("it is in force everywhere", async || {
+    wait_until("every gateway applies it", async || {
         all_without_service(&world).await
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_gets_past_a_watch_that_is_stuck() {
+async fn a_change_arrives_although_a_watch_is_stuck() {
     let world = World::open(2, 1).await;
     world.store.faults().set(Switches {
         stuck: true,
         ..Switches::default()
     });
     apply_text(&world.store, "dealer-north", &without_service()).await;
-    until("it is in force everywhere", async || {
+    wait_until("every gateway applies it", async || {
         all_without_service(&world).await
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_falls_back_reverts_nothing() {
+async fn a_store_restored_to_an_older_state_reverts_no_template() {
     let world = World::open(2, 1).await;
     world.store.save();
     apply_text(&world.store, "dealer-north", &without_service()).await;
-    until("it is in force everywhere", async || {
+    wait_until("every gateway applies it", async || {
         all_without_service(&world).await
     })
     .await;
     let revision = revision_of(&world.store).await;
     world.store.restore();
-    until("the store has the newer template again", async || {
+    wait_until("the store has the newer template again", async || {
         let client = consul::open(world.store.address(), Duration::from_secs(2));
         let base = apply::read(&*client, "dealer-north").await;
         base.is_ok_and(|base| {
@@ -84,20 +92,20 @@
     assert_eq!(
         revision_of(&world.store).await,
         revision,
-        "under its own revision"
+        "rewritten under its own revision"
     );
     assert!(all_without_service(&world).await);
-    // A gateway that starts now reads what was accepted.
+    // A gateway that starts now reads the accepted template.
     let mut world = world;
     world.add_gateway(7).await;
-    until("it is in force everywhere", async || {
+    wait_until("every gateway applies it", async || {
         all_without_service(&world).await
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_racing_operators_one_is_told() {
+async fn of_two_racing_updates_one_gets_a_conflict() {
     let world = World::without_gateways(1, "").await;
     let client = consul::open(world.store.address(), Duration::from_secs(2));
     let account: Arc<str> = Arc::from("dealer-north");
@@ -114,7 +122,7 @@
     let Applied::Conflict(_, now) = raced else {
         panic!("{raced:?}")
     };
-    assert_eq!(now, first, "told what is in force");
+    assert_eq!(now, first, "the conflict returns the current template");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -137,7 +145,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_template_in_the_store_changes_nothing() {
     let world = World::open(1, 1).await;
-    // Written past `apply`, as a newer program or a careless hand might.
+    // Bypasses the validation of `ashtiller apply`, as a newer program or a manual write might.
     apply_text(
         &world.store,
         "dealer-south",
@@ -145,13 +153,17 @@
     )
     .await;
     apply_text(&world.store, "dealer-north", &without_service()).await;
-    until("the valid one is in force", async || {
+    wait_until("the valid template is applied", async || {
         all_without_service(&world).await
     })
     .await;
-    let got = Ask::get("s")
-        .of("dealer-south")
+    let response = TestRequest::get("s")
+        .account("dealer-south")
         .send(world.callers(0))
         .await;
-    assert_eq!(got.status(), 200, "the last valid one stays in force");
+    assert_eq!(
+        response.status(),
+        200,
+        "the last valid template stays applied"
+    );
 }
--- a/ashtiller/tests/framing.rs
+++ b/ashtiller/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Malformed and smuggling-shaped requests, byte for byte, with what is said.
+//! Malformed requests and request smuggling attempts, sent byte for byte.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-/// Turns the escapes of the data file into bytes.
-fn bytes_of(text: &str) -> Vec<u8> {
+/// Decodes the escapes `\r`, `\n` and `\xHH` of the case file.
+fn unescape(text: &str) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut rest = text.as_bytes();
     while let [first, tail @ ..] = rest {
@@ -34,22 +34,22 @@
     bytes
 }
 
-/// Sends bytes and reads the status line and the outcome.
-async fn converse(callers: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes and returns the status line and the outcome of the response.
+async fn exchange(callers: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(callers).await.expect("connection");
     stream.write_all(bytes).await.expect("bytes sent");
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut buffer = [0; 4096];
-    // The head is enough; a connection that stays open says no more.
-    while !answer.windows(4).any(|window| window == b"\r\n\r\n") {
-        match time::timeout(support::CAP, stream.read(&mut buffer)).await {
-            Ok(Ok(size)) if size > 0 => answer.extend_from_slice(&buffer[..size]),
+    // The head is enough: the connection may stay open after it.
+    while !response.windows(4).any(|window| window == b"\r\n\r\n") {
+        match time::timeout(support::WAIT_LIMIT, stream.read(&mut buffer)).await {
+            Ok(Ok(size)) if size > 0 => response.extend_from_slice(&buffer[..size]),
             _ => break,
         }
     }
-    let answer = String::from_utf8_lossy(&answer).to_ascii_lowercase();
-    let status = answer.lines().next().unwrap_or("closed").to_owned();
-    let outcome = answer
+    let response = String::from_utf8_lossy(&response).to_ascii_lowercase();
+    let status = response.lines().next().unwrap_or("closed").to_owned();
+    let outcome = response
         .lines()
         .find_map(|line| line.strip_prefix("ashtiller-outcome: "));
     format!("{status}; outcome: {}", outcome.unwrap_or("none"))
@@ -57,27 +57,27 @@
 
 async fn metrics_of(operators: SocketAddr) -> String {
     let client = ashtiller::web::Client::default();
-    let answer = client
+    let response = client
         .call(
             "get",
             operators,
             hyper::Method::GET,
             "/metrics",
             bytes::Bytes::new(),
-            support::CAP,
+            support::WAIT_LIMIT,
         )
         .await;
-    String::from_utf8_lossy(&answer.expect("metrics").body).into_owned()
+    String::from_utf8_lossy(&response.expect("metrics").body).into_owned()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_get_a_clear_answer_and_reach_no_endpoint() {
     let world = World::open(1, 1).await;
-    let mut said = String::new();
+    let mut output = String::new();
     for case in include_str!("cases/framing.txt").split("=== ").skip(1) {
         let (name, text) = case.split_once('\n').expect("a name and bytes");
-        let answer = converse(world.callers(0), &bytes_of(text.trim_end_matches('\n'))).await;
-        said = format!("{said}{name}: {answer}\n");
+        let response = exchange(world.callers(0), &unescape(text.trim_end_matches('\n'))).await;
+        output = format!("{output}{name}: {response}\n");
     }
     let run = world.endpoints[0]
         .counts()
@@ -89,21 +89,21 @@
         .find(|line| line.starts_with("ashtiller_gateway_wrong_total"));
     let wrong = wrong.unwrap_or("no counter");
     insta::assert_snapshot!(format!(
-        "{said}requests that reached the endpoint: {run}\n{wrong}"
+        "{output}requests that reached the endpoint: {run}\n{wrong}"
     ));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn hop_by_hop_fields_end_at_the_gateway() {
+async fn hop_by_hop_headers_are_not_forwarded() {
     let world = World::open(1, 1).await;
-    let got = support::Ask::get("h")
+    let response = support::TestRequest::get("h")
         .header("connection", "x-secret, keep-alive")
         .header("x-secret", "1")
         .header("te", "trailers")
         .send(world.callers(0))
         .await;
-    assert_eq!(got.status(), 200);
-    assert_eq!(got.header("via"), "1.1 ashtiller");
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.header("via"), "1.1 ashtiller");
     let seen = world.endpoints[0].last_headers();
     assert!(
         !seen.contains_key("x-secret") && !seen.contains_key("te"),
--- a/ashtiller/tests/held.rs
+++ b/ashtiller/tests/held.rs
@@ -1,10 +1,10 @@
-//! What operators are told while starts wait for a newer list of workers.
+//! Log messages for operators while starts wait for a newer list of workers.
 //!
-//! Alone in its process: a line that another test's thread meets first may be switched off
-//! for the subscriber of this one.
+//! This test needs its own process: when another test's thread reaches a log statement first,
+//! `tracing` may cache it as disabled for this test's subscriber.
 
 #[path = "owner/driver.rs"]
-#[allow(dead_code, reason = "other tests use the rest of it")]
+#[allow(dead_code, reason = "other tests use the remaining items")]
 mod driver;
 
 use std::io;
@@ -17,11 +17,11 @@
 
 use driver::{Driver, job, policy, step};
 
-/// Lines as they are logged.
+/// Captured log output.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogCapture(Arc<Mutex<Vec<u8>>>);
 
-impl io::Write for Lines {
+impl io::Write for LogCapture {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -32,7 +32,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Lines {
+impl<'a> MakeWriter<'a> for LogCapture {
     type Writer = Self;
 
     fn make_writer(&'a self) -> Self {
@@ -40,25 +40,20 @@
     }
 }
 
-impl Lines {
+impl LogCapture {
     fn containing(&self, text: &str) -> Vec<String> {
-        let written = String::from_utf8(self.0.lock().clone()).expect("text");
-        let lines = written.lines().filter(|line| line.contains(text));
+        let output = String::from_utf8(self.0.lock().clone()).expect("text");
+        let lines = output.lines().filter(|line| line.contains(text));
         lines.map(str::to_owned).collect()
     }
 }
 
-/// Symptom: lasting tasks waited for long, and no line said so.
-///
-/// Sequence: nothing is heard of the list of workers; a job is submitted meanwhile.
-///
-/// Cause: planning ends before it tells which steps wait, and the line that says that
-/// starts wait is written once, without what waits.
-///
-/// Figure: none of the lines within 12 s named waiting tasks; now one each 5 s does.
+/// Guards against long-running tasks that wait without a log message. While the list of workers is
+/// outdated, planning returns before it reports which steps wait, and "starts wait" was logged once
+/// without the waiting tasks. No message within 12 s named them; now one every 5 s does.
 #[test]
-fn a_hold_says_how_many_tasks_wait() {
-    let lines = Lines::default();
+fn held_starts_log_how_many_tasks_wait() {
+    let lines = LogCapture::default();
     let subscriber = tracing_subscriber::fmt()
         .with_writer(lines.clone())
         .with_ansi(false)
@@ -67,18 +62,18 @@
         let mut driver = Driver::new(2, policy());
         driver.listing_fresh = false;
         driver.run_for(Duration::from_secs(3));
-        let lasting = Step {
+        let long_running = Step {
             long_running: true,
             ..step(1)
         };
-        driver.submit(job("lasts", vec![lasting]));
+        driver.submit(job("lasts", vec![long_running]));
         driver.run_for(Duration::from_secs(12));
         driver.listing_fresh = true;
         driver.run_for(Duration::from_secs(1));
         assert_eq!(driver.starts().len(), 1);
     });
     assert_eq!(lines.containing("starts wait").len(), 3);
-    let told = lines.containing("lasting=1 short=0");
-    assert_eq!(told.len(), 3, "{:?}", lines.containing("starts"));
+    let counted = lines.containing("lasting=1 short=0");
+    assert_eq!(counted.len(), 3, "{:?}", lines.containing("starts"));
     assert_eq!(lines.containing("starts go on").len(), 1);
 }
--- a/ashtiller/tests/interleavings.rs
+++ b/ashtiller/tests/interleavings.rs
@@ -1,9 +1,9 @@
-//! A cell's owners, its log and its workers under random interleavings, watched
-//! by an oracle that sees what really runs.
+//! A cell's owners, log and workers under random interleavings, checked by an oracle that knows
+//! which tasks really run.
 //!
-//! Messages are late, lost, doubled and out of order; owners pause, die and are
-//! replaced while they live; answers of the log are lost; clocks drift; workers
-//! restart. Only the state machines run here, with injected time.
+//! Messages are delayed, lost, duplicated and reordered; owners pause, crash and are replaced
+//! while still alive; responses of the log are lost; clocks drift; workers restart. Only the state
+//! machines run here, with injected time.
 
 mod fleet;
 
@@ -14,15 +14,15 @@
 use proptest::prelude::any;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 
-/// Steps in one interleaving.
+/// Number of steps in one interleaving.
 const STEPS: usize = 1500;
-/// Interleavings.
+/// Number of interleavings.
 const CASES: u32 = 96;
 
 fn check_steps(steps: &[(u8, u16, u16)]) -> Result<Coverage, String> {
     let mut fleet = Fleet::open();
-    for (kind, one, other) in steps {
-        fleet.step(*kind, *one, *other)?;
+    for (kind, first, second) in steps {
+        fleet.step(*kind, *first, *second)?;
     }
     let coverage = fleet.coverage();
     fleet.settle()?;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn no_interleaving_breaks_a_promise() {
+fn no_interleaving_breaks_an_invariant() {
     let config = Config {
         cases: CASES,
         max_shrink_iters: 300,
@@ -52,26 +52,29 @@
     check_coverage(&covered.into_inner());
 }
 
-/// An explorer that reaches nothing proves nothing.
+/// Checks that the interleavings reached enough of each event for the test to be meaningful.
 fn check_coverage(covered: &[Coverage]) {
-    let sum = |part: fn(&Coverage) -> usize| covered.iter().map(part).sum::<usize>();
-    let reached = [
-        ("starts", sum(|one| one.starts), 20),
-        ("finished", sum(|one| one.finished), 5),
-        ("resumed", sum(|one| one.resumed), 5),
-        ("evicted", sum(|one| one.evicted), 2),
-        ("lost", sum(|one| one.lost), 5),
-        ("owners", sum(|one| one.owners), 5),
-        ("superseded", sum(|one| one.superseded), 2),
+    let sum = |field: fn(&Coverage) -> usize| covered.iter().map(field).sum::<usize>();
+    let totals = [
+        ("starts", sum(|coverage| coverage.starts), 20),
+        ("finished", sum(|coverage| coverage.finished), 5),
+        ("resumed", sum(|coverage| coverage.resumed), 5),
+        ("evicted", sum(|coverage| coverage.evicted), 2),
+        ("lost", sum(|coverage| coverage.lost), 5),
+        ("owners", sum(|coverage| coverage.owners), 5),
+        ("superseded", sum(|coverage| coverage.superseded), 2),
     ];
-    println!("{reached:?} in {} interleavings", covered.len());
-    for (what, count, least) in reached {
+    println!("{totals:?} in {} interleavings", covered.len());
+    for (event, count, min_per_case) in totals {
         assert!(
-            count >= least * covered.len(),
-            "{what}: only {count} in all"
+            count >= min_per_case * covered.len(),
+            "{event}: only {count} in all"
         );
     }
-    // An attempt placed where it cannot start is lost before it began.
-    let (starts, lost) = (sum(|one| one.starts), sum(|one| one.lost));
+    // An attempt placed where it cannot start is lost before it starts.
+    let (starts, lost) = (
+        sum(|coverage| coverage.starts),
+        sum(|coverage| coverage.lost),
+    );
     assert!(lost < starts * 2, "{lost} attempts lost, {starts} started");
 }
--- a/ashtiller/tests/peers.rs
+++ b/ashtiller/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Connections between processes of the other plane that go silent without a reset.
+//! RPC connections between gateways and schedulers that go silent without a reset.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,14 +12,15 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// Longest wait for anything that must happen; reached only when it never does.
-const CAP: Duration = Duration::from_secs(10);
-/// Time of a call.
-const LIMIT: Duration = Duration::from_secs(1);
+/// Limit on every wait; reached only when the expected event never happens.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-struct Greeter;
+/// A peer that accepts every call.
+struct AcceptingPeer;
 
-fn greeting() -> Heartbeat {
+fn test_heartbeat() -> Heartbeat {
     Heartbeat {
         name: "entry-1".into(),
         role: "scheduler".into(),
@@ -29,9 +30,9 @@
     }
 }
 
-impl Peer for Greeter {
+impl Peer for AcceptingPeer {
     fn heartbeat(&self, _: Heartbeat) -> CallFuture<'_, Heartbeat> {
-        Box::pin(async { Ok(greeting()) })
+        Box::pin(async { Ok(test_heartbeat()) })
     }
 
     fn lend(&self, _: LoanRequest) -> CallFuture<'_, Vec<(u64, u32)>> {
@@ -53,65 +54,65 @@
 
 async fn bind() -> RpcServer {
     let any = ([127, 0, 0, 1], 0).into();
-    rpc::bind(any, LIMIT, Arc::new(Greeter))
+    rpc::bind(any, CALL_TIMEOUT, Arc::new(AcceptingPeer))
         .await
         .expect("port")
 }
 
-/// What passed through a proxy.
+/// Connection counts of a proxy, and which of its connections are silent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Passed {
-    /// Connections that were opened through it.
+struct ConnectionCounts {
+    /// Connections opened through the proxy.
     opened: usize,
-    /// Connections that their openers closed.
+    /// Connections closed by the side that opened them.
     closed: usize,
-    /// Connections before this number pass nothing on any more.
-    silent: usize,
+    /// Connections with a number below this one forward nothing any more.
+    silent_below: usize,
 }
 
 /// A proxy whose connections can go silent.
 struct Proxy {
     address: SocketAddr,
-    passed: watch::Sender<Passed>,
+    counts: watch::Sender<ConnectionCounts>,
 }
 
 impl Proxy {
     async fn bind(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
         let address = listener.local_addr().expect("address");
-        let passed = watch::Sender::new(Passed::default());
-        let told = passed.clone();
+        let counts = watch::Sender::new(ConnectionCounts::default());
+        let shared = counts.clone();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
                 let far = TcpStream::connect(target).await.expect("target");
-                let number = told.borrow().opened;
-                told.send_modify(|passed| passed.opened += 1);
+                let number = shared.borrow().opened;
+                shared.send_modify(|counts| counts.opened += 1);
                 let (from_near, to_near) = near.into_split();
                 let (from_far, to_far) = far.into_split();
-                let told = told.clone();
-                tokio::spawn(carry(from_far, to_near, number, told.clone()));
+                let counts = shared.clone();
+                tokio::spawn(forward(from_far, to_near, number, counts.clone()));
                 tokio::spawn(async move {
-                    carry(from_near, to_far, number, told.clone()).await;
-                    told.send_modify(|passed| passed.closed += 1);
+                    forward(from_near, to_far, number, counts.clone()).await;
+                    counts.send_modify(|counts| counts.closed += 1);
                 });
             }
         });
-        Self { address, passed }
+        Self { address, counts }
     }
 
-    /// Passes nothing more on the connections that are open.
+    /// Forwards nothing more on the connections that are open.
     fn silence(&self) {
-        self.passed
-            .send_modify(|passed| passed.silent = passed.opened);
+        self.counts
+            .send_modify(|counts| counts.silent_below = counts.opened);
     }
 }
 
-/// Carries bytes one way until their sender ends.
-async fn carry(
+/// Forwards bytes in one direction until the sender closes.
+async fn forward(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     number: usize,
-    told: watch::Sender<Passed>,
+    counts: watch::Sender<ConnectionCounts>,
 ) {
     let mut bytes = vec![0; 4096];
     loop {
@@ -119,69 +120,59 @@
         if read == 0 {
             return;
         }
-        let silent = number < told.borrow().silent;
+        let silent = number < counts.borrow().silent_below;
         if !silent && to.write_all(&bytes[..read]).await.is_err() {
             return;
         }
     }
 }
 
-/// Symptom: after a silence a connection that worked was given up, and the calls on it with
-/// it, each time that an older call ended.
-///
-/// Sequence: two calls are under way on a connection that is silent; the first has no
-/// answer in time; a third call opens a new connection and is answered; the second has no
-/// answer in time.
-///
-/// Cause: a call without an answer dropped whatever connection the peer had by then.
-///
-/// Figure: three connections were opened for the fourth call, of which one is silent.
+/// Guards against a late timeout on a silent connection closing the working one that replaced it,
+/// with all calls on it. Two calls run on a silent connection; the first times out, a third opens a
+/// new connection, then the second times out. A timed-out call dropped the peer's current
+/// connection, so three connections, one of them silent, had been opened by the fourth call.
 #[tokio::test]
 async fn a_late_failure_keeps_the_newer_connection() {
     let (near, far) = (bind().await, bind().await);
     let proxy = Proxy::bind(far.address()).await;
     let peer = near.client().connect(proxy.address);
-    peer.heartbeat(greeting()).await.expect("an answer");
+    peer.heartbeat(test_heartbeat()).await.expect("a response");
     proxy.silence();
     let second = async {
-        time::sleep(LIMIT / 2).await;
-        peer.heartbeat(greeting()).await
+        time::sleep(CALL_TIMEOUT / 2).await;
+        peer.heartbeat(test_heartbeat()).await
     };
     let others = async {
-        let first = peer.heartbeat(greeting()).await;
-        (first, peer.heartbeat(greeting()).await)
+        let first = peer.heartbeat(test_heartbeat()).await;
+        (first, peer.heartbeat(test_heartbeat()).await)
     };
     let (second, (first, third)) = tokio::join!(second, others);
     assert!(
         first.is_err() && second.is_err(),
         "the connection is silent"
     );
-    third.expect("an answer on a new connection");
-    peer.heartbeat(greeting()).await.expect("an answer");
-    assert_eq!(proxy.passed.borrow().opened, 2);
+    third.expect("a response on a new connection");
+    peer.heartbeat(test_heartbeat()).await.expect("a response");
+    assert_eq!(proxy.counts.borrow().opened, 2);
 }
 
-/// Symptom: a process kept a descriptor and a task for each connection that fell silent.
-///
-/// Sequence: a connection is silent; a call on it has no answer in time; the next call opens
-/// a new one.
-///
-/// Cause: the task that drives a connection ends with the peer's end only, which a silent
-/// peer never sends.
-///
-/// Figure: the connection was open for all of the 10 s that the test waits.
+/// Guards against leaking a descriptor and a task for each silent connection. The task that drives
+/// a connection ended only when the peer closed it, which a silent peer never does; after a
+/// timed-out call the connection stayed open for all of the 10 s that the test waits.
 #[tokio::test]
 async fn a_silent_connection_is_closed() {
     let (near, far) = (bind().await, bind().await);
     let proxy = Proxy::bind(far.address()).await;
     let peer = near.client().connect(proxy.address);
-    peer.heartbeat(greeting()).await.expect("an answer");
+    peer.heartbeat(test_heartbeat()).await.expect("a response");
     proxy.silence();
-    peer.heartbeat(greeting()).await.expect_err("it is silent");
-    peer.heartbeat(greeting()).await.expect("an answer");
-    let mut passed = proxy.passed.subscribe();
-    let closed = passed.wait_for(|passed| passed.closed == 1);
-    time::timeout(CAP, closed)
+    peer.heartbeat(test_heartbeat())
+        .await
+        .expect_err("it is silent");
+    peer.heartbeat(test_heartbeat()).await.expect("a response");
+    let mut updates = proxy.counts.subscribe();
+    let closed = updates.wait_for(|counts| counts.closed == 1);
+    time::timeout(WAIT_LIMIT, closed)
         .await
         .expect("it is closed")
         .expect("proxy");
--- a/ashtiller/tests/processes.rs
+++ b/ashtiller/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Separate processes, killed and frozen.
+//! Gateways and schedulers as separate processes that are killed or frozen by signals.
 
 mod support;
 
@@ -14,18 +14,18 @@
 use standin::agent::{Agent, RunHistory};
 use standin::endpoint::Endpoint;
 use standin::store::Store;
-use support::{ACCOUNTS, Ask, CAP, listed, template, until};
+use support::{ACCOUNTS, TestRequest, WAIT_LIMIT, listed, template, wait_until};
 
-/// A role in a process of its own.
-struct Role {
+/// A gateway or scheduler in its own process, killed on drop.
+struct Process {
     child: Child,
-    /// Addresses from its line `open`.
+    /// Address for callers, from the log message `open`; schedulers have none.
     callers: Option<SocketAddr>,
     operators: SocketAddr,
     settings: PathBuf,
 }
 
-impl Role {
+impl Process {
     fn spawn(role: &str, name: &str, store: SocketAddr) -> Self {
         let settings =
             std::env::temp_dir().join(format!("ashtiller-{}-{name}.ini", std::process::id()));
@@ -50,8 +50,8 @@
             .by_ref()
             .map_while(Result::ok)
             .find(|line| line.contains("\"message\":\"open\""))
-            .expect("the line `open`");
-        // The pipe must be emptied, or the process would wait for it.
+            .expect("the log message `open`");
+        // A full pipe would block the process, so its output is drained.
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(drop));
         let open: serde_json::Value = serde_json::from_str(&open).expect("a line of JSON");
         let address = |name: &str| {
@@ -81,7 +81,7 @@
     }
 }
 
-impl Drop for Role {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -89,14 +89,14 @@
     }
 }
 
-struct Site {
+struct Environment {
     store: Store,
     endpoints: Vec<Endpoint>,
     agents: Vec<Agent>,
     record: Arc<RunHistory>,
 }
 
-impl Site {
+impl Environment {
     async fn open() -> Self {
         let store = standin::store::bind("127.0.0.1:0").await.expect("store");
         let record = Arc::new(RunHistory::default());
@@ -117,11 +117,10 @@
             )
         });
         store.set_instances("fleet", runners.collect());
-        let has = [("processors", "16"), ("memory", "60GiB"), ("zone", "bern")];
-        let workers = agents
-            .iter()
-            .enumerate()
-            .map(|(number, agent)| listed(&format!("worker-{number}"), agent.address(), &has));
+        let properties = [("processors", "16"), ("memory", "60GiB"), ("zone", "bern")];
+        let workers = agents.iter().enumerate().map(|(number, agent)| {
+            listed(&format!("worker-{number}"), agent.address(), &properties)
+        });
         store.set_instances("workers", workers.collect());
         for account in ACCOUNTS {
             support::apply_text(&store, account, &template(account, "")).await;
@@ -146,7 +145,7 @@
     }
 }
 
-async fn put_job(gateway: &Role, job: &str, kind: &str) -> u16 {
+async fn put_job(gateway: &Process, job: &str, kind: &str) -> u16 {
     let client = web::Client::default();
     let target = format!("/v1/jobs/dealer-north/{job}?kind={kind}");
     let answer = client
@@ -156,74 +155,84 @@
             Method::PUT,
             &target,
             Bytes::new(),
-            CAP,
+            WAIT_LIMIT,
         )
         .await;
     answer.map_or(0, |answer| answer.status.as_u16())
 }
 
-async fn owns(scheduler: &Role) -> bool {
+async fn owns_cell(scheduler: &Process) -> bool {
     let dump = support::get_json(scheduler.operators, "/dump").await;
     dump["cells"]
         .as_object()
         .is_some_and(|cells| !cells.is_empty())
 }
 
-async fn until_serves(gateway: &Role) {
-    until("the gateway serves", async || {
-        Ask::get("ready").send(gateway.callers()).await.status() == 200
+async fn wait_until_serves(gateway: &Process) {
+    wait_until("the gateway serves", async || {
+        TestRequest::get("ready")
+            .send(gateway.callers())
+            .await
+            .status()
+            == 200
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_is_killed_or_frozen_harms_no_other() {
-    let site = Site::open().await;
-    let gateways: Vec<Role> = (0..3)
-        .map(|number| Role::spawn("gateway", &format!("g{number}"), site.store.address()))
+async fn a_killed_or_frozen_gateway_does_not_affect_the_others() {
+    let environment = Environment::open().await;
+    let gateways: Vec<Process> = (0..3)
+        .map(|number| {
+            Process::spawn(
+                "gateway",
+                &format!("g{number}"),
+                environment.store.address(),
+            )
+        })
         .collect();
     for gateway in &gateways {
-        until_serves(gateway).await;
+        wait_until_serves(gateway).await;
     }
     gateways[0].signal("-KILL");
     gateways[1].signal("-STOP");
     for number in 0..60 {
         let id = format!("p{number}");
-        let ask = Ask::post(&id, "charge").header("idempotency-key", id.clone());
-        assert_eq!(ask.send(gateways[2].callers()).await.status(), 200);
-        assert_eq!(site.runs(&id), 1);
+        let request = TestRequest::post(&id, "charge").header("idempotency-key", id.clone());
+        assert_eq!(request.send(gateways[2].callers()).await.status(), 200);
+        assert_eq!(environment.runs(&id), 1);
     }
-    // The one that wakes late serves again, and repeats nothing.
+    // The resumed gateway serves again and repeats no request.
     gateways[1].signal("-CONT");
     for number in 0..20 {
         let id = format!("p{number}");
-        let ask = Ask::post(&id, "charge").header("idempotency-key", id.clone());
-        assert_eq!(ask.send(gateways[1].callers()).await.status(), 409);
-        assert_eq!(site.runs(&id), 1);
+        let request = TestRequest::post(&id, "charge").header("idempotency-key", id.clone());
+        assert_eq!(request.send(gateways[1].callers()).await.status(), 409);
+        assert_eq!(environment.runs(&id), 1);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_by_signal_finishes_what_is_in_flight() {
-    let site = Site::open().await;
-    let mut gateway = Role::spawn("gateway", "stopped", site.store.address());
-    until_serves(&gateway).await;
+async fn sigterm_finishes_the_requests_in_flight() {
+    let environment = Environment::open().await;
+    let mut gateway = Process::spawn("gateway", "stopped", environment.store.address());
+    wait_until_serves(&gateway).await;
     let address = gateway.callers();
     let callers: Vec<_> = (0..10)
         .map(|number| {
-            let ask = Ask::post(format!("s{number}"), "charge").takes(500);
-            tokio::spawn(async move { ask.send(address).await.status() })
+            let request = TestRequest::post(format!("s{number}"), "charge").service_time_ms(500);
+            tokio::spawn(async move { request.send(address).await.status() })
         })
         .collect();
-    until("all are in flight", async || {
-        (0..10).all(|number| site.runs(&format!("s{number}")) == 1)
+    wait_until("all are in flight", async || {
+        (0..10).all(|number| environment.runs(&format!("s{number}")) == 1)
     })
     .await;
     gateway.signal("-TERM");
     for caller in callers {
         assert_eq!(caller.await.expect("caller"), 200);
     }
-    until("the process ends", async || {
+    wait_until("the process ends", async || {
         gateway.child.try_wait().is_ok_and(|ended| ended.is_some())
     })
     .await;
@@ -233,84 +242,99 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_is_killed_is_replaced_and_its_tasks_run_on() {
-    let site = Site::open().await;
-    let gateway = Role::spawn("gateway", "g", site.store.address());
-    let mut schedulers: Vec<Role> = (0..2)
-        .map(|number| Role::spawn("scheduler", &format!("s{number}"), site.store.address()))
+    let environment = Environment::open().await;
+    let gateway = Process::spawn("gateway", "g", environment.store.address());
+    let mut schedulers: Vec<Process> = (0..2)
+        .map(|number| {
+            Process::spawn(
+                "scheduler",
+                &format!("s{number}"),
+                environment.store.address(),
+            )
+        })
         .collect();
-    until_serves(&gateway).await;
-    until("a listener is accepted", async || {
+    wait_until_serves(&gateway).await;
+    wait_until("a listener is accepted", async || {
         matches!(put_job(&gateway, "watch", "listener").await, 200 | 202)
     })
     .await;
-    until("it runs", async || site.running() == 1).await;
-    let first = owns(&schedulers[0]).await;
+    wait_until("it runs", async || environment.running() == 1).await;
+    let first = owns_cell(&schedulers[0]).await;
     let killed = schedulers.remove(usize::from(!first));
     killed.signal("-KILL");
-    until("the other owns the cell", async || {
-        owns(&schedulers[0]).await
+    wait_until("the other owns the cell", async || {
+        owns_cell(&schedulers[0]).await
     })
     .await;
     assert!(matches!(
         put_job(&gateway, "night", "batch").await,
         200 | 202
     ));
-    until("the batch has run", async || {
-        let stretches = site.record.intervals();
-        let done = stretches
+    wait_until("the batch has run", async || {
+        let intervals = environment.record.intervals();
+        let done = intervals
             .iter()
-            .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Finished));
+            .filter(|interval| interval.end == Some(standin::agent::EndReason::Finished));
         done.count() == 2
     })
     .await;
-    assert!(site.record.overlapping().is_empty());
+    assert!(environment.record.overlapping().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_wakes_late_finds_itself_replaced() {
-    let site = Site::open().await;
-    let gateway = Role::spawn("gateway", "gw", site.store.address());
-    let schedulers: Vec<Role> = (0..2)
-        .map(|number| Role::spawn("scheduler", &format!("f{number}"), site.store.address()))
+    let environment = Environment::open().await;
+    let gateway = Process::spawn("gateway", "gw", environment.store.address());
+    let schedulers: Vec<Process> = (0..2)
+        .map(|number| {
+            Process::spawn(
+                "scheduler",
+                &format!("f{number}"),
+                environment.store.address(),
+            )
+        })
         .collect();
-    until_serves(&gateway).await;
-    until("a listener is accepted", async || {
+    wait_until_serves(&gateway).await;
+    wait_until("a listener is accepted", async || {
         matches!(put_job(&gateway, "watch", "listener").await, 200 | 202)
     })
     .await;
-    until("it runs", async || site.running() == 1).await;
-    // Frozen and woken again and again, each time whoever owns the cell.
+    wait_until("it runs", async || environment.running() == 1).await;
+    // Freezes and resumes the current owner of the cell three times.
     for round in 0..3 {
-        let first = owns(&schedulers[0]).await;
+        let first = owns_cell(&schedulers[0]).await;
         let (owner, other) = if first { (0, 1) } else { (1, 0) };
         schedulers[owner].signal("-STOP");
-        until("the other owns the cell", async || {
-            owns(&schedulers[other]).await
+        wait_until("the other owns the cell", async || {
+            owns_cell(&schedulers[other]).await
         })
         .await;
         schedulers[owner].signal("-CONT");
         let job = format!("night-{round}");
-        until("a job is accepted", async || {
+        wait_until("a job is accepted", async || {
             matches!(put_job(&gateway, &job, "batch").await, 200 | 202)
         })
         .await;
-        until("one owner is left", async || {
-            let both = (owns(&schedulers[0]).await, owns(&schedulers[1]).await);
+        wait_until("one owner is left", async || {
+            let both = (
+                owns_cell(&schedulers[0]).await,
+                owns_cell(&schedulers[1]).await,
+            );
             both.0 != both.1
         })
         .await;
     }
-    until("every batch has run", async || {
-        let stretches = site.record.intervals();
-        let done = stretches
+    wait_until("every batch has run", async || {
+        let intervals = environment.record.intervals();
+        let done = intervals
             .iter()
-            .filter(|stretch| stretch.end == Some(standin::agent::EndReason::Finished));
+            .filter(|interval| interval.end == Some(standin::agent::EndReason::Finished));
         done.count() == 6
     })
     .await;
     assert!(
-        site.record.overlapping().is_empty(),
+        environment.record.overlapping().is_empty(),
         "{:?}",
-        site.record.overlapping()
+        environment.record.overlapping()
     );
 }
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Whole sessions of the state machines, each step with what was decided.
+//! Scripted runs of the state machines; a snapshot records the decisions at each step.
 
 mod fleet;
 
@@ -20,11 +20,11 @@
     Duration::from_millis(text.parse().expect("milliseconds"))
 }
 
-/// A gateway's view of one service, driven by a script.
+/// The dispatcher of one service on a gateway, driven by a script.
 struct Routing {
     dispatch: Dispatch,
     gateways: Vec<Arc<str>>,
-    flying: BTreeMap<u64, (Arc<str>, u64)>,
+    in_flight: BTreeMap<u64, (Arc<str>, u64)>,
     waiting: BTreeMap<u64, Arc<str>>,
     names: BTreeMap<u64, Arc<str>>,
 }
@@ -39,8 +39,8 @@
             ["list", listings @ ..] => self.list(listings),
             [time, rest @ ..] => {
                 let now = millis(time);
-                let said = self.act(rest, now);
-                format!("{said}{}", self.assigned(now))
+                let output = self.act(rest, now);
+                format!("{output}{}", self.assigned(now))
             }
             [] => String::new(),
         }
@@ -70,10 +70,10 @@
         self.dispatch.update_listings(&listings);
         self.dispatch
             .allocate_slots(&self.gateways[1..], &self.gateways[0]);
-        let census = self.dispatch.endpoint_counts(Duration::ZERO);
+        let counts = self.dispatch.endpoint_counts(Duration::ZERO);
         format!(
             "{} live, {} leaving, {} slots dealt",
-            census.live, census.leaving, census.allocated
+            counts.live, counts.leaving, counts.allocated
         )
     }
 
@@ -90,7 +90,7 @@
                 "queue",
                 queue,
             ] => {
-                let ticket = AdmissionRequest {
+                let request = AdmissionRequest {
                     id: id.parse().expect("number"),
                     account: (*account).into(),
                     class: if *class == "batch" {
@@ -103,15 +103,15 @@
                     max_queued: queue.parse().expect("queue"),
                     avoid: None,
                 };
-                self.offer(ticket, now)
+                self.offer(request, now)
             }
-            ["end", id, how, rest @ ..] => {
+            ["end", id, result, rest @ ..] => {
                 let sample = match rest {
-                    [time] if *how == "good" => RequestResult::Success(millis(time)),
+                    [time] if *result == "good" => RequestResult::Success(millis(time)),
                     _ => RequestResult::Failure,
                 };
                 let id = id.parse().expect("number");
-                let Some((account, endpoint)) = self.flying.remove(&id) else {
+                let Some((account, endpoint)) = self.in_flight.remove(&id) else {
                     return "not in flight".to_owned();
                 };
                 self.dispatch.finish(&account, endpoint, sample, now);
@@ -129,11 +129,11 @@
             ["settle", peer] => self.lend(peer, true, 0, now),
             ["due"] => format!(
                 "to be probed: {:?}",
-                self.named(&self.dispatch.due_probes(now))
+                self.endpoint_names(&self.dispatch.due_probes(now))
             ),
-            ["probe", name, how] => {
+            ["probe", name, result] => {
                 self.dispatch
-                    .record_probe(endpoint::id_of(name), *how == "good", now);
+                    .record_probe(endpoint::id_of(name), *result == "good", now);
                 format!("{} ejected", self.dispatch.endpoint_counts(now).ejected)
             }
             ["leaving", name] => {
@@ -144,11 +144,11 @@
         }
     }
 
-    fn offer(&mut self, ticket: AdmissionRequest, now: Duration) -> String {
-        let (id, account) = (ticket.id, ticket.account.clone());
-        match self.dispatch.admit(ticket, now) {
+    fn offer(&mut self, request: AdmissionRequest, now: Duration) -> String {
+        let (id, account) = (request.id, request.account.clone());
+        match self.dispatch.admit(request, now) {
             Admission::Send(endpoint) => {
-                self.flying.insert(id, (account, endpoint));
+                self.in_flight.insert(id, (account, endpoint));
                 format!("send to {}", self.names[&endpoint])
             }
             Admission::Wait => {
@@ -164,17 +164,17 @@
         }
     }
 
-    /// Every request at an endpoint fails, and five more that are sent there.
+    /// Fails every request in flight to an endpoint, and five more.
     fn fail_all(&mut self, name: &str, now: Duration) -> String {
         let id = endpoint::id_of(name);
-        let there: Vec<u64> = self
-            .flying
+        let failed: Vec<u64> = self
+            .in_flight
             .iter()
             .filter(|(_, (_, endpoint))| *endpoint == id)
             .map(|(request, _)| *request)
             .collect();
-        for request in &there {
-            if let Some((account, endpoint)) = self.flying.remove(request) {
+        for request in &failed {
+            if let Some((account, endpoint)) = self.in_flight.remove(request) {
                 self.dispatch
                     .finish(&account, endpoint, RequestResult::Failure, now);
             }
@@ -184,37 +184,39 @@
                 .finish(&"nobody".into(), id, RequestResult::Failure, now);
         }
         format!(
-            "{there:?} failed; {} ejected",
+            "{failed:?} failed; {} ejected",
             self.dispatch.endpoint_counts(now).ejected
         )
     }
 
-    fn lend(&mut self, peer: &str, settles: bool, want: u32, now: Duration) -> String {
-        let ask = LoanRequest {
+    fn lend(&mut self, peer: &str, replaces_loan: bool, want: u32, now: Duration) -> String {
+        let request = LoanRequest {
             service: "s".into(),
             borrower: peer.into(),
-            replaces_loan: settles,
+            replaces_loan,
             keep: Vec::new(),
             want,
         };
-        let added = self.dispatch.lend(&ask, now + Duration::from_secs(6), now);
+        let added = self
+            .dispatch
+            .lend(&request, now + Duration::from_secs(6), now);
         let ids: Vec<u64> = added.iter().map(|(id, _)| *id).collect();
         let lent = self.dispatch.endpoint_counts(now).lent;
-        format!("added {:?}; {lent} lent in all", self.named(&ids))
+        format!("added {:?}; {lent} lent in all", self.endpoint_names(&ids))
     }
 
-    fn named(&self, ids: &[u64]) -> Vec<Arc<str>> {
+    fn endpoint_names(&self, ids: &[u64]) -> Vec<Arc<str>> {
         ids.iter().map(|id| self.names[id].clone()).collect()
     }
 
     fn assigned(&mut self, now: Duration) -> String {
-        let mut said = String::new();
+        let mut output = String::new();
         for (id, endpoint) in self.dispatch.assign(now) {
             let account = self.waiting.remove(&id).expect("a waiting request");
-            self.flying.insert(id, (account, endpoint));
-            said = format!("{said}; {id} goes to {}", self.names[&endpoint]);
+            self.in_flight.insert(id, (account, endpoint));
+            output = format!("{output}; {id} goes to {}", self.names[&endpoint]);
         }
-        said
+        output
     }
 }
 
@@ -231,46 +233,46 @@
     let mut routing = Routing {
         dispatch: dispatch::build(Kind::Dealt, 7, limits),
         gateways: Vec::new(),
-        flying: BTreeMap::new(),
+        in_flight: BTreeMap::new(),
         waiting: BTreeMap::new(),
         names: BTreeMap::new(),
     };
-    let said = lines(include_str!("cases/routing.session")).map(|line| {
+    let output = lines(include_str!("cases/routing.session")).map(|line| {
         if line.starts_with('#') {
             return format!("{line}\n");
         }
         let words: Vec<&str> = line.split_whitespace().collect();
         format!("{line}\n    {}\n", routing.step(&words))
     });
-    insta::assert_snapshot!(said.collect::<String>());
+    insta::assert_snapshot!(output.collect::<String>());
 }
 
-/// New log entries since the last step, in words.
+/// Describes the log entries since the last step.
 fn new_entries(fleet: &Fleet, shown: &mut usize) -> String {
-    let mut said = String::new();
+    let mut output = String::new();
     for (position, entry) in fleet.log.iter().enumerate().skip(*shown) {
         let body = match &entry.body {
             Body::Seal { owner, .. } => format!("seal of {owner}"),
             Body::Facts(facts) => facts
                 .iter()
-                .map(fact_in_words)
+                .map(describe_record)
                 .collect::<Vec<_>>()
                 .join(", "),
             Body::Handover => "hand-over".to_owned(),
         };
-        said = format!(
-            "{said}\n    log {}: epoch {}: {body}",
+        output = format!(
+            "{output}\n    log {}: epoch {}: {body}",
             position + 1,
             entry.epoch
         );
     }
     *shown = fleet.log.len();
-    said
+    output
 }
 
-fn fact_in_words(fact: &ashtiller::fact::LogRecord) -> String {
+fn describe_record(record: &ashtiller::fact::LogRecord) -> String {
     use ashtiller::fact::LogRecord;
-    match fact {
+    match record {
         LogRecord::Submitted(job) => format!("submitted {} of {}", job.job, job.tasks),
         LogRecord::Cancelled(job) => format!("cancelled {job}"),
         LogRecord::Placed {
@@ -294,7 +296,7 @@
     workers.collect::<Vec<_>>().join("; ")
 }
 
-fn cell_step(fleet: &mut Fleet, words: &[&str]) -> Result<(), String> {
+fn run_cell_step(fleet: &mut Fleet, words: &[&str]) -> Result<(), String> {
     let number = |index: usize| {
         words
             .get(index)
@@ -343,22 +345,22 @@
 fn a_session_of_a_cell() {
     let mut fleet = Fleet::open();
     let mut shown = 0;
-    let mut said = String::new();
+    let mut output = String::new();
     for line in lines(include_str!("cases/cell.session")) {
-        said = format!("{said}{line}");
+        output = format!("{output}{line}");
         if !line.starts_with('#') {
             let words: Vec<&str> = line.split_whitespace().collect();
-            cell_step(&mut fleet, &words).expect("no promise is broken");
-            said = format!("{said}{}", new_entries(&fleet, &mut shown));
+            run_cell_step(&mut fleet, &words).expect("no invariant is broken");
+            output = format!("{output}{}", new_entries(&fleet, &mut shown));
             if words[0] == "show" {
                 let alive: Vec<bool> = fleet.nodes.iter().map(|node| node.alive).collect();
-                said = format!(
-                    "{said}\n    running {}\n    owners alive {alive:?}",
+                output = format!(
+                    "{output}\n    running {}\n    owners alive {alive:?}",
                     running(&fleet)
                 );
             }
         }
-        said.push('\n');
+        output.push('\n');
     }
-    insta::assert_snapshot!(said);
+    insta::assert_snapshot!(output);
 }
--- a/ashtiller/tests/settings.rs
+++ b/ashtiller/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and templates: each case of the data files with what is said of it.
+//! Parsing of settings and templates; snapshots record the mistakes found in each case file.
 
 use std::time::Duration;
 
@@ -13,24 +13,27 @@
         .filter_map(|case| case.split_once('\n'))
 }
 
-/// Every case with its mistakes, or with word that it has none.
-fn said_of<T>(text: &str, parse: impl Fn(&str, &str) -> Result<T, Mistakes>) -> String {
-    let said = cases(text).map(|(name, text)| {
+/// Lists every case with its mistakes, or with "no mistakes".
+fn mistakes_in_cases<T>(text: &str, parse: impl Fn(&str, &str) -> Result<T, Mistakes>) -> String {
+    let output = cases(text).map(|(name, text)| {
         let result = parse("case.ini", text).err();
         let result = result.map_or("no mistakes".to_owned(), |mistakes| mistakes.to_string());
         format!("=== {name}\n{result}\n")
     });
-    said.collect()
+    output.collect()
 }
 
 #[test]
 fn settings_name_every_mistake() {
-    insta::assert_snapshot!(said_of(include_str!("cases/settings.txt"), Settings::parse));
+    insta::assert_snapshot!(mistakes_in_cases(
+        include_str!("cases/settings.txt"),
+        Settings::parse
+    ));
 }
 
 #[test]
 fn templates_name_every_mistake() {
-    insta::assert_snapshot!(said_of(
+    insta::assert_snapshot!(mistakes_in_cases(
         include_str!("cases/templates.txt"),
         Template::parse
     ));
@@ -43,19 +46,19 @@
         include_str!("../../samples/georgia-entry-1.ini"),
     ];
     for text in settings {
-        Settings::parse("sample", text).expect("a sample without mistakes");
+        Settings::parse("sample", text).expect("valid sample");
     }
     let templates = [
         include_str!("../../samples/dealer-north.ini"),
         include_str!("../../samples/member-peachtree.ini"),
     ];
     for text in templates {
-        Template::parse("sample", text).expect("a sample without mistakes");
+        Template::parse("sample", text).expect("valid sample");
     }
 }
 
 #[test]
-fn units_are_named_and_whole() {
+fn values_need_a_known_unit_and_must_be_in_range() {
     assert_eq!(
         unit::parse_duration("250ms"),
         Some(Duration::from_millis(250))
@@ -98,31 +101,26 @@
     assert_eq!(keys, ["ports", "host", "readiness", "lease", "speed"]);
 }
 
-/// Symptom: an instance that owned the log started nothing, for good, and did not say why.
-///
-/// Sequence: a bound on leaving workers of 350 ms or less in the settings.
-///
-/// Cause: each start has to reach its worker within 350 ms, and only within the bound from
-/// when the list of workers was whole; a bound from 1 ms was taken.
-///
-/// Figure: 350ms, and 1ms as well, had no mistake; now the file is refused with the least
-/// bound, 700ms.
+/// Guards against settings under which the log's owner never starts anything and logs no reason. A
+/// start may take 350 ms to reach its worker and must arrive within `drain` of the last complete
+/// list of workers, so no start fits into 350 ms or less. Values from 1 ms were accepted; the
+/// minimum is now 700 ms.
 #[test]
-fn a_bound_within_which_nothing_can_start_is_a_mistake() {
+fn a_drain_time_too_short_for_any_start_is_a_mistake() {
     let sample = include_str!("../../samples/platform-entry.ini");
-    for (drain, mistaken) in [("1ms", true), ("350ms", true), ("700ms", false)] {
+    for (drain, invalid) in [("1ms", true), ("350ms", true), ("700ms", false)] {
         let text = sample.replace("drain = 2000ms", &format!("drain = {drain}"));
         let parsed = ashtiller::workflow::settings::Settings::parse("sample", &text);
-        let said = parsed.err().map(|mistakes| mistakes.to_string());
-        let wanted = format!(
+        let error = parsed.err().map(|mistakes| mistakes.to_string());
+        let expected = format!(
             "sample: [workers] drain: found `{drain}`; allowed: a time in ms, s, min or h from 700ms to 1min"
         );
-        assert_eq!(said, mistaken.then_some(wanted));
+        assert_eq!(error, invalid.then_some(expected));
     }
 }
 
 #[test]
-fn mechanisms_of_the_policy_can_be_switched_off() {
+fn policy_features_can_be_switched_off() {
     let sample = include_str!("../../samples/platform-entry.ini");
     let parse = |text: &str| ashtiller::workflow::settings::Settings::parse("sample", text);
     assert!(
--- a/ashtiller/tests/silence.rs
+++ b/ashtiller/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent without a reset, while new ones to the same peer work.
+//! Connections that go silent without a reset while new connections to the same peer work.
 
 mod support;
 
@@ -16,75 +16,82 @@
 use ashtiller::web;
 use bytes::Bytes;
 use hyper::Method;
-use support::{Ask, Got, World};
+use support::{TestRequest, TestResponse, World};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::time::{self, Instant};
 
-/// Longest wait for anything that must happen; reached only when it never does.
-const CAP: Duration = Duration::from_secs(10);
-/// Limit of a call that is not answered.
-const SHORT: Duration = Duration::from_millis(50);
-/// Connections that a client keeps idle.
-const KEPT: usize = 4;
+/// Limit on every wait; reached only when the expected event never happens.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of a call that is expected to fail.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Idle connections that a client keeps.
+const MAX_IDLE: usize = 4;
 
-/// What the peer does with the requests that it reads.
+/// How the peer treats the requests that it reads.
 #[derive(Clone, Copy)]
-struct Manner {
-    /// Whether it answers at all now.
+struct Behavior {
+    /// Whether it responds at all now.
     open: bool,
-    /// Connections opened before this number are never answered.
-    silent: usize,
+    /// Connections with a number below this one get no response.
+    silent_below: usize,
 }
 
-/// A peer that reads every request, and answers as it is told.
+/// A peer that reads every request and responds as its behavior says.
 struct Peer {
     address: SocketAddr,
-    manner: watch::Sender<Manner>,
+    behavior: watch::Sender<Behavior>,
     opened: Arc<AtomicUsize>,
-    heard: watch::Sender<usize>,
+    read_count: watch::Sender<usize>,
 }
 
 impl Peer {
     async fn bind() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("port");
         let address = listener.local_addr().expect("address");
-        let manner = watch::Sender::new(Manner {
+        let behavior = watch::Sender::new(Behavior {
             open: true,
-            silent: 0,
+            silent_below: 0,
         });
         let opened = Arc::new(AtomicUsize::new(0));
-        let heard = watch::Sender::new(0);
-        let (told, count, reads) = (manner.subscribe(), opened.clone(), heard.clone());
+        let read_count = watch::Sender::new(0);
+        let (behavior_updates, open_count, reads) =
+            (behavior.subscribe(), opened.clone(), read_count.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let number = count.fetch_add(1, Ordering::Relaxed);
-                tokio::spawn(answer(stream, number, told.clone(), reads.clone()));
+                let number = open_count.fetch_add(1, Ordering::Relaxed);
+                tokio::spawn(answer(
+                    stream,
+                    number,
+                    behavior_updates.clone(),
+                    reads.clone(),
+                ));
             }
         });
         Self {
             address,
-            manner,
+            behavior,
             opened,
-            heard,
+            read_count,
         }
     }
 
-    /// Waits until so many requests were read.
-    async fn hear(&self, requests: usize) {
-        let mut heard = self.heard.subscribe();
-        let heard = heard.wait_for(|heard| *heard >= requests);
-        time::timeout(CAP, heard)
+    /// Waits until `requests` requests were read.
+    async fn wait_for_requests(&self, requests: usize) {
+        let mut read_count = self.read_count.subscribe();
+        let read_count = read_count.wait_for(|read_count| *read_count >= requests);
+        time::timeout(WAIT_LIMIT, read_count)
             .await
             .expect("requests")
             .expect("peer");
     }
 
-    /// Says nothing more on the connections that are open.
+    /// Sends nothing more on the connections that are open.
     fn silence(&self) {
         let silent = self.opened();
-        self.manner.send_modify(|manner| manner.silent = silent);
+        self.behavior
+            .send_modify(|behavior| behavior.silent_below = silent);
     }
 
     fn opened(&self) -> usize {
@@ -92,12 +99,12 @@
     }
 }
 
-/// Reads requests without a body, and answers those that it may.
+/// Reads requests without a body and responds to those that the behavior allows.
 async fn answer(
     mut stream: TcpStream,
     number: usize,
-    mut told: watch::Receiver<Manner>,
-    heard: watch::Sender<usize>,
+    mut behavior: watch::Receiver<Behavior>,
+    read_count: watch::Sender<usize>,
 ) {
     let mut read = Vec::new();
     loop {
@@ -108,9 +115,10 @@
             }
         }
         read.clear();
-        heard.send_modify(|heard| *heard += 1);
-        let may = told.wait_for(|manner| manner.open && number >= manner.silent);
-        if may.await.is_err() {
+        read_count.send_modify(|read_count| *read_count += 1);
+        let allowed =
+            behavior.wait_for(|behavior| behavior.open && number >= behavior.silent_below);
+        if allowed.await.is_err() {
             return;
         }
         let done = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
@@ -125,43 +133,43 @@
     answer.await.is_ok()
 }
 
-/// Has a client keep as many idle connections as it ever does.
-async fn keep_links(client: &web::Client, peer: &Peer) {
-    peer.manner.send_modify(|manner| manner.open = false);
-    let one = || call(client, peer, CAP);
+/// Makes a client open as many connections as it keeps idle.
+async fn open_idle_connections(client: &web::Client, peer: &Peer) {
+    peer.behavior.send_modify(|behavior| behavior.open = false);
+    let one = || call(client, peer, WAIT_LIMIT);
     let open = async {
-        peer.hear(KEPT).await;
-        peer.manner.send_modify(|manner| manner.open = true);
+        peer.wait_for_requests(MAX_IDLE).await;
+        peer.behavior.send_modify(|behavior| behavior.open = true);
     };
     let (first, second, third, fourth, ()) = tokio::join!(one(), one(), one(), one(), open);
     assert!(first && second && third && fourth);
-    assert_eq!(peer.opened(), KEPT);
+    assert_eq!(peer.opened(), MAX_IDLE);
 }
 
-/// Symptom: orders to a worker and writes to the store failed four times in a row,
-/// each for its whole limit, while new connections to the same peer worked.
-///
-/// Sequence: four idle connections are kept; all go silent without a reset; one call
-/// gets no answer in time; the next call takes the next of the kept connections.
-///
-/// Cause: only the connection of the call that failed was dropped.
-///
-/// Figure: the second call had no answer within 10 s, while the peer answered at once on
-/// any connection opened after the silence began.
+/// Guards against reusing idle connections after one of them went silent. Only the connection of
+/// the failed call was dropped, so with four silent idle connections four orders to a worker or
+/// writes to the store in a row ran into their timeout (the second one after 10 s), while the peer
+/// responded at once on new connections.
 #[tokio::test]
-async fn one_silent_link_makes_the_next_call_open_a_new_one() {
+async fn one_silent_connection_makes_the_next_call_open_a_new_one() {
     let peer = Peer::bind().await;
     let client = web::Client::default();
-    keep_links(&client, &peer).await;
+    open_idle_connections(&client, &peer).await;
     peer.silence();
-    assert!(!call(&client, &peer, SHORT).await, "the link is silent");
-    assert!(call(&client, &peer, CAP).await, "a new link is not silent");
-    assert_eq!(peer.opened(), KEPT + 1);
-    // The call that failed may have had its effect: it was not made again.
-    assert!(*peer.heard.borrow() <= KEPT + 2);
+    assert!(
+        !call(&client, &peer, SHORT_TIMEOUT).await,
+        "the connection is silent"
+    );
+    assert!(
+        call(&client, &peer, WAIT_LIMIT).await,
+        "a new connection is not silent"
+    );
+    assert_eq!(peer.opened(), MAX_IDLE + 1);
+    // The failed call may have taken effect, so it is not repeated.
+    assert!(*peer.read_count.borrow() <= MAX_IDLE + 2);
 }
 
-/// A gateway in front of the peer as its only endpoint.
+/// Starts a gateway with the peer as its only endpoint.
 async fn open_gateway(peer: &Peer) -> World {
     let mut world = World::without_gateways(0, "").await;
     let facts = [("slots", "8"), ("zone", "bern"), ("state", "live")];
@@ -172,135 +180,120 @@
     world
 }
 
-/// Has a gateway keep as many idle connections to its endpoint.
-async fn keep_endpoint_links(world: &World, peer: &Peer) {
-    let post = |id: &str| Ask::post(id, "").send(world.callers(0));
-    peer.manner.send_modify(|manner| manner.open = false);
+/// Makes a gateway open as many connections to its endpoint as it keeps idle.
+async fn open_idle_endpoint_connections(world: &World, peer: &Peer) {
+    let post = |id: &str| TestRequest::post(id, "").send(world.callers(0));
+    peer.behavior.send_modify(|behavior| behavior.open = false);
     let open = async {
-        peer.hear(KEPT).await;
-        peer.manner.send_modify(|manner| manner.open = true);
+        peer.wait_for_requests(MAX_IDLE).await;
+        peer.behavior.send_modify(|behavior| behavior.open = true);
     };
     let (first, second, third, fourth, ()) =
         tokio::join!(post("1"), post("2"), post("3"), post("4"), open);
     let kept = [first, second, third, fourth];
-    assert!(kept.iter().all(|got| got.status() == 200), "{kept:?}");
-    assert_eq!(peer.opened(), KEPT);
+    assert!(
+        kept.iter().all(|response| response.status() == 200),
+        "{kept:?}"
+    );
+    assert_eq!(peer.opened(), MAX_IDLE);
 }
 
-/// Symptom: requests that may not be repeated ended unknown one after the other, each
-/// after its whole time, while new connections to the endpoint worked.
-///
-/// Sequence: four connections to an endpoint are idle; all go silent without a reset; one
-/// request gets no answer in time; the next one takes the next of the idle connections.
-///
-/// Cause: only the connection of the request that failed was dropped.
-///
-/// Figure: the second request got 504 after its time of 5 s, while the endpoint answered at
-/// once on any connection opened after the silence began.
+/// Guards against the same fault in a gateway: only the connection of the timed-out request was
+/// dropped. With four silent idle connections to an endpoint, requests that may not be repeated
+/// ended with outcome unknown one after the other (the second with 504 after its timeout of 5 s),
+/// while the endpoint responded at once on new connections.
 #[tokio::test]
-async fn one_silent_link_to_an_endpoint_makes_the_next_request_open_a_new_one() {
+async fn one_silent_endpoint_connection_makes_the_next_request_open_a_new_one() {
     let peer = Peer::bind().await;
     let world = open_gateway(&peer).await;
-    keep_endpoint_links(&world, &peer).await;
+    open_idle_endpoint_connections(&world, &peer).await;
     peer.silence();
-    let short = Ask::post("5", "").header("request-timeout", "50ms");
+    let short = TestRequest::post("5", "").header("request-timeout", "50ms");
     let lost = short.send(world.callers(0)).await;
     assert_eq!((lost.status(), lost.outcome()), (504, "unknown"));
-    let got = Ask::post("6", "").send(world.callers(0)).await;
-    assert_eq!(got.status(), 200, "{got:?}");
-    assert_eq!(peer.opened(), KEPT + 1);
-    // What may have run was not sent again.
-    assert_eq!(*peer.heard.borrow(), KEPT + 2);
+    let response = TestRequest::post("6", "").send(world.callers(0)).await;
+    assert_eq!(response.status(), 200, "{response:?}");
+    assert_eq!(peer.opened(), MAX_IDLE + 1);
+    // The request that may have run was not sent again.
+    assert_eq!(*peer.read_count.borrow(), MAX_IDLE + 2);
 }
 
-/// Symptom: a request that may be repeated ended unknown on a connection that had gone
-/// silent, although its endpoint answered others all the time.
-///
-/// Sequence: a connection is idle and goes silent; a request is sent on it; others are
-/// answered on a connection opened after that.
-///
-/// Cause: an endpoint that answers others was taken for one that is slow with this request,
-/// whatever connection the answers came on; so the attempt lasted up to the deadline.
-///
-/// Figure: 504 after all of 5 s; a first attempt may take 0.6 of them.
+/// Guards against waiting for a silent connection because its endpoint responds on newer ones.
+/// The endpoint was taken for slow with this request, so the attempt lasted until the deadline and
+/// a retryable request ended with 504 after 5 s; a first attempt may take 0.6 of the deadline.
 #[tokio::test]
-async fn answers_on_newer_links_do_not_vouch_for_a_silent_one() {
+async fn responses_on_newer_connections_do_not_extend_the_wait_on_a_silent_one() {
     let peer = Peer::bind().await;
     let world = open_gateway(&peer).await;
-    let get = |id: &str| Ask::get(id).send(world.callers(0));
+    let get = |id: &str| TestRequest::get(id).send(world.callers(0));
     assert_eq!(get("1").await.status(), 200);
     assert_eq!(peer.opened(), 1);
     peer.silence();
     let others = async {
-        peer.hear(2).await;
+        peer.wait_for_requests(2).await;
         loop {
-            let got = get("other").await;
-            assert_eq!(got.status(), 200, "{got:?}");
-            time::sleep(SHORT).await;
+            let response = get("other").await;
+            assert_eq!(response.status(), 200, "{response:?}");
+            time::sleep(SHORT_TIMEOUT).await;
         }
     };
-    let got: Got = tokio::select! {
-        got = get("2") => got,
-        () = others => unreachable!("it has no end"),
+    let response: TestResponse = tokio::select! {
+        response = get("2") => response,
+        () = others => unreachable!("the loop never ends"),
     };
-    assert_eq!(got.status(), 200, "{got:?}");
+    assert_eq!(response.status(), 200, "{response:?}");
 }
 
-/// Symptom: callers that wait less than their service allows got no answer, one after the
-/// other, while new connections to the endpoint worked.
-///
-/// Sequence: four connections to an endpoint are idle; all go silent; a request is sent on
-/// one; its caller hangs up; the next request takes the next of the idle connections.
-///
-/// Cause: only an attempt that ended by its own time said anything about the others.
-///
-/// Figure: the second request got 504 after its time of 5 s.
+/// Guards against ignoring attempts that the caller abandons. Only a timed-out attempt made the
+/// other idle connections suspect. When four of them went silent and callers hung up before the
+/// service's timeout, each next request took the next silent connection; the second ended with 504
+/// after its timeout of 5 s.
 #[tokio::test]
-async fn a_caller_that_hangs_up_on_a_silent_link_makes_the_others_suspect() {
+async fn a_caller_that_hangs_up_on_a_silent_connection_makes_the_others_suspect() {
     let peer = Peer::bind().await;
     let world = open_gateway(&peer).await;
-    keep_endpoint_links(&world, &peer).await;
+    open_idle_endpoint_connections(&world, &peer).await;
     peer.silence();
     tokio::select! {
-        got = Ask::post("5", "").send(world.callers(0)) => unreachable!("{got:?}"),
-        () = peer.hear(KEPT + 1) => {}
+        early = TestRequest::post("5", "").send(world.callers(0)) => unreachable!("{early:?}"),
+        () = peer.wait_for_requests(MAX_IDLE + 1) => {}
     }
     let operators = world.gateways[0].operators();
-    support::until("nothing is in flight", async || {
+    support::wait_until("nothing is in flight", async || {
         let dump = support::get_json(operators, "/dump").await;
         dump["services"]["fleet"]["in_flight"] == 0
     })
     .await;
-    let got = Ask::post("6", "").send(world.callers(0)).await;
-    assert_eq!(got.status(), 200, "{got:?}");
-    assert_eq!(peer.opened(), KEPT + 1);
+    let response = TestRequest::post("6", "").send(world.callers(0)).await;
+    assert_eq!(response.status(), 200, "{response:?}");
+    assert_eq!(peer.opened(), MAX_IDLE + 1);
 }
 
-/// Time that a silent watch has beyond its wait.
-const SLACK: Duration = Duration::from_secs(2);
+/// Time after its wait at which a silent watch fails.
+const WATCH_SLACK: Duration = Duration::from_secs(2);
 
-/// A list of one instance, on connections that go silent.
-struct List {
-    /// When its instance began to leave, and the connections went silent.
-    leaves: Instant,
+/// A catalog of one instance whose watch connections go silent.
+struct SilentCatalog {
+    /// When the instance starts to leave and the connections go silent.
+    leaves_at: Instant,
 }
 
-impl ServiceCatalog for List {
+impl ServiceCatalog for SilentCatalog {
     fn watch<'a>(&'a self, _: &'a str, index: u64, wait: Duration) -> CallFuture<'a, InstanceList> {
         Box::pin(async move {
             let asked = Instant::now();
             if index > 0 {
                 time::sleep(wait).await;
             }
-            if asked <= self.leaves && self.leaves < Instant::now() {
-                time::sleep(SLACK).await;
+            if asked <= self.leaves_at && self.leaves_at < Instant::now() {
+                time::sleep(WATCH_SLACK).await;
                 return Err(Failure::unknown_effect(
                     "instances",
                     "list",
                     "no answer in time",
                 ));
             }
-            let leaving = Instant::now() > self.leaves;
+            let leaving = Instant::now() > self.leaves_at;
             let phase = if leaving { Phase::Leaving } else { Phase::Live };
             Ok(InstanceList {
                 instances: vec![instance(phase)],
@@ -322,23 +315,18 @@
     }
 }
 
-/// Symptom: an endpoint that was leaving got new work for a minute.
-///
-/// Sequence: a watch of the list is under way; its connection goes silent; an endpoint
-/// begins to leave, of which the watch never hears.
-///
-/// Cause: a watch waited 60 s, and its connection was known to be silent only after that.
-///
-/// Figure: 62 s until the list was read again; a leaving endpoint may get work for a few
-/// seconds.
+/// Guards against new work for an endpoint that has been leaving for a minute. The connection of a
+/// watch on the list went silent before the endpoint started to leave; a watch waited 60 s, so the
+/// list was read again only after 62 s. A leaving endpoint may get work for a few seconds.
 #[tokio::test(start_paused = true)]
 async fn a_silent_watch_hides_a_leaving_endpoint_for_seconds_only() {
-    let leaves = Instant::now() + Duration::from_millis(100);
+    let leaves_at = Instant::now() + Duration::from_millis(100);
     let pause = Duration::from_secs(1);
-    let follower = service_watcher::spawn(Arc::new(List { leaves }), "fleet".into(), pause);
+    let follower =
+        service_watcher::spawn(Arc::new(SilentCatalog { leaves_at }), "fleet".into(), pause);
     let mut lists = follower.subscribe();
-    let told = lists.wait_for(|list| list.iter().any(|one| one.phase == Phase::Leaving));
-    drop(told.await.expect("follower"));
-    let took = leaves.elapsed();
+    let listed = lists.wait_for(|list| list.iter().any(|one| one.phase == Phase::Leaving));
+    drop(listed.await.expect("follower"));
+    let took = leaves_at.elapsed();
     assert!(took <= Duration::from_secs(5), "{took:?}");
 }
--- a/ashtiller/tests/support/mod.rs
+++ b/ashtiller/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests with real ports share: a small world of stand-ins and gateways.
+//! Fixtures for tests on real ports: simulated stores, endpoints and workers, with gateways and
+//! schedulers.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::SocketAddr;
@@ -22,12 +23,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{self, Instant};
 
-/// Longest wait for anything that must happen; reached only when it never does.
-pub const CAP: Duration = Duration::from_secs(30);
+/// Limit on every wait; reached only when the expected event never happens.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
 pub const ACCOUNTS: [&str; 2] = ["dealer-north", "dealer-south"];
 
-/// A template with one service; `extra` lines go to the service's section.
+/// Returns a template with one service; `extra` lines go into the service's section.
 pub fn template(account: &str, extra: &str) -> String {
     format!(
         "[account]\nname = {account}\nprocessors = 64\nmemory = 256GiB\naccelerators = 4\n\
@@ -49,7 +50,7 @@
          [scheduler]\noperators = 127.0.0.1:0\npeers = 127.0.0.1:0\nlease = 900ms\n\
          renew = 150ms\nmargin = 100ms\nhorizon = 2s\ncommit = 5ms\nsnapshot = 16\n"
     );
-    Settings::parse("test", &text).expect("settings of a test")
+    Settings::parse("test", &text).expect("valid test settings")
 }
 
 pub fn listed(name: &str, address: SocketAddr, facts: &[(&str, &str)]) -> CatalogEntry {
@@ -89,15 +90,15 @@
 
     pub async fn without_gateways(endpoints: usize, extra: &str) -> Self {
         let store = standin::store::bind("127.0.0.1:0").await.expect("store");
-        let mut opened = Vec::new();
+        let mut bound = Vec::new();
         for number in 0..endpoints {
             let name = format!("runner-{number}");
             let endpoint = standin::endpoint::bind("127.0.0.1:0", &name, 8, true).await;
-            opened.push(endpoint.expect("endpoint"));
+            bound.push(endpoint.expect("endpoint"));
         }
         let world = Self {
             store,
-            endpoints: opened,
+            endpoints: bound,
             gateways: Vec::new(),
         };
         world.list(&[]);
@@ -113,7 +114,7 @@
             .push(gateway::spawn(settings).await.expect("gateway"));
     }
 
-    /// Lists every endpoint; those whose number is in `leaving` as leaving.
+    /// Publishes every endpoint in the catalog; those numbered in `leaving` have the state leaving.
     pub fn list(&self, leaving: &[usize]) {
         let listings = self.endpoints.iter().enumerate().map(|(number, endpoint)| {
             let state = if leaving.contains(&number) {
@@ -131,10 +132,10 @@
         self.gateways[number].callers()
     }
 
-    /// Waits until a gateway serves with both accounts.
+    /// Waits until a gateway has both accounts and an endpoint of the service.
     pub async fn wait_ready(&self, number: usize) {
         let operators = self.gateways[number].operators();
-        until("the gateway is ready", async || {
+        wait_until("the gateway is ready", async || {
             let dump = get_json(operators, "/dump").await;
             let services = &dump["services"]["fleet"]["endpoints"];
             dump["accounts"]
@@ -145,7 +146,7 @@
         .await;
     }
 
-    /// How often an endpoint's handler ran for a request.
+    /// Returns how often the endpoints ran the request with this id.
     pub fn runs(&self, id: &str) -> u32 {
         self.endpoints
             .iter()
@@ -154,7 +155,7 @@
     }
 }
 
-/// Puts a template in force; returns its revision.
+/// Writes a template to the store and returns its revision.
 pub async fn apply_text(store: &Store, account: &str, text: &str) -> u64 {
     let client = consul::open(store.address(), Duration::from_secs(2));
     let account = Arc::from(account);
@@ -165,19 +166,19 @@
     }
 }
 
-/// Waits until a process has a revision in force.
-pub async fn until_in_force(operators: SocketAddr, revision: u64) {
-    until("the revision is in force", async || {
+/// Waits until a process has applied a revision.
+pub async fn wait_until_in_force(operators: SocketAddr, revision: u64) {
+    wait_until("the revision is applied", async || {
         get_json(operators, "/dump").await["revision"].as_u64() >= Some(revision)
     })
     .await;
 }
 
-/// Waits until `check` holds.
-pub async fn until(what: &str, mut check: impl AsyncFnMut() -> bool) {
-    let cap = Instant::now() + CAP;
+/// Polls `check` every 10 ms until it returns true; panics after `WAIT_LIMIT`.
+pub async fn wait_until(what: &str, mut check: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !check().await {
-        assert!(Instant::now() < cap, "never happened: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -185,7 +186,14 @@
 pub async fn get_json(address: SocketAddr, target: &str) -> serde_json::Value {
     let client = web::Client::default();
     let answer = client
-        .call("get", address, Method::GET, target, Bytes::new(), CAP)
+        .call(
+            "get",
+            address,
+            Method::GET,
+            target,
+            Bytes::new(),
+            WAIT_LIMIT,
+        )
         .await;
     answer
         .ok()
@@ -193,22 +201,22 @@
         .unwrap_or_default()
 }
 
-/// What a caller got.
+/// The outcome of a request: a complete response or a cut connection.
 #[derive(Debug)]
-pub enum Got {
+pub enum TestResponse {
     Answer {
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
     },
-    Cut,
+    Incomplete,
 }
 
-impl Got {
+impl TestResponse {
     pub fn status(&self) -> u16 {
         match self {
             Self::Answer { status, .. } => status.as_u16(),
-            Self::Cut => 0,
+            Self::Incomplete => 0,
         }
     }
 
@@ -218,14 +226,14 @@
                 .get(name)
                 .and_then(|value| value.to_str().ok())
                 .unwrap_or(""),
-            Self::Cut => "",
+            Self::Incomplete => "",
         }
     }
 
     pub fn body(&self) -> &[u8] {
         match self {
             Self::Answer { body, .. } => body,
-            Self::Cut => b"",
+            Self::Incomplete => b"",
         }
     }
 
@@ -234,8 +242,8 @@
     }
 }
 
-/// A request of a test.
-pub struct Ask {
+/// A request to a gateway, built by a test.
+pub struct TestRequest {
     pub method: Method,
     pub id: String,
     pub account: &'static str,
@@ -244,7 +252,7 @@
     pub headers: Vec<(&'static str, String)>,
 }
 
-impl Ask {
+impl TestRequest {
     pub fn get(id: impl Into<String>) -> Self {
         Self {
             method: Method::GET,
@@ -264,12 +272,12 @@
         }
     }
 
-    pub fn takes(mut self, service_ms: u32) -> Self {
+    pub fn service_time_ms(mut self, service_ms: u32) -> Self {
         self.service_ms = service_ms;
         self
     }
 
-    pub fn of(mut self, account: &'static str) -> Self {
+    pub fn account(mut self, account: &'static str) -> Self {
         self.account = account;
         self
     }
@@ -279,14 +287,14 @@
         self
     }
 
-    /// Sends it on a connection of its own.
-    pub async fn send(self, callers: SocketAddr) -> Got {
+    /// Sends the request on a connection of its own.
+    pub async fn send(self, callers: SocketAddr) -> TestResponse {
         let Ok(stream) = TcpStream::connect(callers).await else {
-            return Got::Cut;
+            return TestResponse::Incomplete;
         };
         let handshake = http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
         let Ok((mut sender, connection)) = handshake else {
-            return Got::Cut;
+            return TestResponse::Incomplete;
         };
         tokio::spawn(connection);
         let mut request = Request::builder()
@@ -301,18 +309,18 @@
         }
         let request = request
             .body(Full::new(self.body))
-            .expect("request of a test");
+            .expect("valid test request");
         let Ok(answer) = sender.send_request(request).await else {
-            return Got::Cut;
+            return TestResponse::Incomplete;
         };
         let (head, body) = answer.into_parts();
         match body.collect().await {
-            Ok(body) => Got::Answer {
+            Ok(body) => TestResponse::Answer {
                 status: head.status,
                 headers: head.headers,
                 body: body.to_bytes(),
             },
-            Err(_) => Got::Cut,
+            Err(_) => TestResponse::Incomplete,
         }
     }
 }
@@ -353,7 +361,7 @@
             cluster.add_scheduler(number).await;
         }
         let operators = cluster.gateway.operators();
-        until(
+        wait_until(
             "the cell has an owner that reached its workers",
             async || {
                 let cell = get_json(operators, "/v1/cells/bern").await;
@@ -372,7 +380,7 @@
             .push(scheduler::spawn(settings).await.expect("scheduler"));
     }
 
-    /// Lists every worker; those whose number is in `leaving` as leaving.
+    /// Publishes every worker in the catalog; those numbered in `leaving` have the state leaving.
     pub fn list(&self, leaving: &[usize]) {
         let listings = self.agents.iter().enumerate().map(|(number, agent)| {
             let state = if leaving.contains(&number) {
@@ -392,19 +400,19 @@
         self.store.set_instances("workers", listings.collect());
     }
 
-    /// The scheduler that owns the cell.
+    /// Returns the index of the scheduler that owns the cell.
     pub fn owner(&self) -> Option<usize> {
         self.schedulers
             .iter()
             .position(|scheduler| !scheduler.cells().is_empty())
     }
 
-    /// Asks the gateway for a job; returns status and body.
-    pub async fn ask(&self, method: Method, target: &str) -> (u16, serde_json::Value) {
+    /// Sends a job request to the gateway; returns status and body, or status 0 on failure.
+    pub async fn call(&self, method: Method, target: &str) -> (u16, serde_json::Value) {
         let client = web::Client::default();
         let address = self.gateway.operators();
         let answer = client
-            .call("ask", address, method, target, Bytes::new(), CAP)
+            .call("ask", address, method, target, Bytes::new(), WAIT_LIMIT)
             .await;
         match answer {
             Ok(answer) => {
@@ -416,7 +424,7 @@
     }
 
     pub async fn submit(&self, job: &str, kind: &str) -> u16 {
-        self.ask(
+        self.call(
             Method::PUT,
             &format!("/v1/jobs/dealer-north/{job}?kind={kind}"),
         )
@@ -424,10 +432,10 @@
         .0
     }
 
-    /// States of a job's tasks.
+    /// Returns the states of a job's tasks.
     pub async fn states(&self, job: &str) -> Vec<String> {
         let (_, shown) = self
-            .ask(Method::GET, &format!("/v1/jobs/dealer-north/{job}"))
+            .call(Method::GET, &format!("/v1/jobs/dealer-north/{job}"))
             .await;
         let tasks = shown["jobs"][0]["tasks"]
             .as_array()
@@ -439,44 +447,48 @@
             .collect()
     }
 
-    pub async fn until_all(&self, job: &str, state: &str) {
-        until(&format!("{job} is {state}"), async || {
+    pub async fn wait_until_all(&self, job: &str, state: &str) {
+        wait_until(&format!("{job} is {state}"), async || {
             let states = self.states(job).await;
             !states.is_empty() && states.iter().all(|found| found == state)
         })
         .await;
     }
 
-    /// Attempts that run now, by the workers' own record.
+    /// Returns the job's running attempts as the workers recorded them.
     pub fn running(&self, job: &str) -> Vec<RunInterval> {
-        let part = format!("/{job}/");
-        let stretches = self.record.intervals().into_iter();
-        stretches
-            .filter(|stretch| stretch.to.is_none() && stretch.task.contains(&part))
+        let job_part = format!("/{job}/");
+        let intervals = self.record.intervals().into_iter();
+        intervals
+            .filter(|interval| interval.to.is_none() && interval.task.contains(&job_part))
             .collect()
     }
 
-    pub async fn until_running(&self, job: &str, count: usize) {
-        until(&format!("{count} of {job} run"), async || {
+    pub async fn wait_until_running(&self, job: &str, count: usize) {
+        wait_until(&format!("{count} of {job} run"), async || {
             self.running(job).len() == count
         })
         .await;
     }
 
-    /// What must hold at the end of every test.
+    /// Checks that no task ran in two places at once, started twice under one attempt or finished
+    /// twice.
     pub fn check(&self) {
-        let doubles = self.record.overlapping();
-        assert!(doubles.is_empty(), "in two places at once: {doubles:?}");
-        let stretches = self.record.intervals();
+        let overlaps = self.record.overlapping();
+        assert!(
+            overlaps.is_empty(),
+            "ran in two places at once: {overlaps:?}"
+        );
+        let intervals = self.record.intervals();
         let mut finished = std::collections::BTreeSet::new();
         let mut started = std::collections::BTreeSet::new();
-        for stretch in &stretches {
-            let attempt = (stretch.task.clone(), stretch.attempt);
-            assert!(started.insert(attempt), "started twice: {stretch:?}");
-            if stretch.end == Some(EndReason::Finished) {
+        for interval in &intervals {
+            let attempt = (interval.task.clone(), interval.attempt);
+            assert!(started.insert(attempt), "started twice: {interval:?}");
+            if interval.end == Some(EndReason::Finished) {
                 assert!(
-                    finished.insert(stretch.task.clone()),
-                    "finished twice: {stretch:?}"
+                    finished.insert(interval.task.clone()),
+                    "finished twice: {interval:?}"
                 );
             }
         }
--- a/ashtiller/tests/units.rs
+++ b/ashtiller/tests/units.rs
@@ -1,4 +1,4 @@
-//! Small state machines by themselves: what no larger test reaches for certain.
+//! Small state machines in isolation: cases that no larger test reliably reaches.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -15,21 +15,22 @@
 use ashtiller::pool::ConnectionPool;
 use ashtiller::rendezvous;
 use ashtiller::request_queue::AdmissionRequest;
-use ashtiller::resources::{Pool as Room, Resources};
+use ashtiller::resources::{Pool as ResourcePool, Resources};
 use ashtiller::retry_budget::RetryBudget;
 use ashtiller::service_dispatcher::{Admitted, ServiceDispatcher};
 use ashtiller::session::{Change, LeaseTerms, ReportHeader, Session};
 use ashtiller::template::Class;
 
-struct Still;
+/// A clock that stays at 1 s.
+struct FixedClock;
 
-impl Clock for Still {
+impl Clock for FixedClock {
     fn now(&self) -> Duration {
         Duration::from_secs(1)
     }
 }
 
-fn desk_of_one_slot() -> Arc<ServiceDispatcher> {
+fn dispatcher_with_one_slot() -> Arc<ServiceDispatcher> {
     let limits = Limits {
         max_connections: 1,
         max_ejected_share: 0.3,
@@ -48,11 +49,12 @@
         dispatch,
         pool,
         RetryBudget::new(0.1),
-        Arc::new(Still),
+        Arc::new(FixedClock),
     )
 }
 
-fn ticket(id: u64) -> AdmissionRequest {
+/// Returns a request that fits the limits and has a distant deadline.
+fn request(id: u64) -> AdmissionRequest {
     AdmissionRequest {
         id,
         account: "north".into(),
@@ -65,19 +67,19 @@
 }
 
 #[tokio::test]
-async fn a_slot_given_to_a_caller_that_has_gone_is_given_on() {
-    let desk = desk_of_one_slot();
-    let Admitted::Slot(first) = desk.admit(ticket(1)).await else {
-        panic!("no slot")
+async fn a_slot_granted_to_a_cancelled_caller_goes_to_the_next() {
+    let dispatcher = dispatcher_with_one_slot();
+    let Admitted::Slot(first) = dispatcher.admit(request(1)).await else {
+        panic!("no slot was granted")
     };
     {
-        let mut second = pin!(desk.admit(ticket(2)));
+        let mut second = pin!(dispatcher.admit(request(2)));
         let mut context = Context::from_waker(Waker::noop());
         assert!(second.as_mut().poll(&mut context).is_pending());
-        // The slot is the second caller's now, who goes before it learns of it.
+        // The slot now belongs to the second caller, which leaves before it is notified.
         drop(first);
     }
-    let mut third = pin!(desk.admit(ticket(3)));
+    let mut third = pin!(dispatcher.admit(request(3)));
     let mut context = Context::from_waker(Waker::noop());
     assert!(matches!(
         third.as_mut().poll(&mut context),
@@ -89,9 +91,9 @@
 fn an_older_template_is_refused() {
     let account: Arc<str> = "north".into();
     let text: Arc<str> = "[account]\nname = north\n".into();
-    let mut ledger = ConfigState::default();
+    let mut state = ConfigState::default();
     assert_eq!(
-        ledger.adopt(
+        state.adopt(
             &account,
             StoredTemplate {
                 revision: 7,
@@ -101,7 +103,7 @@
         AdoptResult::Adopted
     );
     assert_eq!(
-        ledger.adopt(
+        state.adopt(
             &account,
             StoredTemplate {
                 revision: 6,
@@ -110,9 +112,9 @@
         ),
         AdoptResult::Older
     );
-    assert!(ledger.active().templates.contains_key(&account));
+    assert!(state.active().templates.contains_key(&account));
     assert_eq!(
-        ledger.adopt(
+        state.adopt(
             &account,
             StoredTemplate {
                 revision: 8,
@@ -122,11 +124,11 @@
         AdoptResult::Adopted
     );
     assert!(
-        !ledger.active().templates.contains_key(&account),
-        "removed by a newer one"
+        !state.active().templates.contains_key(&account),
+        "removed by a newer revision"
     );
     assert!(matches!(
-        ledger.adopt(
+        state.adopt(
             &account,
             StoredTemplate {
                 revision: 9,
@@ -138,32 +140,32 @@
 }
 
 #[test]
-fn a_head_that_does_not_continue_makes_everything_be_read() {
+fn a_head_that_does_not_follow_the_last_one_causes_a_full_read() {
     let account: Arc<str> = "north".into();
-    let mut ledger = ConfigState::default();
+    let mut state = ConfigState::default();
     let one = Head::default().next(&account, 10);
     assert_eq!(
-        ledger.next_action(&one),
+        state.next_action(&one),
         HeadAction::ReadAll,
-        "nothing was read yet"
+        "no head was read yet"
     );
-    ledger.advance_to(one.revision, true);
+    state.advance_to(one.revision, true);
     let two = one.next(&"south".into(), 20);
     assert_eq!(
-        ledger.next_action(&two),
+        state.next_action(&two),
         HeadAction::Read(vec!["south".into()])
     );
     let other = Head::default().next(&"east".into(), 30);
     assert_eq!(
-        ledger.next_action(&other),
+        state.next_action(&other),
         HeadAction::ReadAll,
-        "the store fell back in between"
+        "the store returned to an older state in between"
     );
     assert_eq!(
-        ledger.next_action(&Head::default().next(&account, 5)),
+        state.next_action(&Head::default().next(&account, 5)),
         HeadAction::Repair(Vec::new())
     );
-    assert!(ledger.missing_in_store(&BTreeMap::new()).is_empty());
+    assert!(state.missing_in_store(&BTreeMap::new()).is_empty());
 }
 
 #[test]
@@ -173,20 +175,20 @@
         margin: Duration::from_secs(1),
     };
     let mut session = Session::new(Duration::ZERO);
-    let answer = ReportHeader {
+    let report = ReportHeader {
         epoch: 3,
         seq: 1,
         boot: 9,
         clock: 50_000,
     };
     let at = Duration::from_secs(100);
-    assert_eq!(session.handle_report(3, answer, &terms, at), Change::Fenced);
-    // However late it is sent, it ends ten seconds after the clock that was read.
+    assert_eq!(session.handle_report(3, report, &terms, at), Change::Fenced);
+    // Whenever the grant is sent, it ends 10 s after the reported clock.
     assert_eq!(session.grant(&terms, true).until, 60_000);
     assert_eq!(session.lease_bound(), Duration::from_secs(111));
     let late = Duration::from_mins(5);
     assert_eq!(
-        session.handle_report(3, answer, &terms, late),
+        session.handle_report(3, report, &terms, late),
         Change::Stale
     );
     assert_eq!(session.grant(&terms, true).until, 60_000);
@@ -194,47 +196,47 @@
 }
 
 #[test]
-fn an_answer_from_a_former_life_is_stale() {
+fn a_report_from_a_previous_incarnation_is_stale() {
     let terms = LeaseTerms {
         lease: Duration::from_secs(10),
         margin: Duration::from_secs(1),
     };
     let mut session = Session::new(Duration::ZERO);
     let at = Duration::from_secs(100);
-    let answer = |epoch, seq, boot| ReportHeader {
+    let report = |epoch, seq, boot| ReportHeader {
         epoch,
         seq,
         boot,
         clock: 1,
     };
     assert_eq!(
-        session.handle_report(3, answer(3, 1, 9), &terms, at),
+        session.handle_report(3, report(3, 1, 9), &terms, at),
         Change::Fenced
     );
     assert_eq!(
-        session.handle_report(3, answer(0, 0, 10), &terms, at),
+        session.handle_report(3, report(0, 0, 10), &terms, at),
         Change::Rebooted
     );
     assert_eq!(
-        session.handle_report(3, answer(3, 2, 9), &terms, at),
+        session.handle_report(3, report(3, 2, 9), &terms, at),
         Change::Stale
     );
     assert_eq!(session.boot(), Some(10));
     assert_eq!(
-        session.handle_report(3, answer(4, 1, 10), &terms, at),
+        session.handle_report(3, report(4, 1, 10), &terms, at),
         Change::Superseded
     );
 }
 
 #[test]
-fn nothing_is_granted_beyond_what_there_is() {
+fn nothing_is_allocated_beyond_capacity() {
     let whole = Resources {
         processors: 4000,
         memory: 100,
         accelerators: 1,
     };
-    let mut room = Room::new(whole);
-    let most = [
+    let mut pool = ResourcePool::new(whole);
+    let too_much = [
         Resources {
             processors: 4001,
             ..Resources::default()
@@ -253,21 +255,21 @@
             accelerators: u32::MAX,
         },
     ];
-    for amount in &most {
-        assert!(!room.can_allocate(amount), "{amount}");
+    for amount in &too_much {
+        assert!(!pool.can_allocate(amount), "{amount}");
     }
-    assert!(room.can_allocate(&whole));
-    room.allocate(&whole);
-    assert!(!room.can_allocate(&Resources {
+    assert!(pool.can_allocate(&whole));
+    pool.allocate(&whole);
+    assert!(!pool.can_allocate(&Resources {
         processors: 1,
         ..Resources::default()
     }));
-    room.release(&whole);
-    assert_eq!(room.free(), whole);
+    pool.release(&whole);
+    assert_eq!(pool.free(), whole);
 }
 
 #[test]
-fn one_name_more_moves_only_its_own_keys() {
+fn adding_a_name_moves_only_the_keys_that_it_gets() {
     let names: Vec<Arc<str>> = (0..9).map(|number| format!("g{number}").into()).collect();
     let more: Vec<Arc<str>> = names.iter().cloned().chain(["g9".into()]).collect();
     let mut moved = 0;
@@ -284,6 +286,6 @@
     }
     assert!(
         (50..200).contains(&moved),
-        "{moved} of 1000 moved for a tenth"
+        "{moved} of 1000 moved; about a tenth is expected"
     );
 }
