--- a/ashtiller/src/command.rs
+++ b/ashtiller/src/command.rs
@@ -270,7 +270,7 @@
         let applied = apply::write(&*store, &account, &text, &base, dry_run).await;
         match applied.with_context(|| format!("applying {path}"))? {
             Applied::Accepted(revision) => {
-                println!("{path}: {account} applied, revision {revision}");
+                println!("{path}: {account} in force, revision {revision}");
             }
             Applied::Unchanged(revision) => {
                 println!("{path}: {account} unchanged, revision {revision}");
@@ -278,9 +278,7 @@
             Applied::DryRun(old) => show_change(path, old.as_deref().unwrap_or(""), &text),
             Applied::Conflict(revision, now) => {
                 conflict = true;
-                println!(
-                    "{path}: {account} was changed by another operator, to revision {revision}"
-                );
+                println!("{path}: {account} was changed meanwhile, to revision {revision}");
                 show_change(path, base.text().map_or("", |text| text), &now);
             }
         }
