--- a/ashtiller/src/workflow/node/mod.rs
+++ b/ashtiller/src/workflow/node/mod.rs
@@ -52,7 +52,7 @@
     /// Client of the machine interface, if the settings name one.
     pub machines: Option<Arc<dyn Machines>>,
     /// Codec of the entries that the platform keeps in the store.
-    pub dialect: Arc<dyn PlatformCodec>,
+    pub codec: Arc<dyn PlatformCodec>,
     /// Connections to other instances.
     pub links: Rc<PeerConnections>,
     /// Executor of calls to workers on behalf of an owner on another instance.
@@ -90,7 +90,7 @@
     /// Client of the machine interface, if the settings name one.
     pub machines: Option<Arc<dyn Machines>>,
     /// Codec of the entries that the platform keeps in the store.
-    pub dialect: Arc<dyn PlatformCodec>,
+    pub codec: Arc<dyn PlatformCodec>,
 }
 
 impl Node {
@@ -105,7 +105,7 @@
             agents,
             advisor,
             machines,
-            dialect,
+            codec: dialect,
         } = dependencies;
         let metrics = Metrics::open()?;
         let links = PeerConnections::over(Rc::new(Tcp), metrics.silent_links());
@@ -114,7 +114,7 @@
             store,
             advisor,
             machines,
-            dialect,
+            codec: dialect,
             relay_server: RelayServer::new(agents.clone(), links.clone()),
             relay_client: RelayClient::new(agents.clone(), links.clone(), settings.entry.peers),
             links,
--- a/ashtiller/src/workflow/node/store_watch.rs
+++ b/ashtiller/src/workflow/node/store_watch.rs
@@ -19,7 +19,7 @@
 impl Node {
     pub(super) async fn follow_config(self: Rc<Self>) {
         let (sender, mut updates) = mpsc::channel(16);
-        let prefix = self.dialect.operator_prefix();
+        let prefix = self.codec.operator_prefix();
         task::spawn_local(follow::follow(
             self.store.clone(),
             prefix,
@@ -29,7 +29,7 @@
         while let Some(update) = updates.recv().await {
             self.note_store_contact();
             self.evacuations
-                .send_modify(|known| known.take(&*self.dialect, &update));
+                .send_modify(|known| known.take(&*self.codec, &update));
             let items = match update {
                 StoreUpdate::All { items, .. } => items,
                 StoreUpdate::Changes { changes, .. } => {
@@ -37,7 +37,7 @@
                 }
             };
             for item in items {
-                match self.dialect.operated(&item.key, &item.value) {
+                match self.codec.operated(&item.key, &item.value) {
                     Ok(OperatorEntry::Config(config)) => self.adopt_config(&Arc::new(config)),
                     Ok(OperatorEntry::Wave(wave)) => self.adopt_wave(wave),
                     Ok(OperatorEntry::Other) => {}
--- a/ashtiller/src/workflow/owner/effects.rs
+++ b/ashtiller/src/workflow/owner/effects.rs
@@ -150,7 +150,7 @@
             if !durable || !self.written_waves.insert((number, finished)) {
                 continue;
             }
-            let (key, value) = self.node.dialect.wave_status(number, finished);
+            let (key, value) = self.node.codec.wave_status(number, finished);
             let (store, sender) = (self.node.store.clone(), self.event_sender.clone());
             task::spawn_local(async move {
                 let txn = Txn {
--- a/ashtiller/src/workflow/owner/events.rs
+++ b/ashtiller/src/workflow/owner/events.rs
@@ -119,7 +119,7 @@
     /// Parses a worker's entry. Other programs may write below this prefix: an entry that cannot be
     /// parsed adds no worker, and leaves the state of a known worker unchanged.
     fn parse_worker(&mut self, item: &Item) -> Result<ListedWorker, Arc<str>> {
-        match self.node.dialect.worker(&item.key, &item.value) {
+        match self.node.codec.worker(&item.key, &item.value) {
             Ok(listed) => Ok(listed),
             Err(error) => {
                 if self.unreadable.is_new(&item.key, item.revision) {
@@ -134,7 +134,7 @@
 
     /// Returns the id of the worker that a key belongs to.
     fn worker_id(&self, key: &str) -> Arc<str> {
-        let prefix = self.node.dialect.worker_prefix();
+        let prefix = self.node.codec.worker_prefix();
         key.strip_prefix(prefix).unwrap_or(key).into()
     }
 
--- a/ashtiller/src/workflow/owner/mod.rs
+++ b/ashtiller/src/workflow/owner/mod.rs
@@ -287,7 +287,7 @@
 
     fn follow_workers(&self) {
         let (sender, mut updates) = mpsc::channel(16);
-        let prefix = self.node.dialect.worker_prefix();
+        let prefix = self.node.codec.worker_prefix();
         let (store, poll_wait) = (self.node.store.clone(), self.node.watch_long_poll_wait());
         task::spawn_local(follow::follow(store, prefix, poll_wait, sender));
         let sender = self.event_sender.clone();
--- a/ashtiller/tests/links/follower.rs
+++ b/ashtiller/tests/links/follower.rs
@@ -165,7 +165,7 @@
         agents: Arc::new(NoWorkers),
         advisor: None,
         machines: None,
-        dialect: Arc::new(NoWorkers),
+        codec: Arc::new(NoWorkers),
     };
     let settings = Settings::parse("links.ini", SETTINGS).expect("the settings should parse");
     let mut node = Node::open(settings, dependencies).expect("the node should open");
