--- a/ashtiller/tests/fleet/mod.rs
+++ b/ashtiller/tests/fleet/mod.rs
@@ -49,7 +49,7 @@
     pub log: Vec<Entry>,
     pub nodes: Vec<Node>,
     pub workers: BTreeMap<Arc<str>, Worker>,
-    pub flight: Vec<Message>,
+    pub in_flight: Vec<Message>,
     /// Pairs of owner and worker that cannot reach each other.
     partitions: BTreeSet<(usize, Arc<str>)>,
     store_down: bool,
@@ -84,7 +84,7 @@
             log: Vec::new(),
             nodes: Vec::new(),
             workers: workers.collect(),
-            flight: Vec::new(),
+            in_flight: Vec::new(),
             partitions: BTreeSet::new(),
             store_down: false,
             started: BTreeSet::new(),
@@ -106,7 +106,7 @@
             75..78 => self.drop_message(pick),
             78..84 => self.submit(pick),
             84..86 => self.cancel(pick),
-            86..91 => self.work(pick, choice),
+            86..91 => self.advance_task(pick, choice),
             91 if choice.is_multiple_of(3) => self.restart(pick)?,
             92 if !self.store_down && choice.is_multiple_of(3) => self.take_over(),
             93 if !self.store_down && choice.is_multiple_of(3) => self.kill_owner(pick),
@@ -123,7 +123,7 @@
     /// Clears all faults, runs the cell for a while and checks that every task ended.
     pub fn settle(&mut self) -> Result<(), String> {
         self.nodes.clear();
-        self.flight.clear();
+        self.in_flight.clear();
         self.partitions.clear();
         self.store_down = false;
         for worker in self.workers.values_mut() {
@@ -133,13 +133,13 @@
         for _ in 0..400 {
             self.advance(50)?;
             self.tick_all();
-            while !self.flight.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0, false)?;
             }
             for index in 0..WORKERS {
                 let worker = u16::try_from(index).unwrap_or(0);
-                self.work(worker, 0);
-                self.work(worker, 1);
+                self.advance_task(worker, 0);
+                self.advance_task(worker, 1);
             }
             self.check()?;
         }
@@ -230,7 +230,7 @@
         let calls = node.tick(self.now);
         for (worker, sync) in calls {
             if self.in_flight_count(owner, &worker) < IN_FLIGHT_MAX {
-                self.flight.push(Message::ToWorker {
+                self.in_flight.push(Message::ToWorker {
                     owner,
                     worker,
                     sync,
@@ -252,7 +252,7 @@
                 ..
             } => *from == owner && to == worker,
         };
-        self.flight.iter().filter(between_both).count()
+        self.in_flight.iter().filter(between_both).count()
     }
 
     fn tick_all(&mut self) {
@@ -318,7 +318,7 @@
 
     /// Delivers four messages, mostly the newest ones; others arrive late.
     fn deliver_most(&mut self, pick: u16, duplicate: bool) -> Result<(), String> {
-        let count = u16::try_from(self.flight.len()).unwrap_or(u16::MAX);
+        let count = u16::try_from(self.in_flight.len()).unwrap_or(u16::MAX);
         for _ in 0..4 {
             let newest = !pick.is_multiple_of(4) && count > 0;
             self.deliver(if newest { count - 1 } else { pick }, duplicate)?;
@@ -327,14 +327,14 @@
     }
 
     pub fn deliver(&mut self, pick: u16, duplicate: bool) -> Result<(), String> {
-        if self.flight.is_empty() {
+        if self.in_flight.is_empty() {
             return Ok(());
         }
-        let index = usize::from(pick) % self.flight.len();
+        let index = usize::from(pick) % self.in_flight.len();
         let message = if duplicate {
-            self.flight[index].clone()
+            self.in_flight[index].clone()
         } else {
-            self.flight.remove(index)
+            self.in_flight.remove(index)
         };
         let (Message::ToWorker { owner, worker, .. } | Message::ToOwner { owner, worker, .. }) =
             &message;
@@ -355,7 +355,7 @@
                 for (task, attempt, progress) in started {
                     self.record_start(&task, attempt, progress)?;
                 }
-                self.flight.push(Message::ToOwner {
+                self.in_flight.push(Message::ToOwner {
                     owner,
                     worker,
                     report,
@@ -408,8 +408,8 @@
     }
 
     fn drop_message(&mut self, pick: u16) {
-        if !self.flight.is_empty() {
-            self.flight.remove(usize::from(pick) % self.flight.len());
+        if !self.in_flight.is_empty() {
+            self.in_flight.remove(usize::from(pick) % self.in_flight.len());
         }
     }
 
@@ -466,7 +466,7 @@
     }
 
     /// Lets an attempt on one worker finish, fail or make progress.
-    pub fn work(&mut self, pick: u16, choice: u16) {
+    pub fn advance_task(&mut self, pick: u16, choice: u16) {
         let worker = self.workers.values_mut().nth(usize::from(pick) % WORKERS);
         let Some(worker) = worker else { return };
         // An unreported end is lost with a worker that restarts or stays unreachable until its
--- a/ashtiller/tests/sessions.rs
+++ b/ashtiller/tests/sessions.rs
@@ -309,14 +309,14 @@
         "tick" => fleet.tick(newest),
         "write" => fleet.write(newest, 3),
         "drain" => {
-            while !fleet.flight.is_empty() {
+            while !fleet.in_flight.is_empty() {
                 fleet.deliver(0, false)?;
             }
         }
         "go" => {
             for _ in 0..3 {
                 fleet.tick(newest);
-                while !fleet.flight.is_empty() {
+                while !fleet.in_flight.is_empty() {
                     fleet.deliver(0, false)?;
                 }
                 fleet.write(newest, 3);
@@ -334,7 +334,7 @@
         "take-over" => fleet.take_over(),
         "advance" => fleet.advance(number(1).into())?,
         "restart" => fleet.restart(number(1))?,
-        "work" => fleet.work(number(1), number(2)),
+        "work" => fleet.advance_task(number(1), number(2)),
         "show" => {}
         other => panic!("no such step: {other}"),
     }
