--- a/ashtiller/tests/fleet/mod.rs
+++ b/ashtiller/tests/fleet/mod.rs
@@ -409,7 +409,8 @@
 
     fn drop_message(&mut self, pick: u16) {
         if !self.in_flight.is_empty() {
-            self.in_flight.remove(usize::from(pick) % self.in_flight.len());
+            self.in_flight
+                .remove(usize::from(pick) % self.in_flight.len());
         }
     }
 
