--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold while a seed is played, from what clients and workers see.
+//! Invariants checked while a seed is played, from what clients and workers observe.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,108 +14,107 @@
 use tokio::time::{self, Instant};
 
 use crate::client::Client;
+use crate::health::{EntryHealth, SLACK};
 use crate::proxy::Proxy;
 use crate::standin::store::Store;
 use crate::standin::worker_server::WorkerServer;
-use crate::touch::{SLACK, Touch};
 
-/// Time between two looks at all workers.
-const CHECK: Duration = Duration::from_millis(10);
+/// Time between two checks of all workers.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Time between two calls by which an entry's configuration is checked.
-const CALL: Duration = Duration::from_millis(200);
-/// Time after the store took a worker's word that it leaves until no start may come.
-const DRAIN: Duration = Duration::from_secs(2);
-/// Time after the store took an evacuation until no start may come.
-const EVACUATE: Duration = Duration::from_secs(5);
-/// Time after the store took a configuration until it is in force everywhere.
-const APPLY: Duration = Duration::from_secs(2);
-/// Where the entries keep who owns the log.
-const LEAD: &str = "ashtiller/flow/lead";
+const CONFIG_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time from the store's acceptance of a worker's drain notice until no task may start there.
+const DRAIN_LIMIT: Duration = Duration::from_secs(2);
+/// Time from the store's acceptance of an evacuation until no task may start in the zone.
+const EVACUATION_LIMIT: Duration = Duration::from_secs(5);
+/// Time from the store's acceptance of a configuration until every entry applies it.
+const CONFIG_LIMIT: Duration = Duration::from_secs(2);
+/// Store key of the log's owner.
+const OWNER_KEY: &str = "ashtiller/flow/lead";
 
-/// A worker's life, and the proxy in front of it.
+/// One incarnation of a worker and the proxy in front of it.
 pub struct Member {
-    /// The worker.
-    pub agent: WorkerServer,
-    /// Where the entries reach it.
-    pub link: Proxy,
-    /// When the store took its word that it is about to leave.
+    /// The worker's stand-in server.
+    pub server: WorkerServer,
+    /// Proxy through which the entries reach the worker.
+    pub proxy: Proxy,
+    /// When the store accepted the worker's drain notice, counted from the seed's start.
     pub drained: Option<Duration>,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: &'static str,
 }
 
-/// The workers by machine.
+/// Running workers by machine number.
 pub type Fleet = Arc<Mutex<BTreeMap<usize, Member>>>;
 
-/// What clients and workers have seen.
+/// Answers that clients received, tasks that workers ran, and violations found so far.
 #[derive(Default)]
-pub struct Seen {
-    /// Jobs that clients were told are accepted.
+pub struct Observations {
+    /// Jobs for which a client received status 200.
     pub accepted: BTreeSet<Arc<str>>,
-    /// Jobs that an answer refused.
+    /// Jobs for which a client received status 429 or 503.
     pub refused: BTreeSet<Arc<str>>,
-    /// Jobs with a call that was not answered clearly.
-    pub doubtful: BTreeSet<Arc<str>>,
-    /// Jobs of which a task ran.
+    /// Jobs with a submission that failed or got any other status: they may have been accepted.
+    pub unclear: BTreeSet<Arc<str>>,
+    /// Jobs of which at least one task ran.
     pub ran: BTreeSet<Arc<str>>,
-    /// What was broken.
+    /// Descriptions of violated invariants.
     pub broken: Vec<String>,
-    /// Entries by the fence that they had as owners of the log.
+    /// Entry numbers by the fencing token that they held as owners of the log.
     owners: BTreeMap<u64, usize>,
-    /// Runs that were found to have begun too late on a worker that leaves, or in a zone that
-    /// is evacuated.
+    /// Runs already reported as started too late on a draining worker or in an evacuated zone.
     late: BTreeSet<(TaskName, u32)>,
 }
 
-impl Seen {
-    /// Takes an answer to a job; true when it is accepted.
+impl Observations {
+    /// Records the answer to a submission; true if the job was accepted.
     pub fn take_answer(&mut self, id: &Arc<str>, status: Option<StatusCode>) -> bool {
         match status {
             Some(StatusCode::OK) => self.accepted.insert(id.clone()),
             Some(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) => {
                 self.refused.insert(id.clone())
             }
-            _ => self.doubtful.insert(id.clone()),
+            _ => self.unclear.insert(id.clone()),
         };
         status == Some(StatusCode::OK)
     }
 
-    /// Jobs that were refused by every answer.
+    /// Returns the jobs that were refused at least once and never accepted.
     #[must_use]
     pub fn never_accepted(&self) -> Vec<Arc<str>> {
         self.refused.difference(&self.accepted).cloned().collect()
     }
 }
 
-/// What the checks look at.
+/// State shared by the checks and the faults.
 #[derive(Clone)]
 pub struct Checks {
-    /// When the seed began; all times are counted from here.
+    /// Start of the seed; all times are counted from here.
     pub start: Instant,
-    /// The store.
+    /// The store's stand-in.
     pub store: Store,
-    /// The workers.
+    /// Running workers.
     pub fleet: Fleet,
-    /// Makes the calls of clients.
+    /// HTTP client that submits and queries jobs.
     pub client: Arc<Client>,
-    /// What was seen.
-    pub seen: Arc<Mutex<Seen>>,
-    /// Which entries are in touch.
-    pub touch: Arc<Mutex<Touch>>,
-    /// When the store took each configuration; the first has version 1.
+    /// Observations so far.
+    pub seen: Arc<Mutex<Observations>>,
+    /// Which entries have had no fault for long enough that time bounds apply.
+    pub health: Arc<Mutex<EntryHealth>>,
+    /// When the store accepted each configuration; the first has version 1.
     pub configs: Arc<Mutex<Vec<Duration>>>,
-    /// Availability zones under evacuation, and since when.
+    /// Availability zones under evacuation, with the start of the evacuation.
     pub evacuated: Arc<Mutex<BTreeMap<&'static str, Duration>>>,
 }
 
-/// The prefix of the queue that came with a configuration.
+/// Returns the path prefix of the queue that a configuration version adds.
 #[must_use]
 pub fn name_prefix(version: usize) -> String {
     format!("/v{version}/")
 }
 
 impl Checks {
-    /// Checks until the set is dropped; `entries` are where clients reach them.
+    /// Runs the checks until the returned set is dropped; `entries` are the client addresses.
     #[must_use]
     pub fn spawn(&self, entries: &[SocketAddr]) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
@@ -130,14 +129,14 @@
         loop {
             self.note_owner();
             self.check_workers();
-            time::sleep(CHECK).await;
+            time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// The entry that owns the log, as the store says.
+    /// Reads the log owner's fencing token and entry number from the store.
     #[must_use]
     pub fn find_owner(&self) -> Option<(u64, usize)> {
-        let (fence, value) = self.store.read(LEAD)?;
+        let (fence, value) = self.store.read(OWNER_KEY)?;
         let lead: LogOwner = postcard::from_bytes(&value).ok()?;
         let number = lead.name.strip_prefix("entry-")?.parse().ok()?;
         Some((fence, number))
@@ -149,13 +148,13 @@
         }
     }
 
-    /// No task may run twice at once, no worker hold more than it has, and none that
-    /// leaves be given more.
+    /// Checks that no task runs twice at once, that no worker exceeds its capacity, and that
+    /// draining workers and evacuated zones get no new tasks.
     fn check_workers(&self) {
         let mut running: BTreeMap<TaskName, Incarnation> = BTreeMap::new();
         let mut seen = self.seen.lock();
         for member in self.fleet.lock().values() {
-            let mut worker = member.agent.worker.lock();
+            let mut worker = member.server.worker.lock();
             worker.advance(self.start.elapsed());
             for (name, _) in worker.runs.keys() {
                 seen.ran.insert(name.job.clone());
@@ -164,7 +163,8 @@
                     seen.broken.push(text);
                 }
             }
-            // A room that shrinks does not end what runs there; starts are checked for it.
+            // Shrinking a capacity does not end running tasks, so usage may exceed it; the
+            // stand-in checks starts against the new capacity instead.
             if worker.capacity_changed_at.is_none() && !worker.used().fits_within(&worker.capacity)
             {
                 let text = format!("{} holds {}", worker.incarnation, worker.used());
@@ -176,19 +176,19 @@
         }
     }
 
-    /// A worker that said it leaves gets nothing of an entry in touch beyond the bound.
-    fn check_drain(&self, member: &Member, seen: &mut Seen) {
+    /// Checks that healthy entries start nothing on a draining worker after the bound.
+    fn check_drain(&self, member: &Member, seen: &mut Observations) {
         let Some(drained) = member.drained else {
             return;
         };
-        let worker = member.agent.worker.lock();
+        let worker = member.server.worker.lock();
         for (key, run) in &worker.runs {
             let Some(owner) = seen.owners.get(&run.fence).copied() else {
                 continue;
             };
-            let late = run.started_at > drained + DRAIN + SLACK;
+            let late = run.started_at > drained + DRAIN_LIMIT + SLACK;
             if late
-                && self.touch.lock().holds(owner, run.started_at)
+                && self.health.lock().is_healthy(owner, run.started_at)
                 && seen.late.insert(key.clone())
             {
                 seen.broken.push(format!(
@@ -202,19 +202,19 @@
         }
     }
 
-    /// A worker in an evacuated zone gets nothing of an entry in touch beyond the bound.
-    fn check_evacuation(&self, member: &Member, seen: &mut Seen) {
+    /// Checks that healthy entries start nothing in an evacuated zone after the bound.
+    fn check_evacuation(&self, member: &Member, seen: &mut Observations) {
         let Some(since) = self.evacuated.lock().get(member.zone).copied() else {
             return;
         };
-        let worker = member.agent.worker.lock();
+        let worker = member.server.worker.lock();
         for (key, run) in &worker.runs {
             let Some(owner) = seen.owners.get(&run.fence).copied() else {
                 continue;
             };
-            let late = run.started_at > since + EVACUATE + SLACK;
+            let late = run.started_at > since + EVACUATION_LIMIT + SLACK;
             if late
-                && self.touch.lock().holds(owner, run.started_at)
+                && self.health.lock().is_healthy(owner, run.started_at)
                 && seen.late.insert(key.clone())
             {
                 seen.broken.push(format!(
@@ -229,14 +229,14 @@
         }
     }
 
-    /// An entry in touch knows the queue of each configuration beyond the bound.
+    /// Checks that a healthy entry knows the queue of each configuration after the bound.
     async fn watch_config(self, entry: usize, address: SocketAddr) {
         let mut missed = 0;
         loop {
-            time::sleep(CALL).await;
+            time::sleep(CONFIG_CHECK_INTERVAL).await;
             let now = self.start.elapsed();
             let version = self.count_due(now);
-            if version <= missed || !self.touch.lock().holds(entry, now) {
+            if version <= missed || !self.health.lock().is_healthy(entry, now) {
                 continue;
             }
             let path = name_prefix(version);
@@ -255,10 +255,12 @@
         }
     }
 
-    /// Configurations that have to be in force.
+    /// Counts the configurations that every healthy entry must have applied by now.
     fn count_due(&self, now: Duration) -> usize {
         let configs = self.configs.lock();
-        let due = configs.iter().filter(|taken| **taken + APPLY + SLACK < now);
+        let due = configs
+            .iter()
+            .filter(|taken| **taken + CONFIG_LIMIT + SLACK < now);
         due.count()
     }
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! A client: submits jobs and asks for their state, on connections that it keeps.
+//! HTTP/1 client that submits jobs and queries their state over kept-alive connections.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,23 +14,23 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-/// Time for one call, as the platform's clients wait.
-const LIMIT: Duration = Duration::from_secs(4);
+/// Timeout of one call, the same as that of the platform's clients.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Makes calls; a connection is used again until it ends or a call on it fails.
+/// Client that reuses a connection until it closes or a call on it fails.
 #[derive(Default)]
 pub struct Client {
-    /// One idle connection at most for each address.
+    /// At most one idle connection per address.
     idle: Mutex<BTreeMap<SocketAddr, Sender>>,
 }
 
 impl Client {
-    /// Makes one call.
+    /// Sends one request and reads the whole response.
     ///
     /// # Errors
-    /// No whole answer in time.
+    /// Fails when connecting or the exchange fails, or no whole response arrives in time.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -38,7 +38,7 @@
         path: &str,
         body: String,
     ) -> anyhow::Result<(StatusCode, Bytes)> {
-        time::timeout(LIMIT, self.exchange(to, method, path, body))
+        time::timeout(CALL_TIMEOUT, self.exchange(to, method, path, body))
             .await
             .context("no answer in time")?
     }
@@ -73,7 +73,7 @@
         }
         let stream = TcpStream::connect(to).await.context("connect")?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        // It ends with the sender.
+        // The connection task ends when the sender is dropped.
         tokio::spawn(connection);
         Ok(sender)
     }
--- a/soak/src/entry.rs
+++ b/soak/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry process.
+//! Starts, signals and kills one entry process.
 
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 
 use crate::network::Network;
 
-/// An entry and where its files lie.
+/// An entry process and the paths of its files.
 pub struct Entry {
-    /// Where clients connect.
+    /// Address on which the entry serves clients.
     pub clients: SocketAddr,
     settings: PathBuf,
     log: PathBuf,
@@ -21,41 +21,41 @@
     child: Option<Child>,
 }
 
-/// Ports among which an entry picks one for its peers, counted from its first.
+/// First and last port offset from which an entry picks its peer port.
 const PEERS: u16 = 4;
 const PEERS_LAST: u16 = 9;
 
-/// What an entry needs to know.
-pub struct Place<'a> {
+/// Parameters for starting an entry.
+pub struct EntryParams<'a> {
     /// Folder for settings and logs.
     pub folder: &'a Path,
-    /// The program.
+    /// Path of the `ashtiller` binary.
     pub program: &'a Path,
-    /// Number of the entry; it listens on a loopback address of its own.
+    /// Number of the entry; each one listens on its own loopback address.
     pub number: u8,
-    /// Addresses of this soak's entries.
+    /// Loopback network that holds the addresses of all entries.
     pub network: &'a Network,
-    /// Its way to the store.
+    /// Address of the entry's proxy to the store.
     pub store: SocketAddr,
     /// Number of entries.
     pub entries: u8,
 }
 
 impl Entry {
-    /// Writes its settings and starts it.
+    /// Writes the settings file and starts the process.
     ///
     /// # Errors
-    /// A file cannot be written or the program not be started.
-    pub fn start(place: &Place<'_>) -> anyhow::Result<Self> {
-        let Place {
+    /// Fails when a file cannot be written or the program cannot be started.
+    pub fn start(params: &EntryParams<'_>) -> anyhow::Result<Self> {
+        let EntryParams {
             folder,
             number,
             network,
             store,
             ..
-        } = place;
+        } = params;
         let own = |offset| network.entry(*number, offset);
-        let seeds: Vec<String> = (0..place.entries)
+        let seeds: Vec<String> = (0..params.entries)
             .map(|other| network.entry(other, PEERS).to_string())
             .collect();
         let text = format!(
@@ -77,17 +77,17 @@
             clients: own(0),
             settings,
             log: folder.join(format!("entry-{number}.log")),
-            program: place.program.to_owned(),
+            program: params.program.to_owned(),
             child: None,
         };
         entry.launch()?;
         Ok(entry)
     }
 
-    /// Starts the program, unless it runs.
+    /// Starts the process unless it is running.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Fails when the log cannot be opened or the program cannot be started.
     pub fn launch(&mut self) -> anyhow::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -111,10 +111,10 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     ///
     /// # Errors
-    /// The signal cannot be sent.
+    /// Fails when the signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> anyhow::Result<()> {
         if let Some(child) = &self.child {
             let id = i32::try_from(child.id()).context("process id")?;
@@ -123,10 +123,10 @@
         Ok(())
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and reaps it.
     ///
     /// # Errors
-    /// It cannot be killed.
+    /// Fails when the process cannot be killed or waited for.
     pub fn kill(&mut self) -> anyhow::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill().context("kill entry")?;
@@ -135,15 +135,18 @@
         Ok(())
     }
 
-    /// Whether the process has ended by itself; it is then forgotten.
+    /// Returns whether no process is running, and reaps one that has exited.
     ///
     /// # Errors
-    /// Its state cannot be read.
+    /// Fails when the process state cannot be read.
     pub fn has_ended(&mut self) -> anyhow::Result<bool> {
         let Some(child) = &mut self.child else {
             return Ok(true);
         };
-        let ended = child.try_wait().context("look at entry")?.is_some();
+        let ended = child
+            .try_wait()
+            .context("read the state of the entry process")?
+            .is_some();
         if ended {
             self.child = None;
         }
--- a/soak/src/evacuations.rs
+++ b/soak/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuations of availability zones, drawn apart from all else.
+//! Evacuations of availability zones, drawn from a random generator of their own.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -6,18 +6,18 @@
 use crate::standin::store::ZONES;
 use crate::world::World;
 
-/// Keeps these draws apart from those of the other faults.
+/// Mixed into the seed so that these draws are independent of those of the other faults.
 const SALT: u64 = 0x6576_6163;
-/// One step in so many evacuates a zone or takes it back.
-const TURNS: u32 = 12;
-/// What operators' entries may hold.
+/// One step in this many starts or cancels the evacuation of a zone.
+const CHANGES: u32 = 12;
+/// Values that an operator may write for an evacuated zone.
 const VALUES: [&str; 3] = ["{}", "", "\u{0}not json"];
 
-/// What is drawn here.
+/// Random generator for evacuations.
 pub struct Draws(Pcg64);
 
 impl Draws {
-    /// The draws of a seed.
+    /// Seeds the generator.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self(Pcg64::seed_from_u64(seed ^ SALT))
@@ -25,12 +25,12 @@
 }
 
 impl World {
-    /// Zones are evacuated and taken back, now and then; all at once, too.
+    /// Occasionally starts or cancels the evacuation of a zone; all zones may be evacuated at once.
     pub fn evacuate(&mut self) {
         let Some(draws) = &mut self.evacuations else {
             return;
         };
-        if draws.0.random_range(0..TURNS) != 0 {
+        if draws.0.random_range(0..CHANGES) != 0 {
             return;
         }
         let zone = ZONES[draws.0.random_range(0..ZONES.len())];
@@ -46,8 +46,8 @@
         self.note(&format!("zone {zone} is taken back: {taken_back}"));
     }
 
-    /// No zone is under evacuation any more.
-    pub fn take_zones_back(&mut self) {
+    /// Cancels every evacuation.
+    pub fn cancel_evacuations(&mut self) {
         for zone in std::mem::take(&mut *self.checks.evacuated.lock()).into_keys() {
             self.checks.store.cancel_evacuation(zone);
         }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a seed as they are played.
+//! Injection of a seed's faults into the running processes and stand-ins.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use tokio::time::{self, Instant};
 
 use crate::proxy::Path;
-use crate::schedule::{self, Event, Links, Sort};
+use crate::schedule::{self, Event, FaultSet, Links};
 use crate::standin::store::Mode;
 use crate::world::World;
 
-/// Time between two jobs; faults come beside them.
-const SUBMIT: Duration = Duration::from_millis(250);
+/// Time between two submitted jobs; faults are played between them.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(250);
 
 impl World {
     pub async fn disturb(&mut self) -> anyhow::Result<usize> {
         let (begin, seed, span) = (Instant::now(), self.plan.seed, self.plan.span);
         let events = schedule::draw(seed, span, self.sites.len(), self.plan.workers);
         let mut events = events.into_iter().peekable();
-        let others = schedule::sort_of(seed) != Sort::Links;
-        // Draws go by the number of the step, not by the clock, so that they are the
-        // same each time.
+        let others = schedule::fault_set(seed) != FaultSet::Links;
+        // Draws depend on the number of the step, not on the clock, so that a seed always
+        // draws the same.
         let mut next = Duration::from_secs(1);
         let (mut faults, mut number) = (0, 0);
-        while SUBMIT * number < span {
+        while SUBMIT_INTERVAL * number < span {
             self.submit(number);
             number += 1;
-            let now = SUBMIT * number;
+            let now = SUBMIT_INTERVAL * number;
             while let Some((at, event)) = events.next_if(|(at, _)| *at <= now) {
                 time::sleep_until(begin + at).await;
                 self.play_event(event).await?;
@@ -35,7 +35,7 @@
             }
             time::sleep_until(begin + now).await;
             self.revive()?;
-            self.shake();
+            self.disturb_workers();
             self.evacuate();
             self.bring_back().await?;
             if others && now >= next {
@@ -47,11 +47,11 @@
         Ok(faults)
     }
 
-    /// Processes that ended are started again now and then.
+    /// Restarts entries that have exited: each one with a chance of 1 in 6 per step.
     fn revive(&mut self) -> anyhow::Result<()> {
-        for place in 0..self.sites.len() {
-            if self.rng.random_range(0..6) == 0 && self.start_entry(place)? {
-                self.note(&format!("entry {place} starts"));
+        for index in 0..self.sites.len() {
+            if self.rng.random_range(0..6) == 0 && self.start_entry(index)? {
+                self.note(&format!("entry {index} starts"));
             }
         }
         Ok(())
@@ -65,34 +65,34 @@
             Event::Drain(worker) => self.drain_worker(worker),
             Event::Leave(worker) => self.replace_drained(worker).await?,
             Event::Configure => self.configure(),
-            Event::Kill(place) => self.kill(place)?,
+            Event::Kill(index) => self.kill(index)?,
         }
         Ok(())
     }
 
     fn silence(&self, links: Links, owner: Option<usize>) {
         let now = self.now();
-        let mut touch = self.checks.touch.lock();
+        let mut health = self.checks.health.lock();
         match links {
-            Links::Store(place) => {
-                self.sites[place].store.silence();
-                touch.change(place, now, |_| {});
+            Links::Store(index) => {
+                self.sites[index].store.silence();
+                health.change(index, now, |_| {});
             }
             Links::Owner => {
-                let place = owner.unwrap_or_default();
-                self.sites[place].store.silence();
-                touch.change(place, now, |_| {});
+                let index = owner.unwrap_or_default();
+                self.sites[index].store.silence();
+                health.change(index, now, |_| {});
             }
-            Links::Clients(place) => {
-                self.sites[place].clients.silence();
-                touch.change(place, now, |_| {});
+            Links::Clients(index) => {
+                self.sites[index].clients.silence();
+                health.change(index, now, |_| {});
             }
             Links::Worker(worker) => {
                 if let Some(member) = self.checks.fleet.lock().get(&worker) {
-                    member.link.silence();
+                    member.proxy.silence();
                 }
-                // Any entry may have had a connection there.
-                touch.change_all(now, |_| {});
+                // Any entry may have had a connection to this worker.
+                health.change_all(now, |_| {});
             }
             Links::All => {
                 for site in &self.sites {
@@ -100,9 +100,9 @@
                     site.clients.silence();
                 }
                 for member in self.checks.fleet.lock().values() {
-                    member.link.silence();
+                    member.proxy.silence();
                 }
-                touch.change_all(now, |_| {});
+                health.change_all(now, |_| {});
             }
         }
     }
@@ -114,15 +114,15 @@
             return;
         };
         if member.drained.is_none() {
-            let life = member.agent.worker.lock().incarnation.clone();
+            let incarnation = member.server.worker.lock().incarnation.clone();
             let store = &self.checks.store;
-            let room = member.agent.worker.lock().capacity;
-            store.put_worker(&life, worker, member.link.address, true, &room);
+            let capacity = member.server.worker.lock().capacity;
+            store.put_worker(&incarnation, worker, member.proxy.address, true, &capacity);
             member.drained = Some(now);
         }
     }
 
-    /// A worker that said that it leaves has left, and another life comes.
+    /// Replaces a worker that announced its drain by a new incarnation.
     pub async fn replace_drained(&mut self, worker: usize) -> anyhow::Result<()> {
         let is_drained = self
             .checks
@@ -137,55 +137,55 @@
     }
 
     async fn replace_worker(&mut self, worker: usize) -> anyhow::Result<()> {
-        let gone = self.checks.fleet.lock().remove(&worker);
-        if let Some(gone) = gone {
-            let worker = gone.agent.worker.lock();
-            self.troubles.lock().record_worker_loss(&worker);
+        let removed = self.checks.fleet.lock().remove(&worker);
+        if let Some(removed) = removed {
+            let worker = removed.server.worker.lock();
+            self.injector.lock().record_worker_loss(&worker);
             self.checks.store.remove_worker(worker.incarnation.id());
         }
         self.add_worker(worker).await
     }
 
-    fn kill(&mut self, place: usize) -> anyhow::Result<()> {
-        self.mark_down(place);
-        self.sites[place].entry.kill()
+    fn kill(&mut self, index: usize) -> anyhow::Result<()> {
+        self.mark_down(index);
+        self.sites[index].entry.kill()
     }
 
-    fn mark_down(&self, place: usize) {
+    fn mark_down(&self, index: usize) {
         let now = self.now();
-        self.checks.touch.lock().change(place, now, |harm| {
-            harm.down = true;
-            harm.frozen = false;
+        self.checks.health.lock().change(index, now, |state| {
+            state.down = true;
+            state.frozen = false;
         });
     }
 
     async fn play_fault(&mut self) -> anyhow::Result<()> {
-        let place = self.rng.random_range(0..self.sites.len());
+        let index = self.rng.random_range(0..self.sites.len());
         let worker = self.rng.random_range(0..self.plan.workers);
         let fault = self.rng.random_range(0..12);
-        self.note(&format!("fault {fault}, entry {place}, worker {worker}"));
+        self.note(&format!("fault {fault}, entry {index}, worker {worker}"));
         match fault {
-            0 | 1 => self.kill(place)?,
+            0 | 1 => self.kill(index)?,
             2 => {
-                self.mark_down(place);
-                self.sites[place].entry.signal(Signal::SIGTERM)?;
+                self.mark_down(index);
+                self.sites[index].entry.signal(Signal::SIGTERM)?;
             }
             3 => {
                 let now = self.now();
-                let mut touch = self.checks.touch.lock();
-                touch.change(place, now, |harm| harm.frozen = true);
-                self.sites[place].entry.signal(Signal::SIGSTOP)?;
+                let mut health = self.checks.health.lock();
+                health.change(index, now, |state| state.frozen = true);
+                self.sites[index].entry.signal(Signal::SIGSTOP)?;
             }
             4 => self.thaw()?,
-            5 => self.set_path(place, Path::OneWay),
-            6 => self.set_path(place, Path::Reset),
-            7 => self.set_path(place, Path::Delay(Duration::from_millis(120))),
+            5 => self.set_path(index, Path::OneWay),
+            6 => self.set_path(index, Path::Reset),
+            7 => self.set_path(index, Path::Delay(Duration::from_millis(120))),
             8 => self.heal_store(),
             9 => self.disturb_store(),
             10 => self.replace_worker(worker).await?,
             _ => {
                 if let Some(member) = self.checks.fleet.lock().get(&worker) {
-                    let mut cut = member.agent.unreachable.lock();
+                    let mut cut = member.server.unreachable.lock();
                     *cut = !*cut;
                 }
             }
@@ -193,11 +193,11 @@
         Ok(())
     }
 
-    fn set_path(&self, place: usize, path: Path) {
-        let (now, shut) = (self.now(), path != Path::Open);
-        let mut touch = self.checks.touch.lock();
-        touch.change(place, now, |harm| harm.shut = shut);
-        self.sites[place].store.set_path(path);
+    fn set_path(&self, index: usize, path: Path) {
+        let (now, disturbed) = (self.now(), path != Path::Open);
+        let mut health = self.checks.health.lock();
+        health.change(index, now, |state| state.disturbed = disturbed);
+        self.sites[index].store.set_path(path);
     }
 
     fn disturb_store(&mut self) {
@@ -208,17 +208,17 @@
             Mode::Slow(Duration::from_millis(200)),
         ];
         let mode = modes[self.rng.random_range(0..modes.len())];
-        self.checks.touch.lock().change_store(self.now(), true);
+        self.checks.health.lock().change_store(self.now(), true);
         self.checks.store.set_mode(mode);
         self.checks.store.compact();
     }
 
-    /// The store works, and so do all ways to it.
+    /// Restores the store and the entries' connections to it.
     pub fn heal_store(&self) {
         self.checks.store.set_mode(Mode::Up);
-        for place in 0..self.sites.len() {
-            self.set_path(place, Path::Open);
+        for index in 0..self.sites.len() {
+            self.set_path(index, Path::Open);
         }
-        self.checks.touch.lock().change_store(self.now(), false);
+        self.checks.health.lock().change_store(self.now(), false);
     }
 }
--- a/soak/src/jobs.rs
+++ b/soak/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of clients: handed in while faults go on, and awaited after them.
+//! Client jobs: submitted during the faults and awaited after them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::standin::job::{wire_job, wire_step};
 use crate::world::World;
 
-/// Time for all accepted jobs to end once the faults are over: several leases.
-const FINISH: Duration = Duration::from_mins(2);
+/// Time for all accepted jobs to end once the faults are over: many times the 4 s lease.
+const FINISH_TIMEOUT: Duration = Duration::from_mins(2);
 
 impl World {
-    /// A client hands a job in, again and again until it gets a clear answer.
+    /// Submits a job, retrying at the entries in turn until it is accepted, 12 times at most.
     pub fn submit(&mut self, number: u32) {
         let id: Arc<str> = format!("{:08x}{number:08x}", self.plan.seed).into();
-        self.spoil_job(&id);
+        self.draw_crashing_job(&id);
         let count = self.rng.random_range(1..4u32);
         let length = self.rng.random_range(100..1500u64);
         let second = self.rng.random_range(0..2u16);
@@ -28,7 +28,7 @@
                 memory: 1 << 30,
                 accelerators: 0,
             };
-            self.shapes
+            self.profiles
                 .lock()
                 .insert((id.clone(), step), (needs, Duration::from_millis(length)));
         }
@@ -55,9 +55,9 @@
         });
     }
 
-    /// Waits for every accepted job to end; those that did not are returned.
+    /// Waits for every accepted job to end and returns those that did not in time.
     pub async fn finish(&mut self) -> anyhow::Result<Vec<Arc<str>>> {
-        let end = Instant::now() + FINISH;
+        let end = Instant::now() + FINISH_TIMEOUT;
         loop {
             let accepted: Vec<Arc<str>> =
                 self.checks.seen.lock().accepted.iter().cloned().collect();
@@ -72,7 +72,7 @@
                 let state = answer.map(|(_, body)| body).unwrap_or_default();
                 let failed = state.as_ref() == br#"{"state":"failed"}"#;
                 let complete = state.as_ref() == br#"{"state":"complete"}"#;
-                let ended = complete || failed && self.troubles.lock().may_fail(&id);
+                let ended = complete || failed && self.injector.lock().may_fail(&id);
                 if !ended {
                     open.push(id);
                 }
@@ -80,7 +80,7 @@
             if open.is_empty() || Instant::now() >= end {
                 return Ok(open);
             }
-            // One that was told to stop may end only now.
+            // An entry that received SIGTERM may exit only now.
             self.start_ended()?;
             self.bring_back().await?;
             time::sleep(Duration::from_millis(500)).await;
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,24 +1,25 @@
-//! A randomized soak: real entry processes on loopback, the platform's stand-ins,
-//! and faults from outside that follow from a seed.
+//! Randomized soak test: real entry processes on loopback, stand-ins for the platform,
+//! and external faults drawn from a seed.
 //!
-//! [`world::run`] plays one seed and returns what was broken. Each entry reaches the
-//! store through a proxy of its own that can delay, silence or reset it; entries are
-//! killed, frozen, stopped and started again by signals to processes that this
-//! program started; workers die, come back under other ids, or are cut off. Workers and
-//! clients' ports have a proxy as well, so that open connections can fall silent for
-//! good. Entries call each other without one: they listen where they say that they are.
+//! [`world::run`] plays one seed and returns the violated invariants. Each entry reaches
+//! the store through its own proxy, which can delay, silence or reset connections. Entries
+//! are killed, suspended, stopped and restarted by signals to processes that this program
+//! started. Workers crash, return under other ids, or become unreachable. Workers and
+//! client ports have proxies as well, so that open connections can be silenced
+//! permanently. Entries call each other without a proxy, because they listen on the
+//! addresses that they advertise.
 
 pub mod checks;
 pub mod client;
 pub mod entry;
 mod evacuations;
 mod faults;
+pub mod health;
 mod jobs;
 pub mod network;
 pub mod proxy;
 pub mod schedule;
 mod shaky;
-pub mod touch;
 pub mod world;
 
 #[path = "../../platform/standin/mod.rs"]
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy in front of a stand-in or an entry.
+//! Fault-injecting TCP proxy on loopback, in front of a stand-in or an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,42 +8,42 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// Bytes that are read at once.
+/// Size of a read buffer in bytes.
 const CHUNK: usize = 16 << 10;
 
-/// What the proxy does with bytes.
+/// How the proxy treats the bytes of its connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Path {
-    /// It passes them on.
+    /// Forwards them.
     #[default]
     Open,
-    /// It passes them on after a while.
+    /// Forwards each chunk after this delay.
     Delay(Duration),
-    /// It holds what comes back.
+    /// Forwards requests and withholds responses.
     OneWay,
-    /// It closes connections.
+    /// Closes connections.
     Reset,
 }
 
 #[derive(Clone, Copy, Default)]
 struct State {
     path: Path,
-    /// How often the open connections were silenced.
+    /// Number of times the open connections were silenced.
     silences: u64,
 }
 
 /// A running proxy; once it is dropped, its connections close.
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     state: watch::Sender<State>,
 }
 
 impl Proxy {
-    /// Listens on a port of the kernel's and passes on to `target`.
+    /// Listens on a port chosen by the kernel and forwards connections to `target`.
     ///
     /// # Errors
-    /// No port can be bound.
+    /// Fails when no port can be bound.
     pub async fn spawn(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -52,13 +52,13 @@
         Ok(Self { address, state })
     }
 
-    /// Changes what it does.
+    /// Sets how bytes are treated, on open and new connections alike.
     pub fn set_path(&self, path: Path) {
         self.state.send_modify(|state| state.path = path);
     }
 
-    /// Silences the connections that are open, for good: what their ends send is read
-    /// and dropped, and neither end learns when the other closes. New ones work.
+    /// Silences the open connections permanently: bytes from either end are read and
+    /// discarded, and neither end sees the other close. New connections work.
     pub fn silence(&self) {
         self.state.send_modify(|state| state.silences += 1);
     }
@@ -77,11 +77,11 @@
 }
 
 async fn wait_for_drop(states: &mut watch::Receiver<State>) {
-    // Nothing but the sender's end ends this wait.
+    // The predicate never holds, so only the drop of the sender ends the wait.
     let _ = states.wait_for(|_| false).await;
 }
 
-/// Passes bytes on; the connection came when there had been so many `silences`.
+/// Serves one connection; `silences` is the state's count when it was accepted.
 async fn pass(
     mut near: TcpStream,
     target: SocketAddr,
@@ -92,11 +92,11 @@
         return;
     };
     if relay(&mut near, &mut far, &mut states, silences).await {
-        tokio::join!(swallow(near, states.clone()), swallow(far, states));
+        tokio::join!(discard(near, states.clone()), discard(far, states));
     }
 }
 
-/// Passes bytes on until an end closes or the proxy does; true once it is silenced.
+/// Forwards bytes until an end or the proxy closes; true if the connection was silenced.
 async fn relay(
     near: &mut TcpStream,
     far: &mut TcpStream,
@@ -117,8 +117,8 @@
     }
 }
 
-/// Reads and drops what comes until this end closes.
-async fn swallow(mut end: TcpStream, mut states: watch::Receiver<State>) {
+/// Reads and discards bytes until this end or the proxy closes.
+async fn discard(mut end: TcpStream, mut states: watch::Receiver<State>) {
     let mut buffer = vec![0; CHUNK];
     let read = async { while end.read(&mut buffer).await.is_ok_and(|length| length > 0) {} };
     tokio::select! {
@@ -143,7 +143,7 @@
         match path {
             Path::Delay(delay) => time::sleep(delay).await,
             Path::OneWay if back => {
-                // The sender of the bytes does not learn that they wait.
+                // The sender does not notice that its bytes are withheld.
                 let _ = states.wait_for(|state| state.path != Path::OneWay).await;
             }
             _ => {}
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,73 +1,73 @@
-//! Silences of links, drains of workers and new configurations, drawn from a seed.
+//! Schedule of silenced connections, worker drains and configurations, drawn from a seed.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Keeps these draws apart from those of the other faults.
+/// Mixed into the seed so that these draws are independent of those of the other faults.
 const SALT: u64 = 0x6c69_6e6b;
-/// When the first strike comes: the entries have found an owner and jobs run.
+/// Time of the first outage: by then the entries have elected an owner and jobs run.
 const FIRST: Duration = Duration::from_secs(1);
-/// Time within which what goes with a strike follows it, in milliseconds.
-const BESIDE: u64 = 2500;
+/// Time within which the drain, configuration or kill that accompanies an outage follows it.
+const FOLLOW_UP_MS: u64 = 2500;
 
-/// Which links fall silent at one moment.
+/// Connections that are silenced together.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Links {
-    /// Those of one entry to the store.
+    /// Connections of one entry to the store.
     Store(usize),
-    /// Those of the owner of the log to the store.
+    /// Connections of the log's owner to the store.
     Owner,
-    /// Those of all entries to one worker.
+    /// Connections of all entries to one worker.
     Worker(usize),
-    /// Those of clients to one entry.
+    /// Connections of clients to one entry.
     Clients(usize),
-    /// All that a proxy carries.
+    /// All connections that pass through a proxy.
     All,
 }
 
-/// What happens.
+/// A scheduled fault or change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// The open connections of these links fall silent for good.
+    /// The open connections of these links are silenced permanently.
     Silence(Links),
-    /// A worker says that it is about to leave.
+    /// A worker announces that it is draining.
     Drain(usize),
-    /// A worker that said so leaves, and its machine comes back as another.
+    /// A draining worker exits, and its machine returns as a new incarnation.
     Leave(usize),
-    /// Operators write a configuration with one more queue.
+    /// A configuration with one more queue is written.
     Configure,
     /// An entry is killed.
     Kill(usize),
 }
 
-/// What a seed plays.
+/// Which faults a seed plays.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Sort {
-    /// What is drawn here alone, so that promises that hold only in calm are checked
-    /// for long.
+pub enum FaultSet {
+    /// Only the schedule of this module, which leaves long fault-free periods to check the
+    /// bounds that hold only there.
     Links,
-    /// The other faults alone.
+    /// Only the faults drawn elsewhere.
     Others,
-    /// Both, one beside the other.
+    /// Both at once.
     Both,
 }
 
-/// What a seed plays: each sort a third of them.
+/// Returns which faults a seed plays: each set gets a third of the seeds.
 #[must_use]
-pub fn sort_of(seed: u64) -> Sort {
+pub fn fault_set(seed: u64) -> FaultSet {
     match seed % 3 {
-        0 => Sort::Links,
-        1 => Sort::Others,
-        _ => Sort::Both,
+        0 => FaultSet::Links,
+        1 => FaultSet::Others,
+        _ => FaultSet::Both,
     }
 }
 
-/// What happens when, counted from the first fault, in order.
+/// Draws the events with their times, counted from the begin of the faults, in order.
 #[must_use]
 pub fn draw(seed: u64, span: Duration, entries: usize, workers: usize) -> Vec<(Duration, Event)> {
-    if sort_of(seed) == Sort::Others {
+    if fault_set(seed) == FaultSet::Others {
         return Vec::new();
     }
     let mut draws = Draws {
@@ -78,9 +78,9 @@
     };
     let mut at = FIRST;
     while at < span {
-        draws.add_strike(at);
-        // One in four strikes comes into the trouble of the last one; the others leave
-        // a calm in which bounds in time are checked.
+        draws.add_outage(at);
+        // One in four outages begins before the entries have recovered from the last one; the
+        // others leave a fault-free period in which time bounds are checked.
         at += if draws.rng.random_range(0..4) == 0 {
             draws.millis(200, 1500)
         } else {
@@ -103,8 +103,8 @@
         Duration::from_millis(self.rng.random_range(least..most))
     }
 
-    /// Links fall silent, and other things may happen beside it.
-    fn add_strike(&mut self, at: Duration) {
+    /// Adds an outage of links, and perhaps a drain, a configuration or a kill after it.
+    fn add_outage(&mut self, at: Duration) {
         let entry = self.rng.random_range(0..self.entries);
         let worker = self.rng.random_range(0..self.workers);
         let links = match self.rng.random_range(0..7) {
@@ -116,17 +116,17 @@
         };
         self.events.push((at, Event::Silence(links)));
         if self.rng.random_range(0..3) > 0 {
-            let said = at + self.millis(0, BESIDE);
+            let said = at + self.millis(0, FOLLOW_UP_MS);
             self.events.push((said, Event::Drain(worker)));
             let left = said + self.millis(4000, 7000);
             self.events.push((left, Event::Leave(worker)));
         }
         if self.rng.random_range(0..2) == 0 {
-            let written = at + self.millis(0, BESIDE);
+            let written = at + self.millis(0, FOLLOW_UP_MS);
             self.events.push((written, Event::Configure));
         }
         if self.rng.random_range(0..5) == 0 {
-            let killed = at + self.millis(0, BESIDE);
+            let killed = at + self.millis(0, FOLLOW_UP_MS);
             self.events.push((killed, Event::Kill(entry)));
         }
     }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! One seed: processes, stand-ins, and what became of them.
+//! Plays one seed: starts processes and stand-ins, injects faults and collects the verdict.
 
 use std::fs;
 use std::path::{Path as File, PathBuf};
@@ -16,57 +16,57 @@
 use tokio::net::TcpListener;
 use tokio::time::{self, Instant};
 
-use crate::checks::{self, Checks, Fleet, Member, Seen};
-use crate::entry::{Entry, Place};
+use crate::checks::{self, Checks, Fleet, Member, Observations};
+use crate::entry::{Entry, EntryParams};
 use crate::evacuations;
+use crate::health::EntryHealth;
 use crate::network::Network;
 use crate::proxy::Proxy;
-use crate::shaky::{Draws, Gone};
+use crate::shaky::{CrashedWorkers, Draws};
 use crate::standin::store::{Store, zone_of};
 use crate::standin::worker_server::{SharedCrashInjector, TaskProfiles, WorkerServer};
-use crate::touch::Touch;
 
-/// Time between two questions whether the programs serve.
-const ASK: Duration = Duration::from_millis(100);
-/// Time for the programs to start and find each other.
-const BEGIN: Duration = Duration::from_secs(15);
+/// Time between two checks whether the entries serve.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for the entries to start and discover each other.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What to play.
+/// Parameters of one seed's run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seed of the schedule.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long faults go on.
+    /// Duration of the faults.
     pub span: Duration,
-    /// Entry processes.
+    /// Number of entry processes.
     pub entries: u8,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// The program.
+    /// Path of the `ashtiller` binary.
     pub program: PathBuf,
     /// Folder for settings, logs and the schedule.
     pub folder: PathBuf,
-    /// Whether jobs crash their workers, rooms change, others write among the entries, and
-    /// availability zones are evacuated.
+    /// Whether jobs crash their workers, capacities change, foreign worker records are written
+    /// and availability zones are evacuated.
     pub shaky: bool,
 }
 
-/// What became of a seed.
+/// Result of one seed's run.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Rules that were broken.
+    /// Descriptions of violated invariants.
     pub broken: Vec<String>,
-    /// Jobs that clients were told are accepted.
+    /// Number of jobs that were accepted.
     pub accepted: usize,
-    /// Jobs that were refused by every answer.
+    /// Number of jobs that were refused and never accepted.
     pub refused: usize,
-    /// Faults that were played.
+    /// Number of faults that were played.
     pub faults: usize,
-    /// Workers that crashed under jobs.
+    /// Number of workers that crashed under jobs.
     pub crashed: u32,
 }
 
-/// An entry, and the proxies on its links.
+/// An entry and the proxies on its connections.
 pub(crate) struct Site {
     pub entry: Entry,
     /// Between the entry and the store.
@@ -80,24 +80,24 @@
     network: Network,
     pub rng: Pcg64,
     pub sites: Vec<Site>,
-    pub shapes: TaskProfiles,
+    pub profiles: TaskProfiles,
     pub checks: Checks,
-    /// Tasks that crash their workers.
-    pub troubles: SharedCrashInjector,
-    /// Workers that crashed.
-    pub gone: Gone,
-    /// What is drawn of that, if anything is.
+    /// Crashes workers under selected tasks.
+    pub injector: SharedCrashInjector,
+    /// Crashed workers that await their restart.
+    pub crashed_workers: CrashedWorkers,
+    /// Generator for crashes, capacities and foreign records, if the plan has them.
     pub shaky: Option<Draws>,
-    /// What is drawn of evacuations, if anything is.
+    /// Generator for evacuations, if the plan has them.
     pub evacuations: Option<evacuations::Draws>,
-    lives: usize,
+    incarnations: usize,
     schedule: Vec<String>,
 }
 
 /// Plays one seed.
 ///
 /// # Errors
-/// The programs or stand-ins cannot be started.
+/// Fails when the programs or stand-ins cannot be started, or a file cannot be written.
 pub async fn run(plan: Plan) -> anyhow::Result<Verdict> {
     fs::create_dir_all(&plan.folder).context("make folder")?;
     let mut world = World::begin(plan).await?;
@@ -110,26 +110,26 @@
     let open = world.finish().await?;
     watch.abort();
     drop(checks);
-    let troubles = std::mem::take(&mut world.troubles.lock().violations);
-    world.checks.seen.lock().broken.extend(troubles);
+    let violations = std::mem::take(&mut world.injector.lock().violations);
+    world.checks.seen.lock().broken.extend(violations);
     fs::write(
         world.plan.folder.join("schedule.txt"),
         world.schedule.join("\n"),
     )
     .context("write schedule")?;
-    let crashed = world.troubles.lock().crashed;
+    let crashed = world.injector.lock().crashed;
     let verdict = judge(&mut world.checks.seen.lock(), open, faults);
     Ok(Verdict { crashed, ..verdict })
 }
 
-fn judge(seen: &mut Seen, open: Vec<Arc<str>>, faults: usize) -> Verdict {
+fn judge(seen: &mut Observations, open: Vec<Arc<str>>, faults: usize) -> Verdict {
     for id in open {
         seen.broken
             .push(format!("{id} was accepted and did not end"));
     }
     let never = seen.never_accepted();
     for id in &never {
-        if seen.ran.contains(id) && !seen.doubtful.contains(id) {
+        if seen.ran.contains(id) && !seen.unclear.contains(id) {
             seen.broken
                 .push(format!("{id} ran, and every answer said that it would not"));
         }
@@ -143,8 +143,8 @@
     }
 }
 
-/// What a worker has at first.
-pub(crate) fn room() -> Resources {
+/// Returns the initial capacity of each worker.
+pub(crate) fn worker_capacity() -> Resources {
     Resources {
         processors: 8000,
         memory: 16 << 30,
@@ -163,7 +163,7 @@
             fleet: Fleet::default(),
             client: Arc::default(),
             seen: Arc::default(),
-            touch: Arc::new(Mutex::new(Touch::new(plan.entries.into()))),
+            health: Arc::new(Mutex::new(EntryHealth::new(plan.entries.into()))),
             configs: Arc::default(),
             evacuated: Arc::default(),
         };
@@ -171,13 +171,13 @@
             network,
             rng: Pcg64::seed_from_u64(plan.seed),
             sites: Vec::new(),
-            shapes: TaskProfiles::default(),
+            profiles: TaskProfiles::default(),
             checks,
-            troubles: SharedCrashInjector::default(),
-            gone: Gone::default(),
+            injector: SharedCrashInjector::default(),
+            crashed_workers: CrashedWorkers::default(),
             shaky: plan.shaky.then(|| Draws::new(plan.seed)),
             evacuations: plan.shaky.then(|| evacuations::Draws::new(plan.seed)),
-            lives: 0,
+            incarnations: 0,
             schedule: Vec::new(),
             plan,
         };
@@ -194,7 +194,7 @@
 
     async fn start_site(&self, number: u8, store: std::net::SocketAddr) -> anyhow::Result<Site> {
         let store = Proxy::spawn(store).await?;
-        let entry = Entry::start(&Place {
+        let entry = Entry::start(&EntryParams {
             folder: &self.plan.folder,
             program: &self.plan.program,
             number,
@@ -210,28 +210,41 @@
         })
     }
 
-    /// A new life on a machine, in place of the one that was there.
+    /// Starts a worker with a new id on a machine, replacing the previous one.
     pub async fn add_worker(&mut self, number: usize) -> anyhow::Result<()> {
-        let id = format!("life-{}", self.lives + 1);
-        self.begin_life(number, &id).await
+        let id = format!("life-{}", self.incarnations + 1);
+        self.start_incarnation(number, &id).await
     }
 
-    /// A new life of the worker with this id, at an address of its own.
-    pub async fn begin_life(&mut self, number: usize, id: &str) -> anyhow::Result<()> {
-        self.lives += 1;
-        // Births need only differ, and may go back.
-        let born = 1_767_225_600_000 + (self.lives as u64 * 7919) % 1000;
-        let life = Incarnation::new(id, Some(born));
+    /// Starts a new incarnation of the worker with this id, at a new address.
+    pub async fn start_incarnation(&mut self, number: usize, id: &str) -> anyhow::Result<()> {
+        self.incarnations += 1;
+        // Start times of incarnations need only differ; they may go backwards.
+        let born = 1_767_225_600_000 + (self.incarnations as u64 * 7919) % 1000;
+        let incarnation = Incarnation::new(id, Some(born));
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let start = self.checks.start;
-        let (shapes, troubles) = (self.shapes.clone(), self.troubles.clone());
-        let agent = WorkerServer::spawn(listener, life.clone(), room(), shapes, troubles, start)?;
-        let link = Proxy::spawn(agent.address).await?;
+        let (profiles, injector) = (self.profiles.clone(), self.injector.clone());
+        let server = WorkerServer::spawn(
+            listener,
+            incarnation.clone(),
+            worker_capacity(),
+            profiles,
+            injector,
+            start,
+        )?;
+        let proxy = Proxy::spawn(server.address).await?;
         let store = &self.checks.store;
-        store.put_worker(&life, number, link.address, false, &room());
+        store.put_worker(
+            &incarnation,
+            number,
+            proxy.address,
+            false,
+            &worker_capacity(),
+        );
         let member = Member {
-            agent,
-            link,
+            server,
+            proxy,
             drained: None,
             zone: zone_of(number),
         };
@@ -239,7 +252,7 @@
         Ok(())
     }
 
-    /// Operators write a configuration that has all queues of the one before and a new one.
+    /// Writes a configuration with all queues of the previous one and a new one.
     pub fn configure(&mut self) {
         let mut configs = self.checks.configs.lock();
         let version = configs.len() + 1;
@@ -251,7 +264,7 @@
     }
 
     async fn wait_for_entries(&self) -> anyhow::Result<()> {
-        let end = Instant::now() + BEGIN;
+        let end = Instant::now() + START_TIMEOUT;
         let entry = self.sites[0].entry.clients;
         while Instant::now() < end {
             if let Ok((StatusCode::OK, _)) = self
@@ -262,7 +275,7 @@
             {
                 return Ok(());
             }
-            time::sleep(ASK).await;
+            time::sleep(READY_POLL_INTERVAL).await;
         }
         anyhow::bail!("the entries did not serve in time")
     }
@@ -272,7 +285,7 @@
         self.schedule.push(format!("{at:8.3} {what}"));
     }
 
-    /// Time since the seed began.
+    /// Returns the time since the start of the seed.
     pub fn now(&self) -> Duration {
         self.checks.start.elapsed()
     }
@@ -280,54 +293,54 @@
     async fn heal(&mut self) -> anyhow::Result<()> {
         self.note("all faults end");
         self.heal_store();
-        self.take_zones_back();
+        self.cancel_evacuations();
         self.thaw()?;
         for number in 0..self.plan.workers {
-            // Enough of them have to be left for what is open.
+            // Draining workers take no tasks; the open jobs need enough workers to finish.
             self.replace_drained(number).await?;
         }
         for member in self.checks.fleet.lock().values() {
-            *member.agent.unreachable.lock() = false;
+            *member.server.unreachable.lock() = false;
         }
         self.start_ended()
     }
 
-    /// Starts the entries that have ended.
+    /// Starts the entries that have exited.
     pub fn start_ended(&mut self) -> anyhow::Result<()> {
-        for place in 0..self.sites.len() {
-            self.start_entry(place)?;
+        for index in 0..self.sites.len() {
+            self.start_entry(index)?;
         }
         Ok(())
     }
 
-    /// Starts an entry if it has ended; true if it had.
-    pub fn start_entry(&mut self, place: usize) -> anyhow::Result<bool> {
-        let entry = &mut self.sites[place].entry;
+    /// Starts an entry if it has exited; true if it had.
+    pub fn start_entry(&mut self, index: usize) -> anyhow::Result<bool> {
+        let entry = &mut self.sites[index].entry;
         let ended = entry.has_ended()?;
         if ended {
             entry.launch()?;
             let now = self.now();
-            let mut touch = self.checks.touch.lock();
-            touch.change(place, now, |harm| harm.down = false);
+            let mut health = self.checks.health.lock();
+            health.change(index, now, |state| state.down = false);
         }
         Ok(ended)
     }
 
-    /// Frozen processes run on.
+    /// Resumes suspended processes.
     pub fn thaw(&self) -> anyhow::Result<()> {
         for site in &self.sites {
             site.entry.signal(Signal::SIGCONT)?;
         }
-        let mut touch = self.checks.touch.lock();
-        touch.change_all(self.now(), |harm| harm.frozen = false);
+        let mut health = self.checks.health.lock();
+        health.change_all(self.now(), |state| state.frozen = false);
         Ok(())
     }
 }
 
-/// Where the program lies: beside this one, as cargo builds it.
+/// Finds the `ashtiller` binary beside this one or one folder up, where cargo builds it.
 ///
 /// # Errors
-/// It is not there.
+/// Fails when it is not there.
 pub fn find_program() -> anyhow::Result<PathBuf> {
     let own = std::env::current_exe().context("own path")?;
     let folders = own.ancestors().skip(1).take(2);
--- a/soak/tests/client.rs
+++ b/soak/tests/client.rs
@@ -1,4 +1,5 @@
-//! Clients that keep their connections.
+//! Guards against a client that reuses a connection on which no bytes arrive any more: the
+//! call on it must time out, and the next call must open a new connection.
 
 use hyper::{Method, StatusCode};
 use serde_json::Value;
--- a/soak/tests/network.rs
+++ b/soak/tests/network.rs
@@ -1,4 +1,4 @@
-//! Soaks side by side listen on addresses of their own.
+//! Guards against port clashes between soaks that run at the same time with the same number.
 
 use soak::network::{Network, PORT};
 use tokio::net::TcpListener;
--- a/soak/tests/proxy.rs
+++ b/soak/tests/proxy.rs
@@ -1,4 +1,5 @@
-//! Connections that fall silent for good.
+//! Guards against a silenced connection that still passes bytes or a close to either end, and
+//! against connections that outlive their proxy.
 
 use std::time::Duration;
 
@@ -7,10 +8,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time;
 
-/// Time in which a byte that may not come would have come.
-const QUIET: Duration = Duration::from_millis(100);
+/// Time to wait before concluding that no byte arrives.
+const SILENCE_WAIT: Duration = Duration::from_millis(100);
 
-/// Both ends of a connection through the proxy that has passed a byte each way.
+/// Opens a connection through the proxy, passes a byte each way and returns both ends.
 async fn connect(proxy: &Proxy, listener: &TcpListener) -> (TcpStream, TcpStream) {
     let mut near = TcpStream::connect(proxy.address).await.expect("connect");
     let (mut far, _) = listener.accept().await.expect("accept");
@@ -21,8 +22,8 @@
     (near, far)
 }
 
-async fn hears_nothing(end: &mut TcpStream) -> bool {
-    time::timeout(QUIET, end.read_u8()).await.is_err()
+async fn receives_nothing(end: &mut TcpStream) -> bool {
+    time::timeout(SILENCE_WAIT, end.read_u8()).await.is_err()
 }
 
 #[tokio::test]
@@ -34,14 +35,14 @@
     proxy.silence();
     near.write_all(b"c").await.expect("taken and dropped");
     far.write_all(b"d").await.expect("taken and dropped");
-    assert!(hears_nothing(&mut near).await);
-    assert!(hears_nothing(&mut far).await);
+    assert!(receives_nothing(&mut near).await);
+    assert!(receives_nothing(&mut far).await);
     connect(&proxy, &listener).await;
-    // Neither what the proxy does to others nor the other end's close is heard.
+    // A silenced connection sees neither a reset of the proxy nor the close of the other end.
     proxy.set_path(Path::Reset);
     proxy.set_path(Path::Open);
     drop(far);
-    assert!(hears_nothing(&mut near).await);
+    assert!(receives_nothing(&mut near).await);
     near.write_all(b"e").await.expect("taken and dropped");
 }
 
--- a/soak/tests/schedule.rs
+++ b/soak/tests/schedule.rs
@@ -1,8 +1,9 @@
-//! What a seed draws.
+//! Guards against seeds that don't replay, because two draws of one seed differ, and against
+//! kinds of events that no seed draws.
 
 use std::time::Duration;
 
-use soak::schedule::{self, Event, Links, Sort};
+use soak::schedule::{self, Event, FaultSet, Links};
 
 const SPAN: Duration = Duration::from_secs(12);
 
@@ -11,7 +12,10 @@
     for seed in 0..20 {
         let one = schedule::draw(seed, SPAN, 3, 6);
         assert_eq!(one, schedule::draw(seed, SPAN, 3, 6));
-        assert_eq!(one.is_empty(), schedule::sort_of(seed) == Sort::Others);
+        assert_eq!(
+            one.is_empty(),
+            schedule::fault_set(seed) == FaultSet::Others
+        );
         assert!(one.is_sorted_by_key(|(at, _)| *at));
     }
 }
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,25 +1,25 @@
-//! A short soak from the kept seeds.
+//! Guards against faults that earlier soaks found: replays the kept seeds for a few seconds.
 
 use std::time::Duration;
 
-use soak::schedule::{self, Sort};
+use soak::schedule::{self, FaultSet};
 use soak::world::{self, Plan};
 
-/// How long faults go on where no links fall silent.
+/// Duration of the faults for seeds that silence no links.
 const SPAN: Duration = Duration::from_secs(6);
-/// The same where links fall silent: a strike, the time until promises hold again,
-/// and some seconds in which they are checked.
+/// Duration for seeds that silence links: an outage, the time until bounds hold again, and
+/// some seconds in which they are checked.
 const LINKS_SPAN: Duration = Duration::from_secs(8);
 
-/// Plays the kept seeds of one sort; all that they broke.
-async fn play_kept(sort: Sort, span: Duration) -> Vec<String> {
+/// Plays the kept seeds of one fault set and returns all violations.
+async fn play_kept(fault_set: FaultSet, span: Duration) -> Vec<String> {
     let kept = include_str!("../seeds/kept.txt");
     let words = kept
         .lines()
         .filter_map(|line| line.split_whitespace().next());
     let seeds = words.map(|word| word.parse().expect("a seed"));
     let mut broken = Vec::new();
-    for seed in seeds.filter(|seed| schedule::sort_of(*seed) == sort) {
+    for seed in seeds.filter(|seed| schedule::fault_set(*seed) == fault_set) {
         let plan = plan(seed, span);
         let folder = plan.folder.clone();
         let verdict = world::run(plan).await.expect("a verdict");
@@ -33,8 +33,8 @@
     broken
 }
 
-/// Jobs crash the workers that start them, rooms change, and others write among the workers'
-/// entries, besides the other faults of a seed of each sort.
+/// Jobs crash the workers that start them, capacities change and foreign worker records are
+/// written, besides the other faults of two seeds that play both fault sets.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn jobs_that_crash_workers_break_nothing() {
     let (mut broken, mut crashed) = (Vec::new(), 0);
@@ -51,7 +51,7 @@
     assert!(crashed > 0, "no worker crashed");
 }
 
-/// A seed as it is played here.
+/// Returns the parameters with which a seed is played here.
 fn plan(seed: u64, span: Duration) -> Plan {
     let name = format!("ashtiller-soak-{}-{seed}", std::process::id());
     Plan {
@@ -67,21 +67,21 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn kept_seeds_break_nothing() {
-    let broken = play_kept(Sort::Others, SPAN).await;
+    let broken = play_kept(FaultSet::Others, SPAN).await;
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn kept_seeds_of_all_faults_break_nothing() {
-    let broken = play_kept(Sort::Both, LINKS_SPAN).await;
+    let broken = play_kept(FaultSet::Both, LINKS_SPAN).await;
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// A worker that leaves was given tasks, and a configuration was not in force, up to
-/// 11.5 s after all connections to the store had fallen silent: the watches on it wait
-/// 10 s for a change and 1.5 s more for an answer, on a connection that has none.
+/// Guards against stale watches: a draining worker was given tasks, and a configuration was
+/// not applied, up to 11.5 s after all connections to the store had been silenced. A watch
+/// waits 10 s for a change and 1.5 s more for an answer, on a connection that carries none.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn kept_seeds_of_silent_links_break_nothing() {
-    let broken = play_kept(Sort::Links, LINKS_SPAN).await;
+    let broken = play_kept(FaultSet::Links, LINKS_SPAN).await;
     assert!(broken.is_empty(), "{broken:#?}");
 }
