--- a/ashtiller/src/workflow/relay/mod.rs
+++ b/ashtiller/src/workflow/relay/mod.rs
@@ -23,8 +23,8 @@
 use crate::failure::{Failure, RemoteEffect};
 use crate::workflow::agents::{Order, OrderReply, Poll, PollReply, Target};
 
-/// Time for which calls or results are collected into one message. It is twice a
-/// tenth of the time for which records are collected into an entry.
+/// Time for which calls or results are collected into one message: a fifth of the 30 ms for which
+/// records are collected into a log entry by default (`Tuning::commit`).
 pub const BATCH_DELAY: Duration = Duration::from_millis(6);
 /// Timeout of a message between an owner and its relay; the receiver acknowledges it before it
 /// makes the calls.
--- a/ashtiller/src/workflow/switches.rs
+++ b/ashtiller/src/workflow/switches.rs
@@ -9,8 +9,8 @@
 pub struct Switches {
     /// Short steps are placed before long-running ones of the same priority.
     pub short_first: bool,
-    /// A long-running step, and the oldest step that is already too late to count as on time, go
-    /// first if others were placed before them for too long.
+    /// A long-running step goes first if others were placed before it for too long. So does, at
+    /// intervals, the oldest short step whose job is too late to earn anything.
     pub room_in_time: bool,
     /// Best-effort runs move off workers where they are throttled.
     pub move_fills: bool,
